--- a/src/cluster/crashes/quarantine_keeper.rs
+++ b/src/cluster/crashes/quarantine_keeper.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        cluster::{BorderError, QuarantineRecords},
+        cluster::{BackendError, QuarantineRecords},
         gateway::Gateway,
         names::now_ms,
     },
@@ -44,7 +44,7 @@
     gateway: &Gateway,
     records: &dyn QuarantineRecords,
     position: &mut Option<u64>,
-) -> Result<(), BorderError> {
+) -> Result<(), BackendError> {
     let page = records.read_on(*position).await?;
     for record in &page.records {
         let is_outdated = gateway.crashes.lock().is_outdated(record);
@@ -70,7 +70,7 @@
     }
 }
 
-async fn write_due(gateway: &Gateway, records: &dyn QuarantineRecords) -> Result<(), BorderError> {
+async fn write_due(gateway: &Gateway, records: &dyn QuarantineRecords) -> Result<(), BackendError> {
     let now = gateway.steady_ms();
     let due = gateway.crashes.lock().to_write(MOST_WRITTEN, now);
     for record in due {
--- a/src/cluster/duties/duty_borders.rs
+++ b/src/cluster/duties/duty_borders.rs
@@ -11,7 +11,7 @@
 
 /// How a call to a shared log or an API for duties failed.
 #[derive(Clone, Debug, Display, thiserror::Error)]
-pub enum BorderError {
+pub enum BackendError {
     /// not done: {0}
     NotDone(String),
     /// may have been done: {0}
@@ -46,19 +46,19 @@
     /// # Errors
     ///
     /// Returns how the read failed.
-    async fn read(&self, topic: &str, from: u64) -> Result<TopicPage, BorderError>;
+    async fn read(&self, topic: &str, from: u64) -> Result<TopicPage, BackendError>;
 
     /// Appends a record if the topic ends at an offset.
     ///
     /// # Errors
     ///
-    /// [`BorderError::Unknown`] if it may be in the topic, or come into it later.
+    /// [`BackendError::Unknown`] if it may be in the topic, or come into it later.
     async fn append_at(
         &self,
         topic: &str,
         end: u64,
         record: Bytes,
-    ) -> Result<AppendEnd, BorderError>;
+    ) -> Result<AppendEnd, BackendError>;
 }
 
 /// How a write of a record ended.
@@ -79,14 +79,14 @@
     /// # Errors
     ///
     /// Returns how the call failed.
-    async fn take_over(&self, fence: u64) -> Result<(), BorderError>;
+    async fn take_over(&self, fence: u64) -> Result<(), BackendError>;
 
     /// Reads what was written last of each service's roll-out.
     ///
     /// # Errors
     ///
     /// Returns how the read failed.
-    async fn read(&self) -> Result<Vec<Rollout>, BorderError>;
+    async fn read(&self) -> Result<Vec<Rollout>, BackendError>;
 
     /// Writes how far a roll-out is, unless a daemon with a later fence has written. Records of one
     /// fence are numbered from 1; one that is written again under its number counts once.
@@ -99,7 +99,7 @@
         rollout: &Rollout,
         fence: u64,
         number: u64,
-    ) -> Result<WriteEnd, BorderError>;
+    ) -> Result<WriteEnd, BackendError>;
 }
 
 /// What was written of requests under which upstreams ended, from a position on.
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// Returns how the read failed.
-    async fn read_on(&self, from: Option<u64>) -> Result<QuarantinePage, BorderError>;
+    async fn read_on(&self, from: Option<u64>) -> Result<QuarantinePage, BackendError>;
 
     /// Writes the ends under a request, in place of what was written before; one without
     /// ends is dropped. `unix_ms` is the time.
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// Returns how the write failed.
-    async fn write(&self, record: &SuspectRecord, unix_ms: u64) -> Result<(), BorderError>;
+    async fn write(&self, record: &SuspectRecord, unix_ms: u64) -> Result<(), BackendError>;
 }
 
 /// In whose name a duty is done.
@@ -174,12 +174,12 @@
         claim: &DutyClaim,
         window: u64,
         counts: &AccountCounts,
-    ) -> Result<(), BorderError>;
+    ) -> Result<(), BackendError>;
 
     /// Orders upstreams.
     ///
     /// # Errors
     ///
     /// Returns how the call failed.
-    async fn order(&self, claim: &DutyClaim, order: &FleetOrder) -> Result<OrderEnd, BorderError>;
+    async fn order(&self, claim: &DutyClaim, order: &FleetOrder) -> Result<OrderEnd, BackendError>;
 }
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         cluster::{
-            AppendEnd, BorderError, DutyApi, DutyClaim, FleetOrder, FleetScaler, RolloutDuty,
+            AppendEnd, BackendError, DutyApi, DutyClaim, FleetOrder, FleetScaler, RolloutDuty,
             SharedLog, StatusBoard,
         },
         gateway::{Gateway, GatewayPhase},
@@ -137,7 +137,7 @@
     }
 
     /// Does one turn; returns whether the lease is held.
-    async fn turn(&mut self, holds: bool) -> Result<bool, BorderError> {
+    async fn turn(&mut self, holds: bool) -> Result<bool, BackendError> {
         if !holds {
             self.read_on().await?;
         }
@@ -153,7 +153,7 @@
         }
     }
 
-    async fn read_on(&mut self) -> Result<(), BorderError> {
+    async fn read_on(&mut self) -> Result<(), BackendError> {
         let page = self.shared_log.read(DUTY_TOPIC, self.log.next()).await?;
         self.log.skip_to(page.from);
         let now_ms = self.gateway.steady_ms();
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    async fn take_lease(&mut self, lease: LeaseRecord) -> Result<bool, BorderError> {
+    async fn take_lease(&mut self, lease: LeaseRecord) -> Result<bool, BackendError> {
         self.log.sending(&lease, self.gateway.steady_ms());
         let taken = self.append(DutyRecord::Lease(lease)).await?;
         Ok(taken && self.log.fence_for(0, self.gateway.steady_ms()).is_some())
@@ -190,9 +190,10 @@
     }
 
     /// Appends a record where the topic was read to; returns whether it was taken.
-    async fn append(&mut self, record: DutyRecord) -> Result<bool, BorderError> {
+    async fn append(&mut self, record: DutyRecord) -> Result<bool, BackendError> {
         let end = self.log.next();
-        let bytes = serde_json::to_vec(&record).map_err(|e| BorderError::NotDone(e.to_string()))?;
+        let bytes =
+            serde_json::to_vec(&record).map_err(|e| BackendError::NotDone(e.to_string()))?;
         let append = self
             .shared_log
             .append_at(DUTY_TOPIC, end, Bytes::from(bytes));
@@ -208,7 +209,7 @@
         }
     }
 
-    async fn lead_rollouts(&mut self) -> Result<(), BorderError> {
+    async fn lead_rollouts(&mut self) -> Result<(), BackendError> {
         let Some(claim) = self.claim() else {
             return Ok(());
         };
@@ -222,7 +223,7 @@
     }
 
     /// Reports the windows that are due.
-    async fn report_usage(&mut self) -> Result<(), BorderError> {
+    async fn report_usage(&mut self) -> Result<(), BackendError> {
         if !self.gateway.settings.duties.usage {
             return Ok(());
         }
@@ -272,7 +273,7 @@
         all_whole && told + 1 >= self.gateway.daemons()
     }
 
-    async fn send_report(&mut self, window: u64) -> Result<(), BorderError> {
+    async fn send_report(&mut self, window: u64) -> Result<(), BackendError> {
         let Some(counts) = self.log.report(window).cloned() else {
             return Ok(());
         };
@@ -295,7 +296,7 @@
     }
 
     /// Places the orders for upstreams that are due.
-    async fn order_upstreams(&mut self) -> Result<(), BorderError> {
+    async fn order_upstreams(&mut self) -> Result<(), BackendError> {
         if !self.gateway.settings.duties.scaling {
             return Ok(());
         }
--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        cluster::{BorderError, StatusBoard, WriteEnd},
+        cluster::{BackendError, StatusBoard, WriteEnd},
         gateway::Gateway,
         names::now_ms,
         rollouts::{Judge, Rollout, RolloutState, RolloutSteps, RolloutView},
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// Returns how a call to the board failed; it is made again at the next turn.
-    pub async fn turn(&mut self, gateway: &Gateway, fence: u64) -> Result<(), BorderError> {
+    pub async fn turn(&mut self, gateway: &Gateway, fence: u64) -> Result<(), BackendError> {
         let open: Vec<Rollout> = {
             let rollouts = gateway.rollouts.lock();
             let open = rollouts.iter();
@@ -76,7 +76,7 @@
     /// Begins to lead: goes on from what is written. The board is taken over before it is
     /// read: else a leader before could still write an outcome that is not seen here, and
     /// the operator would read two that differ.
-    async fn begin(&mut self, gateway: &Gateway, fence: u64) -> Result<(), BorderError> {
+    async fn begin(&mut self, gateway: &Gateway, fence: u64) -> Result<(), BackendError> {
         self.board.take_over(fence).await?;
         gateway.hear_rollouts(&self.board.read().await?);
         self.led.clear();
@@ -152,7 +152,7 @@
 
     /// Writes what the board has not taken yet, in order: one that got no answer may have
     /// been taken, and is sent again under its number.
-    async fn write(&mut self, fence: u64) -> Result<(), BorderError> {
+    async fn write(&mut self, fence: u64) -> Result<(), BackendError> {
         while let Some((number, rollout)) = self.unwritten.front() {
             match self.board.write(rollout, fence, *number).await? {
                 WriteEnd::Taken => {
--- a/tests/decisions/rollout_duty.rs
+++ b/tests/decisions/rollout_duty.rs
@@ -23,12 +23,12 @@
 
 #[async_trait]
 impl StatusBoard for Board {
-    async fn take_over(&self, fence: u64) -> Result<(), BorderError> {
+    async fn take_over(&self, fence: u64) -> Result<(), BackendError> {
         self.calls.lock().push(format!("take over {fence}"));
         Ok(())
     }
 
-    async fn read(&self) -> Result<Vec<Rollout>, BorderError> {
+    async fn read(&self) -> Result<Vec<Rollout>, BackendError> {
         self.calls.lock().push("read".into());
         Ok(Vec::new())
     }
@@ -38,7 +38,7 @@
         rollout: &Rollout,
         fence: u64,
         number: u64,
-    ) -> Result<WriteEnd, BorderError> {
+    ) -> Result<WriteEnd, BackendError> {
         self.calls.lock().push(format!("write {number}"));
         let wants = self.wants.lock().take();
         if let Some(wanted) = wants.filter(|wanted| *wanted != number) {
