--- a/src/app/claim_desk.rs
+++ b/src/app/claim_desk.rs
@@ -28,7 +28,7 @@
 
 /// How an append ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AppendEnd {
+pub enum ClaimAppendOutcome {
     /// It is in the log at this offset.
     At(u64),
     /// It may or may not be in the log.
@@ -61,16 +61,16 @@
 
 struct Pending {
     records: Vec<ClaimRecord>,
-    tx: oneshot::Sender<AppendEnd>,
+    tx: oneshot::Sender<ClaimAppendOutcome>,
 }
 
 impl ClaimDesk {
     /// Puts records into the next append.
-    pub fn append(&self, records: Vec<ClaimRecord>) -> oneshot::Receiver<AppendEnd> {
+    pub fn append(&self, records: Vec<ClaimRecord>) -> oneshot::Receiver<ClaimAppendOutcome> {
         let (tx, rx) = oneshot::channel();
         let mut outbox = self.outbox.lock();
         if outbox.len() >= MAX_OUTBOX {
-            let _ = tx.send(AppendEnd::NotTaken);
+            let _ = tx.send(ClaimAppendOutcome::NotTaken);
         } else {
             outbox.push(Pending { records, tx });
         }
@@ -187,12 +187,12 @@
     loop {
         let appended = world.claims.append(vec![record.clone()]).await;
         match appended {
-            Ok(AppendEnd::At(offset)) => wait_folded(world, offset + 1).await,
-            Ok(AppendEnd::NotTaken) | Err(_) => {
+            Ok(ClaimAppendOutcome::At(offset)) => wait_folded(world, offset + 1).await,
+            Ok(ClaimAppendOutcome::NotTaken) | Err(_) => {
                 tokio::time::sleep(READ_PAUSE).await;
                 continue;
             }
-            Ok(AppendEnd::Unknown) => tokio::time::sleep(SETTLE_WAIT).await,
+            Ok(ClaimAppendOutcome::Unknown) => tokio::time::sleep(SETTLE_WAIT).await,
         }
         if let Some(claims) = world.claims.key(key) {
             claimant.observe(&claims);
@@ -257,12 +257,12 @@
     }
 }
 
-async fn append_batch(world: &World, records: Vec<ClaimRecord>) -> AppendEnd {
+async fn append_batch(world: &World, records: Vec<ClaimRecord>) -> ClaimAppendOutcome {
     if let Some(batcher) = batcher(world) {
         let call = PeerCall::AppendClaims(records.clone());
         match world.call_box(&batcher, &call, BATCHER_WAIT).await {
-            Ok(PeerReply::Appended(Some(offset))) => return AppendEnd::At(offset),
-            Ok(PeerReply::Appended(None)) => return AppendEnd::Unknown,
+            Ok(PeerReply::Appended(Some(offset))) => return ClaimAppendOutcome::At(offset),
+            Ok(PeerReply::Appended(None)) => return ClaimAppendOutcome::Unknown,
             // Not reached or refused: appending it here too is harmless.
             _ => {}
         }
@@ -279,12 +279,12 @@
     end
 }
 
-async fn append_here(world: &World, records: &[ClaimRecord]) -> AppendEnd {
+async fn append_here(world: &World, records: &[ClaimRecord]) -> ClaimAppendOutcome {
     let data = serde_json::to_string(records).unwrap_or_default();
     match world.borders.log.append(CLAIMS_STREAM, data).await {
-        Ok(offset) => AppendEnd::At(offset),
-        Err(PlatformError::NotTaken(_)) => AppendEnd::NotTaken,
-        Err(_) => AppendEnd::Unknown,
+        Ok(offset) => ClaimAppendOutcome::At(offset),
+        Err(PlatformError::NotTaken(_)) => ClaimAppendOutcome::NotTaken,
+        Err(_) => ClaimAppendOutcome::Unknown,
     }
 }
 
--- a/src/app/peer_desk.rs
+++ b/src/app/peer_desk.rs
@@ -166,9 +166,11 @@
 
     async fn append_claims(&self, records: Vec<ClaimRecord>) -> PeerReply {
         match self.world.claims.append(records).await {
-            Ok(super::claim_desk::AppendEnd::At(offset)) => PeerReply::Appended(Some(offset)),
-            Ok(super::claim_desk::AppendEnd::Unknown) => PeerReply::Appended(None),
-            Ok(super::claim_desk::AppendEnd::NotTaken) | Err(_) => {
+            Ok(super::claim_desk::ClaimAppendOutcome::At(offset)) => {
+                PeerReply::Appended(Some(offset))
+            }
+            Ok(super::claim_desk::ClaimAppendOutcome::Unknown) => PeerReply::Appended(None),
+            Ok(super::claim_desk::ClaimAppendOutcome::NotTaken) | Err(_) => {
                 PeerReply::Refused("not taken".to_string())
             }
         }
