--- a/src/cluster/duties/duty_backends.rs
+++ b/src/cluster/duties/duty_backends.rs
@@ -31,7 +31,7 @@
 
 /// How an append under a condition ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AppendEnd {
+pub enum AppendOutcome {
     /// The record is in the topic.
     Taken,
     /// The topic ends elsewhere; nothing was done.
@@ -58,7 +58,7 @@
         topic: &str,
         end: u64,
         record: Bytes,
-    ) -> Result<AppendEnd, BackendError>;
+    ) -> Result<AppendOutcome, BackendError>;
 }
 
 /// How a write of a record ended.
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         cluster::{
-            AppendEnd, BackendError, DutyApi, DutyClaim, FleetOrder, FleetScaler, RolloutDuty,
+            AppendOutcome, BackendError, DutyApi, DutyClaim, FleetOrder, FleetScaler, RolloutDuty,
             SharedLog, StatusBoard,
         },
         gateway::{Gateway, GatewayPhase},
@@ -198,11 +198,11 @@
             .shared_log
             .append_at(DUTY_TOPIC, end, Bytes::from(bytes));
         match append.await? {
-            AppendEnd::Taken => {
+            AppendOutcome::Taken => {
                 self.log.fold(end, record, self.gateway.steady_ms());
                 Ok(true)
             }
-            AppendEnd::Conflict => {
+            AppendOutcome::Conflict => {
                 self.read_on().await?;
                 Ok(false)
             }
