--- a/src/cluster/duties/duty_backends.rs
+++ b/src/cluster/duties/duty_backends.rs
@@ -63,7 +63,7 @@
 
 /// How a write of a record ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// It is written.
     Taken,
     /// It is not: this number comes next.
@@ -99,7 +99,7 @@
         rollout: &Rollout,
         fence: u64,
         number: u64,
-    ) -> Result<WriteEnd, BackendError>;
+    ) -> Result<WriteOutcome, BackendError>;
 }
 
 /// What was written of requests under which upstreams ended, from a position on.
--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        cluster::{BackendError, StatusBoard, WriteEnd},
+        cluster::{BackendError, StatusBoard, WriteOutcome},
         gateway::Gateway,
         names::now_ms,
         rollouts::{Judge, Rollout, RolloutState, RolloutSteps, RolloutView},
@@ -155,10 +155,10 @@
     async fn write(&mut self, fence: u64) -> Result<(), BackendError> {
         while let Some((number, rollout)) = self.unwritten.front() {
             match self.board.write(rollout, fence, *number).await? {
-                WriteEnd::Taken => {
+                WriteOutcome::Taken => {
                     self.unwritten.pop_front();
                 }
-                WriteEnd::Renumber(next) => {
+                WriteOutcome::Renumber(next) => {
                     self.renumber(next);
                     return Ok(());
                 }
--- a/tests/decisions/rollout_duty.rs
+++ b/tests/decisions/rollout_duty.rs
@@ -38,15 +38,15 @@
         rollout: &Rollout,
         fence: u64,
         number: u64,
-    ) -> Result<WriteEnd, BackendError> {
+    ) -> Result<WriteOutcome, BackendError> {
         self.calls.lock().push(format!("write {number}"));
         let wants = self.wants.lock().take();
         if let Some(wanted) = wants.filter(|wanted| *wanted != number) {
-            return Ok(WriteEnd::Renumber(wanted));
+            return Ok(WriteOutcome::Renumber(wanted));
         }
         let taken = (fence, number, rollout.state);
         self.written.lock().push(taken);
-        Ok(WriteEnd::Taken)
+        Ok(WriteOutcome::Taken)
     }
 }
 
