--- a/src/cluster/duties/duty_backends.rs
+++ b/src/cluster/duties/duty_backends.rs
@@ -154,7 +154,7 @@
 
 /// How an order ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It was taken.
     Taken,
     /// No such upstreams are to be had there now.
@@ -181,5 +181,9 @@
     /// # Errors
     ///
     /// Returns how the call failed.
-    async fn order(&self, claim: &DutyClaim, order: &FleetOrder) -> Result<OrderEnd, BackendError>;
+    async fn order(
+        &self,
+        claim: &DutyClaim,
+        order: &FleetOrder,
+    ) -> Result<OrderOutcome, BackendError>;
 }
--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        cluster::{FleetOrder, OrderEnd},
+        cluster::{FleetOrder, OrderOutcome},
         gateway::Gateway,
         names::{FailureDomain, ServiceName},
         policy::{
@@ -99,15 +99,15 @@
     }
 
     /// Notes how an order ended.
-    pub fn note(&mut self, order: &FleetOrder, end: OrderEnd, boot_ms: u64, now_ms: u64) {
+    pub fn note(&mut self, order: &FleetOrder, end: OrderOutcome, boot_ms: u64, now_ms: u64) {
         let next_ms = match end {
-            OrderEnd::Taken => now_ms + boot_ms + AGAIN_AFTER_MS,
-            OrderEnd::NoneLeft => now_ms + NONE_LEFT_MS,
+            OrderOutcome::Taken => now_ms + boot_ms + AGAIN_AFTER_MS,
+            OrderOutcome::NoneLeft => now_ms + NONE_LEFT_MS,
         };
         let placed = Placed {
             count: order.count,
             next_ms,
-            taken: end == OrderEnd::Taken,
+            taken: end == OrderOutcome::Taken,
         };
         self.lower_since.remove(&key_of(order));
         self.placed.insert(key_of(order), placed);
