--- a/src/app/attempt.rs
+++ b/src/app/attempt.rs
@@ -38,13 +38,13 @@
 }
 
 /// Returns what placement asks for a request.
-pub fn ask_of(spec: &RequestSpec, generated: usize, exclude: BTreeSet<BoxId>) -> Ask {
+pub fn ask_of(spec: &RequestSpec, generated: usize, exclude: BTreeSet<BoxId>) -> RequestNeeds {
     let (prompt_tokens, max_tokens) = match &spec.work {
         Work::Model(work) => (count_tokens(&work.prompt), work.max_tokens),
         Work::Plain(_) => (0, 1),
     };
     let generated_tokens = u32::try_from(generated).unwrap_or(u32::MAX);
-    Ask {
+    RequestNeeds {
         prompt_tokens,
         generated_tokens,
         expected_tokens: max_tokens.saturating_sub(generated_tokens).max(1),
@@ -164,7 +164,7 @@
 
 /// A class that is preferred but not there gives way: an answer goes before a price.
 fn choose_relaxed(
-    ask: &Ask,
+    ask: &RequestNeeds,
     views: &[UpstreamView],
     policy: &dyn Placement,
     rng: &mut dyn rand::RngCore,
@@ -172,7 +172,7 @@
     if ask.class == ClassPreference::Any {
         return None;
     }
-    let relaxed = Ask {
+    let relaxed = RequestNeeds {
         class: ClassPreference::Any,
         ..ask.clone()
     };
--- a/src/policy/placement/cheapest_on_target.rs
+++ b/src/policy/placement/cheapest_on_target.rs
@@ -23,7 +23,7 @@
 
     fn choose(
         &self,
-        ask: &Ask,
+        ask: &RequestNeeds,
         upstreams: &[UpstreamView],
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
--- a/src/policy/placement/estimate.rs
+++ b/src/policy/placement/estimate.rs
@@ -1,4 +1,4 @@
-use crate::policy::{Ask, UpstreamView};
+use crate::policy::{RequestNeeds, UpstreamView};
 
 /// What a request would meet on an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -15,7 +15,7 @@
 
 impl Estimate {
     /// Estimates from the last report, own newer dispatches counted in.
-    pub fn of(ask: &Ask, u: &UpstreamView) -> Self {
+    pub fn of(ask: &RequestNeeds, u: &UpstreamView) -> Self {
         let running = (u.running + u.unreported).min(u.slots.max(1));
         let queued = (u.running + u.waiting + u.unreported).saturating_sub(u.slots);
         let batch = f64::from((running + 1).min(u.slots.max(1)));
@@ -33,12 +33,12 @@
     }
 
     /// Returns whether both targets of the ask are met.
-    pub fn on_target(&self, ask: &Ask) -> bool {
+    pub fn on_target(&self, ask: &RequestNeeds) -> bool {
         self.first_token_ms <= ask.first_token_ms && self.between_tokens_ms <= ask.between_tokens_ms
     }
 
     /// Returns by how much the targets are missed, as a ratio; 0 if met.
-    pub fn miss(&self, ask: &Ask) -> f64 {
+    pub fn miss(&self, ask: &RequestNeeds) -> f64 {
         let first = self.first_token_ms / ask.first_token_ms.max(1.0);
         let between = self.between_tokens_ms / ask.between_tokens_ms.max(1.0);
         (first.max(1.0) - 1.0) + (between.max(1.0) - 1.0)
@@ -46,7 +46,7 @@
 }
 
 /// Returns the tokens that the upstream has to take in before the next one.
-pub fn uncached_tokens(ask: &Ask, u: &UpstreamView) -> f64 {
+pub fn uncached_tokens(ask: &RequestNeeds, u: &UpstreamView) -> f64 {
     let all = ask.prompt_tokens + ask.generated_tokens;
     f64::from(all.saturating_sub(u.cached_tokens))
 }
@@ -61,7 +61,7 @@
 }
 
 /// The chance of a reclaim during the stay, times the tokens lost by one.
-fn expected_recompute(ask: &Ask, u: &UpstreamView, stay_ms: f64) -> f64 {
+fn expected_recompute(ask: &RequestNeeds, u: &UpstreamView, stay_ms: f64) -> f64 {
     let chance = 1.0 - (-u.hazard_per_s * stay_ms / 1_000.0).exp();
     let prompt = f64::from(ask.prompt_tokens + ask.generated_tokens);
     chance * (prompt + f64::from(ask.expected_tokens) / 2.0)
--- a/src/policy/placement/naive.rs
+++ b/src/policy/placement/naive.rs
@@ -19,7 +19,7 @@
 
     fn choose(
         &self,
-        ask: &Ask,
+        ask: &RequestNeeds,
         upstreams: &[UpstreamView],
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
--- a/src/policy/placement/placement_policy.rs
+++ b/src/policy/placement/placement_policy.rs
@@ -47,7 +47,7 @@
 
 /// What a request asks of a place.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct RequestNeeds {
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
     /// Tokens generated so far by earlier attempts.
@@ -64,7 +64,7 @@
     pub exclude: BTreeSet<BoxId>,
 }
 
-impl Ask {
+impl RequestNeeds {
     /// Returns whether an upstream may be chosen at all.
     pub fn allows(&self, u: &UpstreamView) -> bool {
         let class = match self.class {
@@ -100,8 +100,12 @@
     fn name(&self) -> &'static str;
 
     /// Returns the index of the chosen upstream, or none if no one will do.
-    fn choose(&self, ask: &Ask, upstreams: &[UpstreamView], rng: &mut dyn RngCore)
-    -> Option<usize>;
+    fn choose(
+        &self,
+        ask: &RequestNeeds,
+        upstreams: &[UpstreamView],
+        rng: &mut dyn RngCore,
+    ) -> Option<usize>;
 
     /// Returns how the policy retries.
     fn retry_style(&self) -> RetryStyle {
@@ -142,7 +146,7 @@
 
 /// Returns the indexes of the upstreams that an ask allows and that are under
 /// their adaptive limit.
-pub fn candidates(ask: &Ask, upstreams: &[UpstreamView]) -> Vec<usize> {
+pub fn candidates(ask: &RequestNeeds, upstreams: &[UpstreamView]) -> Vec<usize> {
     let good = |u: &UpstreamView| ask.allows(u) && u.in_flight < u.limit;
     (0..upstreams.len())
         .filter(|i| good(&upstreams[*i]))
--- a/src/policy/placement/spill.rs
+++ b/src/policy/placement/spill.rs
@@ -29,7 +29,7 @@
         self.upstreams.iter().map(|u| u.slots).sum()
     }
 
-    fn best(&self, ask: &Ask) -> Option<Estimate> {
+    fn best(&self, ask: &RequestNeeds) -> Option<Estimate> {
         let allowed = self.upstreams.iter().filter(|u| ask.allows(u));
         let estimates = allowed.map(|u| Estimate::of(ask, u));
         estimates.min_by(|a, b| a.first_token_ms.total_cmp(&b.first_token_ms))
@@ -42,7 +42,7 @@
 /// Of several, one is drawn by its free slots: all daemons that see the same
 /// room would else fill the same domain at once.
 pub fn spill(
-    ask: &Ask,
+    ask: &RequestNeeds,
     here: &DomainUpstreams,
     waiting: u32,
     others: &[DomainUpstreams],
--- a/src/policy/reclaim/stream_moves.rs
+++ b/src/policy/reclaim/stream_moves.rs
@@ -6,7 +6,7 @@
     /// The request.
     pub request: RequestId,
     /// What it asks; `generated_tokens` is what its answer has so far.
-    pub ask: Ask,
+    pub ask: RequestNeeds,
     /// Bytes of its KV cache.
     pub kv_bytes: u64,
 }
