--- a/src/cluster/hubs/ask.rs
+++ b/src/cluster/hubs/ask.rs
@@ -15,7 +15,7 @@
     /// What it would take of a quota, if it is not let in yet.
     pub quota: Option<AskedQuota>,
     /// What has to be known to place it.
-    pub place: AskedPlace,
+    pub place: PlacementQuery,
 }
 
 /// What a request would take of a client account's quota.
@@ -31,7 +31,7 @@
 
 /// What has to be known of a request to place it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct AskedPlace {
+pub struct PlacementQuery {
     /// The service.
     pub service: String,
     /// Within how long an answer is wanted, in milliseconds.
--- a/src/cluster/hubs/hub_desk.rs
+++ b/src/cluster/hubs/hub_desk.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::BootInstant,
-        cluster::{Answer, Ask, AskedPlace, AskedQuota, Datagram, Verdict},
+        cluster::{Answer, Ask, AskedQuota, Datagram, PlacementQuery, Verdict},
         gateway::Gateway,
         policy::HubContact,
     },
@@ -70,7 +70,7 @@
         gateway: &Gateway,
         request: &str,
         quota: Option<AskedQuota>,
-        place: AskedPlace,
+        place: PlacementQuery,
     ) -> Option<HeardVerdict> {
         let hubs = self.hubs_to_ask(gateway);
         let (open, mut answers) = self.open();
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -1,7 +1,7 @@
 use {
     super::{Placement, *},
     crate::{
-        cluster::{AskedPlace, AskedQuota, HeardVerdict, Verdict},
+        cluster::{AskedQuota, HeardVerdict, PlacementQuery, Verdict},
         names::{FailureDomain, ServiceName, UpstreamId},
         policy::*,
         routing::AccountTerms,
@@ -102,7 +102,7 @@
         }
     }
 
-    fn asked_place(&self, context: &RequestContext, tried: &[UpstreamId]) -> AskedPlace {
+    fn asked_place(&self, context: &RequestContext, tried: &[UpstreamId]) -> PlacementQuery {
         let now_ms = self.steady_ms();
         let resting = self.resting().into_iter();
         let loads = self.loads.lock();
@@ -112,7 +112,7 @@
         let avoided = avoided.collect();
         drop(loads);
         let parts = context.prompt.parts.iter();
-        AskedPlace {
+        PlacementQuery {
             service: context.service.to_string(),
             target_ms: context.route.target_latency_ms,
             tokens_in: context.prompt.tokens_in,
--- a/src/gateway/prompt.rs
+++ b/src/gateway/prompt.rs
@@ -1,5 +1,6 @@
 use {
-    super::HeaderNames, crate::cluster::AskedPlace, http::HeaderMap, rapidhash::v3::rapidhash_v3,
+    super::HeaderNames, crate::cluster::PlacementQuery, http::HeaderMap,
+    rapidhash::v3::rapidhash_v3,
 };
 
 /// A part of a prompt that other prompts may share.
@@ -36,7 +37,7 @@
     }
 
     /// Takes over what another daemon says of its request.
-    pub fn from_ask(place: &AskedPlace) -> Self {
+    pub fn from_ask(place: &PlacementQuery) -> Self {
         let parts = place.parts.iter();
         Self {
             parts: parts
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -121,7 +121,7 @@
             cost: 1_460.0,
             patience_ms: 120,
         }),
-        place: AskedPlace {
+        place: PlacementQuery {
             service: "llm".into(),
             target_ms: 800,
             tokens_in: Some(1_460),
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -49,7 +49,7 @@
         id,
         request: "r".into(),
         quota: None,
-        place: AskedPlace {
+        place: PlacementQuery {
             service: "s".into(),
             target_ms: 100,
             tokens_in: Some(10),
