--- a/src/cluster/hubs/ask.rs
+++ b/src/cluster/hubs/ask.rs
@@ -13,14 +13,14 @@
     /// The client's id of the attempt, for logs.
     pub request: String,
     /// What it would take of a quota, if it is not let in yet.
-    pub quota: Option<AskedQuota>,
+    pub quota: Option<QuotaQuery>,
     /// What has to be known to place it.
     pub place: PlacementQuery,
 }
 
 /// What a request would take of a client account's quota.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct AskedQuota {
+pub struct QuotaQuery {
     /// The account.
     pub account: String,
     /// Units.
--- a/src/cluster/hubs/hub_desk.rs
+++ b/src/cluster/hubs/hub_desk.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::BootInstant,
-        cluster::{Answer, Ask, AskedQuota, Datagram, PlacementQuery, Verdict},
+        cluster::{Answer, Ask, Datagram, PlacementQuery, QuotaQuery, Verdict},
         gateway::Gateway,
         policy::HubContact,
     },
@@ -69,7 +69,7 @@
         &self,
         gateway: &Gateway,
         request: &str,
-        quota: Option<AskedQuota>,
+        quota: Option<QuotaQuery>,
         place: PlacementQuery,
     ) -> Option<HeardVerdict> {
         let hubs = self.hubs_to_ask(gateway);
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -1,7 +1,7 @@
 use {
     super::{Placement, *},
     crate::{
-        cluster::{AskedQuota, HeardVerdict, PlacementQuery, Verdict},
+        cluster::{HeardVerdict, PlacementQuery, QuotaQuery, Verdict},
         names::{FailureDomain, ServiceName, UpstreamId},
         policy::*,
         routing::AccountTerms,
@@ -66,7 +66,7 @@
             let mut lone = self.lone_quotas.lock();
             lone.note_demand(&account.name, cost, now_ms);
         }
-        let quota = limited.map(|account| AskedQuota {
+        let quota = limited.map(|account| QuotaQuery {
             account: account.name.to_string(),
             cost,
             patience_ms: patience.as_millis() as u32,
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -116,7 +116,7 @@
         life: 5,
         id: 300,
         request: "9c41d07be2a35f68".into(),
-        quota: Some(AskedQuota {
+        quota: Some(QuotaQuery {
             account: "t".into(),
             cost: 1_460.0,
             patience_ms: 120,
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -133,7 +133,7 @@
         for used in [5, 17, 30] {
             let mut asked = ask(used);
             asked.name = "m".into();
-            asked.quota = Some(AskedQuota {
+            asked.quota = Some(QuotaQuery {
                 account: format!("tenant-{used}"),
                 cost: 1.0,
                 patience_ms: 0,
@@ -164,7 +164,7 @@
     for used in 0..100 {
         let mut asked = ask(used);
         asked.name = "m".into();
-        asked.quota = Some(AskedQuota {
+        asked.quota = Some(QuotaQuery {
             account: format!("tenant-{used}"),
             cost: 1.0,
             patience_ms: 0,
