--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -15,7 +15,7 @@
 /// Answers a daemon's question for a permit.
 pub(in crate::cluster) fn answer_permit_ask(
     gateway: &Arc<Gateway>,
-    ask: PermitAsk,
+    ask: PermitQuery,
     from: SocketAddr,
 ) {
     let Some(limit) = ask.limit.known() else {
--- a/src/cluster/limits/permit_ask.rs
+++ b/src/cluster/limits/permit_ask.rs
@@ -6,7 +6,7 @@
 /// A daemon's question for a permit to send one request to an upstream that names a limit,
 /// to the daemon that issues these.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct PermitAsk {
+pub struct PermitQuery {
     /// Which life of the daemon asks.
     pub life: u64,
     /// The number of the question.
--- a/src/cluster/limits/permit_desk.rs
+++ b/src/cluster/limits/permit_desk.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::BootInstant,
-        cluster::{Extension, PermitAnswer, PermitAsk, ToldLimit},
+        cluster::{Extension, PermitAnswer, PermitQuery, ToldLimit},
         gateway::Gateway,
         policy::HubContact,
     },
@@ -52,7 +52,7 @@
     ) -> Option<PermitAnswer> {
         let (open, answer, patience) = self.open(issuer, gateway.steady_ms())?;
         let asked_at = BootInstant::now();
-        let ask = Extension::PermitAsk(PermitAsk {
+        let ask = Extension::PermitQuery(PermitQuery {
             life: gateway.incarnation,
             id: open.id,
             is_passed_on,
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -61,7 +61,7 @@
             }
             Extension::Limits(part) => hear_limits(gateway, &part),
             Extension::Leaving(part) => hear_leaving(gateway, &part),
-            Extension::PermitAsk(ask) => answer_permit_ask(gateway, ask, from),
+            Extension::PermitQuery(ask) => answer_permit_ask(gateway, ask, from),
             Extension::PermitAnswer(answer) => {
                 if answer.life == gateway.incarnation {
                     gateway.permit_desk.hear(answer);
--- a/src/cluster/messages/extension.rs
+++ b/src/cluster/messages/extension.rs
@@ -1,5 +1,5 @@
 use {
-    crate::cluster::{LeavingPart, LimitsPart, PermitAnswer, PermitAsk, RestsPart},
+    crate::cluster::{LeavingPart, LimitsPart, PermitAnswer, PermitQuery, RestsPart},
     bincode::{
         Decode, Encode, config, decode_from_slice, encode_into_std_write, error::EncodeError,
     },
@@ -34,7 +34,7 @@
     /// The sender tells of limits that upstreams name.
     Limits(LimitsPart),
     /// The sender asks for a permit.
-    PermitAsk(PermitAsk),
+    PermitQuery(PermitQuery),
     /// The sender answers such a question.
     PermitAnswer(PermitAnswer),
     /// The placement in the message has a permit, where its upstream names a limit.
@@ -55,7 +55,7 @@
         match self {
             Self::Level(level) => append(bytes, LEVEL, level),
             Self::Limits(part) => append(bytes, LIMITS, part),
-            Self::PermitAsk(ask) => append(bytes, PERMIT_ASK, ask),
+            Self::PermitQuery(ask) => append(bytes, PERMIT_ASK, ask),
             Self::PermitAnswer(answer) => append(bytes, PERMIT_ANSWER, answer),
             Self::HasPermit => append(bytes, HAS_PERMIT, &()),
             Self::Leaving(part) => append(bytes, LEAVING, part),
@@ -82,7 +82,7 @@
         match kind {
             LEVEL => read(body).map(Self::Level),
             LIMITS => read(body).map(Self::Limits),
-            PERMIT_ASK => read(body).map(Self::PermitAsk),
+            PERMIT_ASK => read(body).map(Self::PermitQuery),
             PERMIT_ANSWER => read(body).map(Self::PermitAnswer),
             HAS_PERMIT => Some(Self::HasPermit),
             LEAVING => read(body).map(Self::Leaving),
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -93,7 +93,7 @@
             among_hubs: true,
             limits: vec![told_limit(1)],
         }),
-        Extension::PermitAsk(PermitAsk {
+        Extension::PermitQuery(PermitQuery {
             life: u64::MAX,
             id: 7,
             is_passed_on: true,
