--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        cluster::{CONFIG_PATH, ConfigAnswer, ConfigAsk, FeedError, decode, encode},
+        cluster::{CONFIG_PATH, ConfigAnswer, ConfigQuery, FeedError, decode, encode},
         gateway::Gateway,
         http::HttpClient,
         policy::ConfigLack,
@@ -77,7 +77,7 @@
     client: &HttpClient,
     peer: SocketAddr,
 ) -> Result<ConfigAnswer, FeedError> {
-    let body = encode(&ConfigAsk {
+    let body = encode(&ConfigQuery {
         version: gateway.config_version(),
         address: gateway.settings.listen.peers,
     })?;
--- a/src/cluster/configs/config_message.rs
+++ b/src/cluster/configs/config_message.rs
@@ -10,7 +10,7 @@
 
 /// A daemon's question for a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ConfigAsk {
+pub struct ConfigQuery {
     /// The version that it has; only a later one is wanted.
     pub version: u64,
     /// Where it listens for other daemons.
--- a/src/cluster/configs/config_teller.rs
+++ b/src/cluster/configs/config_teller.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        cluster::{ConfigAnswer, ConfigAsk, FeedError, MAX_ASK_BYTES, decode, encode},
+        cluster::{ConfigAnswer, ConfigQuery, FeedError, MAX_ASK_BYTES, decode, encode},
         gateway::{AnswerBody, Gateway, own_answer, pieces_body},
         routing::{RoutingConfig, pack_config},
     },
@@ -55,7 +55,7 @@
         else {
             return own_answer(StatusCode::BAD_REQUEST, "expected a short question");
         };
-        let answer = match decode::<ConfigAsk>(&body.to_bytes()) {
+        let answer = match decode::<ConfigQuery>(&body.to_bytes()) {
             Ok(ask) => self.answer_ask(ask),
             Err(e) => return own_answer(StatusCode::BAD_REQUEST, &e.to_string()),
         };
@@ -65,7 +65,7 @@
         })
     }
 
-    fn answer_ask(&self, ask: ConfigAsk) -> Result<Response<AnswerBody>, FeedError> {
+    fn answer_ask(&self, ask: ConfigQuery) -> Result<Response<AnswerBody>, FeedError> {
         // Read before the configuration: a place that is too early only has a
         // version read once more, one that is too late would hide a version.
         let position = *self.gateway.config_position.lock();
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -289,8 +289,8 @@
 }
 
 /// Returns a question for a configuration.
-pub fn config_ask() -> ConfigAsk {
-    ConfigAsk {
+pub fn config_ask() -> ConfigQuery {
+    ConfigQuery {
         version: 40,
         address: address(3),
     }
