--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -186,7 +186,7 @@
         let known = self.known.filter(is_same);
         let (life, told) = known.map_or_else(Default::default, |k| (k.life, k.told));
         let newest_config = *self.gateway.newest_config.borrow();
-        let ask = FeedAsk {
+        let ask = FeedQuery {
             life,
             told,
             config_version: newest_config.max(self.gateway.config_version()),
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -26,7 +26,7 @@
 
 /// A daemon's question what has changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct FeedAsk {
+pub struct FeedQuery {
     /// The life of the daemon that told what is known.
     pub life: u64,
     /// What is known of its directory.
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -54,7 +54,7 @@
     async fn answer<T: Serialize>(
         &self,
         request: Request<Incoming>,
-        told: impl Fn(&Self, FeedAsk) -> Result<T, FeedError>,
+        told: impl Fn(&Self, FeedQuery) -> Result<T, FeedError>,
     ) -> Response<AnswerBody> {
         let Ok(body) = Limited::new(request.into_body(), MAX_ASK_BYTES)
             .collect()
@@ -62,7 +62,7 @@
         else {
             return own_answer(StatusCode::BAD_REQUEST, "expected a short question");
         };
-        let ask = match decode::<FeedAsk>(&body.to_bytes()) {
+        let ask = match decode::<FeedQuery>(&body.to_bytes()) {
             Ok(ask) => ask,
             Err(e) => return own_answer(StatusCode::BAD_REQUEST, &e.to_string()),
         };
@@ -79,7 +79,7 @@
         }
     }
 
-    async fn wait_for_news(&self, ask: FeedAsk) {
+    async fn wait_for_news(&self, ask: FeedQuery) {
         let gateway = &self.gateway;
         let mut news = gateway.news.subscribe();
         let is_new = |_: &u64| {
@@ -94,13 +94,13 @@
     }
 
     /// Returns what the asker knows of this life's directory.
-    fn known(&self, ask: FeedAsk) -> Option<ToldDirectory> {
+    fn known(&self, ask: FeedQuery) -> Option<ToldDirectory> {
         (ask.life == self.gateway.incarnation).then_some(ask.told)
     }
 
     /// Returns the version of the configuration in force, and the configuration if it is
     /// news and small.
-    fn config_for(&self, ask: FeedAsk) -> (u64, Option<RoutingConfig>) {
+    fn config_for(&self, ask: FeedQuery) -> (u64, Option<RoutingConfig>) {
         let table = self.gateway.table();
         let version = table.as_ref().map_or(0, |t| t.version());
         let newer = table.filter(|t| t.version() > ask.config_version);
@@ -108,7 +108,7 @@
         (version, newer.map(|t| t.config().as_ref().clone()))
     }
 
-    fn update_for(&self, ask: FeedAsk) -> Result<FeedUpdate, FeedError> {
+    fn update_for(&self, ask: FeedQuery) -> Result<FeedUpdate, FeedError> {
         let gateway = &self.gateway;
         // Read before the configuration: it may be too early, but not too late.
         let config_position = *gateway.config_position.lock();
@@ -148,7 +148,7 @@
         Ok((news.told, news.is_whole, packed))
     }
 
-    fn news_for(&self, ask: FeedAsk) -> Result<FeedNews, FeedError> {
+    fn news_for(&self, ask: FeedQuery) -> Result<FeedNews, FeedError> {
         let gateway = &self.gateway;
         let config_position = *gateway.config_position.lock();
         let (config_version, config) = self.config_for(ask);
--- a/tests/decisions/foreign_bytes.rs
+++ b/tests/decisions/foreign_bytes.rs
@@ -8,7 +8,7 @@
     bytes::Bytes,
     proptest::{prelude::*, test_runner::RngSeed},
     saddlepulley::{
-        cluster::{CrashesPart, Datagram, FeedAsk, FeedNews, FeedUpdate, Packet, decode},
+        cluster::{CrashesPart, Datagram, FeedNews, FeedQuery, FeedUpdate, Packet, decode},
         names::UpstreamId,
         platform::{
             KeyedRecord, config_from_record, read_answer, split_keyed, suspect_record,
@@ -102,7 +102,7 @@
         let _ = read_answer(&shared);
         let _ = split_keyed(&shared);
         let _ = Datagram::decode(&bytes);
-        let _ = decode::<FeedAsk>(&bytes);
+        let _ = decode::<FeedQuery>(&bytes);
         let _ = decode::<FeedNews>(&bytes);
         let _ = unpack_config(&bytes);
         if let Ok(update) = decode::<FeedUpdate>(&bytes) {
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -245,8 +245,8 @@
 // Until here.
 
 /// Returns a question for news.
-pub fn feed_ask() -> FeedAsk {
-    FeedAsk {
+pub fn feed_ask() -> FeedQuery {
+    FeedQuery {
         life: 5,
         told: ToldDirectory {
             revision: 41,
