--- a/src/policy/hubs/seed_pace.rs
+++ b/src/policy/hubs/seed_pace.rs
@@ -16,7 +16,7 @@
 
 /// A question to a seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SeedAsk {
+pub struct SeedQuery {
     /// Which of the seeds.
     pub seed: usize,
     /// How long until the same seed is asked again at the latest, in milliseconds.
@@ -35,12 +35,12 @@
 
     /// Returns what to ask now, if anything. `drawn` spreads the questions of daemons that
     /// started together.
-    pub fn ask(&mut self, seeds: usize, drawn: u64, now_ms: u64) -> Option<SeedAsk> {
+    pub fn ask(&mut self, seeds: usize, drawn: u64, now_ms: u64) -> Option<SeedQuery> {
         if now_ms < self.due_ms || seeds == 0 {
             return None;
         }
         let pauses = std::iter::successors(Some(self.pause_ms), |ms| Some(doubled(*ms)));
-        let ask = SeedAsk {
+        let ask = SeedQuery {
             seed: self.next % seeds,
             every_ms: pauses.take(seeds).sum(),
         };
