--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -206,7 +206,7 @@
         let Some(work) = self.spec.model() else {
             return Err(EngineError::CutOff);
         };
-        let ask = CompletionAsk {
+        let ask = CompletionRequest {
             request_id: self.spec.id.uuid(),
             attempt,
             prompt: &work.prompt,
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -235,7 +235,7 @@
 ) -> CallEnd {
     let mut splice = Splice::default();
     let attempt = splice.next_attempt();
-    let ask = CompletionAsk {
+    let ask = CompletionRequest {
         request_id: cell.id().uuid(),
         attempt,
         prompt: &work.prompt,
--- a/src/engine/engine_client.rs
+++ b/src/engine/engine_client.rs
@@ -14,8 +14,11 @@
     /// # Errors
     ///
     /// Returns how the call failed, and whether it can have run.
-    async fn complete(&self, at: SocketAddr, ask: CompletionAsk<'_>)
-    -> Result<Frames, EngineError>;
+    async fn complete(
+        &self,
+        at: SocketAddr,
+        ask: CompletionRequest<'_>,
+    ) -> Result<Frames, EngineError>;
 
     /// Ends a request.
     ///
--- a/src/engine/engine_http.rs
+++ b/src/engine/engine_http.rs
@@ -37,7 +37,7 @@
     async fn complete(
         &self,
         at: SocketAddr,
-        ask: CompletionAsk<'_>,
+        ask: CompletionRequest<'_>,
     ) -> Result<Frames, EngineError> {
         let body = serde_json::to_vec(&ask).unwrap_or_default();
         let req = request(
--- a/src/engine/engine_wire.rs
+++ b/src/engine/engine_wire.rs
@@ -6,7 +6,7 @@
 
 /// The body of an engine's `POST /v1/completions`.
 #[derive(Clone, Debug, Serialize)]
-pub struct CompletionAsk<'a> {
+pub struct CompletionRequest<'a> {
     /// The request.
     pub request_id: Uuid,
     /// The attempt.
--- a/standin/src/engine/batch.rs
+++ b/standin/src/engine/batch.rs
@@ -28,7 +28,7 @@
     pub fn add(
         &mut self,
         cfg: &EngineConfig,
-        ask: &CompletionAsk,
+        ask: &CompletionRequest,
         tx: UnboundedSender<CompletionFrame>,
     ) {
         for seq in self.all_mut() {
--- a/standin/src/engine/sequence.rs
+++ b/standin/src/engine/sequence.rs
@@ -57,7 +57,11 @@
     }
 
     /// Lets a new reader go on after `generated`, if that is what was made here.
-    pub fn resume(&mut self, ask: &CompletionAsk, tx: UnboundedSender<CompletionFrame>) -> bool {
+    pub fn resume(
+        &mut self,
+        ask: &CompletionRequest,
+        tx: UnboundedSender<CompletionFrame>,
+    ) -> bool {
         let Some(skip) = ask.generated.len().checked_sub(self.start) else {
             return false;
         };
--- a/standin/src/engine/service.rs
+++ b/standin/src/engine/service.rs
@@ -78,7 +78,7 @@
     }
 
     fn complete(&self, body: &Bytes) -> Response<Body> {
-        let ask = match serde_json::from_slice::<CompletionAsk>(body) {
+        let ask = match serde_json::from_slice::<CompletionRequest>(body) {
             Ok(ask) => ask,
             Err(e) => return text(StatusCode::BAD_REQUEST, &e.to_string()),
         };
--- a/standin/src/engine/wire.rs
+++ b/standin/src/engine/wire.rs
@@ -6,7 +6,7 @@
 
 /// The body of `POST /v1/completions`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct CompletionAsk {
+pub struct CompletionRequest {
     /// The request, for resume, cancel and export.
     pub request_id: Uuid,
     /// The attempt; it comes back in every frame.
