--- a/src/engine/engine_http.rs
+++ b/src/engine/engine_http.rs
@@ -79,7 +79,7 @@
         from: SocketAddr,
         request: Uuid,
     ) -> Result<(), EngineError> {
-        let ask = ImportAsk {
+        let ask = ImportRequest {
             request_id: request,
             from,
         };
--- a/src/engine/engine_wire.rs
+++ b/src/engine/engine_wire.rs
@@ -91,7 +91,7 @@
 
 /// The body of an engine's `POST /v1/kv/import`.
 #[derive(Clone, Debug, Serialize)]
-pub struct ImportAsk {
+pub struct ImportRequest {
     /// The request.
     pub request_id: Uuid,
     /// The engine that holds its KV cache.
--- a/standin/src/engine/service.rs
+++ b/standin/src/engine/service.rs
@@ -132,7 +132,7 @@
     }
 
     async fn import(&self, body: &Bytes) -> Response<Body> {
-        let Ok(ask) = serde_json::from_slice::<ImportAsk>(body) else {
+        let Ok(ask) = serde_json::from_slice::<ImportRequest>(body) else {
             return text(StatusCode::BAD_REQUEST, "expected request_id and from\n");
         };
         let Some(exported) = self.fetch_export(&ask).await else {
@@ -149,7 +149,7 @@
         json(StatusCode::OK, &exported)
     }
 
-    async fn fetch_export(&self, ask: &ImportAsk) -> Option<Exported> {
+    async fn fetch_export(&self, ask: &ImportRequest) -> Option<Exported> {
         let uri = format!("http://{}/v1/kv/export/{}", ask.from, ask.request_id);
         let req = Request::post(uri).body(Full::default()).ok()?;
         let rep = self.client.request(req).await.ok()?;
--- a/standin/src/engine/wire.rs
+++ b/standin/src/engine/wire.rs
@@ -87,7 +87,7 @@
 
 /// The body of `POST /v1/kv/import`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ImportAsk {
+pub struct ImportRequest {
     /// The request.
     pub request_id: Uuid,
     /// The engine that holds the KV cache.
