--- a/src/cluster/hubs/hub_desk.rs
+++ b/src/cluster/hubs/hub_desk.rs
@@ -33,13 +33,13 @@
     last_id: u64,
     /// Questions whose requests are not counted at an upstream yet.
     open: BTreeSet<u64>,
-    waiting: HashMap<u64, mpsc::UnboundedSender<HeardVerdict>>,
+    waiting: HashMap<u64, mpsc::UnboundedSender<ReceivedDecision>>,
     hubs: HashMap<SocketAddr, HubContact>,
 }
 
 /// What a hub decided, as this daemon heard it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeardVerdict {
+pub struct ReceivedDecision {
     /// What is to be done.
     pub verdict: Verdict,
     /// Whether the placement has a permit, where its upstream names a limit: hubs of earlier
@@ -71,7 +71,7 @@
         request: &str,
         quota: Option<QuotaQuery>,
         place: PlacementQuery,
-    ) -> Option<HeardVerdict> {
+    ) -> Option<ReceivedDecision> {
         let hubs = self.hubs_to_ask(gateway);
         let (open, mut answers) = self.open();
         let ask = Ask {
@@ -106,8 +106,8 @@
         gateway: &Gateway,
         hub: SocketAddr,
         ask: &Datagram,
-        answers: &mut mpsc::UnboundedReceiver<HeardVerdict>,
-    ) -> Option<HeardVerdict> {
+        answers: &mut mpsc::UnboundedReceiver<ReceivedDecision>,
+    ) -> Option<ReceivedDecision> {
         for time in 1..=ASKED_TIMES {
             let asked_at = BootInstant::now();
             gateway.send_datagram(ask, hub).await;
@@ -121,7 +121,7 @@
         None
     }
 
-    fn open(&self) -> (OpenAsk<'_>, mpsc::UnboundedReceiver<HeardVerdict>) {
+    fn open(&self) -> (OpenAsk<'_>, mpsc::UnboundedReceiver<ReceivedDecision>) {
         let (tx, rx) = mpsc::unbounded_channel();
         let mut state = self.state.lock();
         state.last_id += 1;
@@ -163,7 +163,7 @@
         if let Some(tx) = state.waiting.get(&answer.id) {
             let verdict = answer.verdict;
             // One that no longer waits has decided otherwise.
-            let _ = tx.send(HeardVerdict {
+            let _ = tx.send(ReceivedDecision {
                 verdict,
                 has_permit,
             });
@@ -205,8 +205,8 @@
 /// it holds the request.
 async fn decided_within(
     hold: Duration,
-    answers: &mut mpsc::UnboundedReceiver<HeardVerdict>,
-) -> Option<HeardVerdict> {
+    answers: &mut mpsc::UnboundedReceiver<ReceivedDecision>,
+) -> Option<ReceivedDecision> {
     let decided = async {
         loop {
             let heard = answers.recv().await?;
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -1,7 +1,7 @@
 use {
     super::{Placement, *},
     crate::{
-        cluster::{HeardVerdict, PlacementQuery, QuotaQuery, Verdict},
+        cluster::{PlacementQuery, QuotaQuery, ReceivedDecision, Verdict},
         names::{FailureDomain, ServiceName, UpstreamId},
         policy::*,
         routing::AccountTerms,
@@ -126,7 +126,7 @@
 
     /// Returns the placement that a hub decided on, if its upstream is known and
     /// ready here, too, and takes requests from this daemon.
-    fn asked_placement(&self, heard: &HeardVerdict, is_repeat: bool) -> Option<Placement> {
+    fn asked_placement(&self, heard: &ReceivedDecision, is_repeat: bool) -> Option<Placement> {
         let Verdict::Placed {
             upstream,
             unread_tokens,
