--- a/src/cluster/hubs/hub_desk.rs
+++ b/src/cluster/hubs/hub_desk.rs
@@ -24,7 +24,7 @@
 
 /// A daemon's questions to the hubs of its failure domain.
 #[derive(Debug, Default)]
-pub struct HubDesk {
+pub struct HubClient {
     state: Mutex<DeskState>,
 }
 
@@ -50,7 +50,7 @@
 /// A question that is open until its request is counted, or over.
 #[derive(Debug)]
 struct OpenAsk<'a> {
-    desk: &'a HubDesk,
+    desk: &'a HubClient,
     id: u64,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-impl HubDesk {
+impl HubClient {
     /// Asks the hubs whether a request may be let in and where it shall run;
     /// none if none of them answers in time.
     pub async fn ask(
