--- a/src/cluster/hubs/mod.rs
+++ b/src/cluster/hubs/mod.rs
@@ -6,7 +6,7 @@
 mod digest_teller;
 mod event_log;
 mod former_listeners;
-mod hub_desk;
+mod hub_client;
 mod loads_part;
 mod member_table;
 mod report;
@@ -14,7 +14,7 @@
 mod rests_part;
 
 pub use {
-    ask::*, digest::*, event_log::*, former_listeners::*, hub_desk::*, loads_part::*,
+    ask::*, digest::*, event_log::*, former_listeners::*, hub_client::*, loads_part::*,
     member_table::*, report::*, rests_part::*,
 };
 pub(super) use {ask_answers::*, digest_teller::*, report_teller::*};
--- a/src/cluster/hubs/report_teller.rs
+++ b/src/cluster/hubs/report_teller.rs
@@ -95,7 +95,7 @@
 
     async fn report(&mut self, asks_all: bool, is_woken: bool, now_ms: u64) {
         let gateway = &self.gateway;
-        let leans_on = gateway.hub_desk.leans_on(gateway);
+        let leans_on = gateway.hub_client.leans_on(gateway);
         let wants_all = asks_all || now_ms >= self.all_ms + ALL_EVERY_MS;
         if wants_all {
             self.all_ms = now_ms;
@@ -133,7 +133,7 @@
         packet = packet.with(Extension::Rests(rests));
     }
     gateway.send_packet(&packet, hub).await;
-    let counted = gateway.hub_desk.counted();
+    let counted = gateway.hub_client.counted();
     let loads = gateway.own_loads();
     let sequence = gateway.next_sequence();
     for part in loads_parts(gateway, &loads, sequence, counted) {
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -71,7 +71,7 @@
         }
     }
     let now_ms = gateway.steady_ms();
-    gateway.hub_desk.note_heard(from);
+    gateway.hub_client.note_heard(from);
     match packet.datagram {
         Datagram::Digest(digest) => {
             gateway.hear_rollouts(&digest.rollouts);
@@ -94,7 +94,7 @@
         Datagram::Ask(ask) => answer_ask(gateway, ask, from).await,
         Datagram::Answer(answer) => {
             if answer.life == gateway.incarnation {
-                gateway.hub_desk.hear(answer, has_permit);
+                gateway.hub_client.hear(answer, has_permit);
             }
         }
         Datagram::Crashes(part) => hear_crashes(gateway, &part),
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -76,7 +76,7 @@
     /// The daemons that report to this one.
     pub members: Mutex<MemberTable>,
     /// Questions to the hubs of the failure domain.
-    pub hub_desk: HubClient,
+    pub hub_client: HubClient,
     /// What happened to requests and hubs have not heard of.
     pub events: Mutex<EventLog>,
     /// What is let in while no hub answers.
@@ -172,7 +172,7 @@
             pool: Arc::default(),
             peers: Mutex::new(PeerTable::new(own)),
             members: Mutex::default(),
-            hub_desk: HubClient::default(),
+            hub_client: HubClient::default(),
             events: Mutex::default(),
             lone_quotas: Mutex::default(),
             usage_tellers: Mutex::default(),
