--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -19,7 +19,7 @@
 /// How often each is asked: a datagram may be lost.
 const ASKED_TIMES: u32 = 2;
 /// How much longer than its hold an answer may take that a hub holds back: it may have to
-/// ask others for a permit, for as long as [`PermitDesk`](crate::cluster::PermitDesk) waits at most.
+/// ask others for a permit, for as long as [`PermitClient`](crate::cluster::PermitDesk) waits at most.
 const HOLD_GRACE: Duration = Duration::from_millis(200);
 
 /// A daemon's questions to the hubs of its failure domain.
--- a/src/cluster/limits/permit_desk.rs
+++ b/src/cluster/limits/permit_desk.rs
@@ -16,7 +16,7 @@
 
 /// A daemon's questions for permits to send requests to upstreams that name a limit.
 #[derive(Debug, Default)]
-pub struct PermitDesk {
+pub struct PermitClient {
     state: Mutex<DeskState>,
 }
 
@@ -30,7 +30,7 @@
 /// A question that is open.
 #[derive(Debug)]
 struct OpenAsk<'a> {
-    desk: &'a PermitDesk,
+    desk: &'a PermitClient,
     id: u64,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-impl PermitDesk {
+impl PermitClient {
     /// Asks the daemon that issues permits for one; none if it doesn't answer in time,
     /// or did not lately.
     pub async fn ask(
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -4,7 +4,7 @@
         clock::BootInstant,
         cluster::{
             ControlTraffic, DaemonEntry, EventLog, HubClient, LeavingNews, LoneQuotas, MemberTable,
-            PeerTable, PermitDesk, SpokenVersions, UsageTeller, VersionBook,
+            PeerTable, PermitClient, SpokenVersions, UsageTeller, VersionBook,
         },
         conf::GatewaySettings,
         names::{FailureDomain, ServiceName, UpstreamId},
@@ -62,7 +62,7 @@
     /// Upstreams whose answers said that they leave, as far as others are to be told.
     pub leaving_news: Mutex<LeavingNews>,
     /// Questions for permits to send to them.
-    pub permit_desk: PermitDesk,
+    pub permit_desk: PermitClient,
     /// What was sent to other daemons beside requests.
     pub control: ControlTraffic,
     /// Which version of the messages other daemons speak.
@@ -165,7 +165,7 @@
             rests: Mutex::default(),
             told_rests: Mutex::default(),
             leaving_news: Mutex::default(),
-            permit_desk: PermitDesk::default(),
+            permit_desk: PermitClient::default(),
             control: ControlTraffic::default(),
             spoken: Mutex::default(),
             cut_offs: Mutex::default(),
