--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -3,8 +3,8 @@
 mod limit_teller;
 mod limits_part;
 mod permit_answers;
-mod permit_desk;
+mod permit_client;
 mod permit_query;
 
 pub(super) use {limit_teller::*, permit_answers::*};
-pub use {limits_part::*, permit_desk::*, permit_query::*};
+pub use {limits_part::*, permit_client::*, permit_query::*};
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -64,7 +64,7 @@
             Extension::PermitQuery(ask) => answer_permit_ask(gateway, ask, from),
             Extension::PermitAnswer(answer) => {
                 if answer.life == gateway.incarnation {
-                    gateway.permit_desk.hear(answer);
+                    gateway.permit_client.hear(answer);
                 }
             }
             Extension::Level(_) | Extension::HasPermit => {}
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -62,7 +62,7 @@
     /// Upstreams whose answers said that they leave, as far as others are to be told.
     pub leaving_news: Mutex<LeavingNews>,
     /// Questions for permits to send to them.
-    pub permit_desk: PermitClient,
+    pub permit_client: PermitClient,
     /// What was sent to other daemons beside requests.
     pub control: ControlTraffic,
     /// Which version of the messages other daemons speak.
@@ -165,7 +165,7 @@
             rests: Mutex::default(),
             told_rests: Mutex::default(),
             leaving_news: Mutex::default(),
-            permit_desk: PermitClient::default(),
+            permit_client: PermitClient::default(),
             control: ControlTraffic::default(),
             spoken: Mutex::default(),
             cut_offs: Mutex::default(),
@@ -295,7 +295,7 @@
         self.limits.lock().retain(is_known);
         self.tick_rests(is_known);
         let live: HashSet<_> = self.peers.lock().live_addresses().into_iter().collect();
-        self.permit_desk.retain(|address| live.contains(address));
+        self.permit_client.retain(|address| live.contains(address));
         self.caches.lock().retain(is_known, self.steady_ms());
     }
 }
