--- a/src/rollouts/judge.rs
+++ b/src/rollouts/judge.rs
@@ -21,7 +21,7 @@
 
 /// What is known of a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum Assessment {
     /// Too little.
     Unknown,
     /// Something speaks against it, but not enough.
@@ -56,20 +56,20 @@
     }
 
     /// Returns what is known.
-    pub fn judgement(&self) -> Judgement {
+    pub fn judgement(&self) -> Assessment {
         if self.worst().log_ratio() >= LOG_ALPHA {
-            return Judgement::Bad;
+            return Assessment::Bad;
         }
         if self.worst().log_ratio() >= LOG_STRONG_SUSPICION {
-            return Judgement::StronglySuspected;
+            return Assessment::StronglySuspected;
         }
         if self.worst().log_ratio() >= LOG_SUSPICION {
-            return Judgement::Suspected;
+            return Assessment::Suspected;
         }
         match self.all.answers {
-            n if n >= PROVED_ANSWERS => Judgement::Good,
-            n if n >= FIRST_ANSWERS => Judgement::SoFarGood,
-            _ => Judgement::Unknown,
+            n if n >= PROVED_ANSWERS => Assessment::Good,
+            n if n >= FIRST_ANSWERS => Assessment::SoFarGood,
+            _ => Assessment::Unknown,
         }
     }
 
--- a/src/rollouts/rollout_steps.rs
+++ b/src/rollouts/rollout_steps.rs
@@ -1,4 +1,4 @@
-use super::{Judgement, RolloutState};
+use super::{Assessment, RolloutState};
 
 /// The shares that follow the first one, each until a part of the time until the
 /// deadline. Late and fast: while a version may still turn out bad, it gets a small share;
@@ -36,7 +36,7 @@
     /// Requests that run or wait at upstreams of other versions.
     pub busy_others: u32,
     /// What is known of the new version.
-    pub judgement: Judgement,
+    pub judgement: Assessment,
 }
 
 /// The steps of one roll-out, as its leader takes them.
@@ -71,8 +71,8 @@
         self.has_seen_others |= view.other_slots > 0;
         let gets_most = self.share >= MOST;
         let is_bad = match view.judgement {
-            Judgement::Bad => true,
-            Judgement::StronglySuspected => gets_most,
+            Assessment::Bad => true,
+            Assessment::StronglySuspected => gets_most,
             _ => false,
         };
         if is_bad || !view.is_known {
@@ -93,10 +93,10 @@
         }
         self.share = self.next_share(view);
         let all_moved = self.share >= 1.0;
-        if all_moved && self.is_idle(view) && view.judgement == Judgement::Good {
+        if all_moved && self.is_idle(view) && view.judgement == Assessment::Good {
             return self.end(RolloutState::Completed);
         }
-        match (is_last, all_moved && view.judgement == Judgement::Good) {
+        match (is_last, all_moved && view.judgement == Assessment::Good) {
             (true, true) => self.end(RolloutState::Completed),
             (true, false) => self.end(RolloutState::RolledBack),
             (false, _) => RolloutState::InProgress,
@@ -108,10 +108,10 @@
         let planned = RISE.iter().find(|(until, _)| part < *until);
         let planned = planned.map_or(1.0, |(_, share)| *share);
         let first = self.most_unproved * FIRST_PART;
-        let is_first = part < FIRST_UNTIL || view.judgement == Judgement::Unknown;
+        let is_first = part < FIRST_UNTIL || view.judgement == Assessment::Unknown;
         let share = match view.judgement {
             _ if is_first => first,
-            Judgement::Suspected | Judgement::StronglySuspected => {
+            Assessment::Suspected | Assessment::StronglySuspected => {
                 // As much as a bad one may get: known soon, and within the bound.
                 planned.min(self.most_unproved)
             }
