--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -3,7 +3,7 @@
         cluster::{BackendError, StatusBoard, WriteOutcome},
         gateway::Gateway,
         names::now_ms,
-        rollouts::{Judge, Rollout, RolloutState, RolloutSteps, RolloutView},
+        rollouts::{Rollout, RolloutState, RolloutSteps, RolloutView, VersionEvaluator},
     },
     std::{
         collections::{HashMap, VecDeque},
@@ -16,7 +16,7 @@
 struct Led {
     order: u64,
     steps: RolloutSteps,
-    judge: Judge,
+    judge: VersionEvaluator,
 }
 
 /// Leads the roll-outs while this daemon holds the duties: judges, decides on the next
@@ -93,7 +93,7 @@
             let led = Led {
                 order: rollout.order,
                 steps: RolloutSteps::new(most_unproved, rollout.share),
-                judge: Judge::default(),
+                judge: VersionEvaluator::default(),
             };
             self.led.insert(rollout.service.clone(), led);
         }
@@ -175,7 +175,12 @@
     }
 }
 
-fn view_of(gateway: &Gateway, rollout: &Rollout, judge: &Judge, started_ms: u64) -> RolloutView {
+fn view_of(
+    gateway: &Gateway,
+    rollout: &Rollout,
+    judge: &VersionEvaluator,
+    started_ms: u64,
+) -> RolloutView {
     let (target_slots, other_slots) = gateway.version_slots(&rollout.service, &rollout.target);
     let service = rollout.service.as_str().into();
     let table = gateway.table();
--- a/src/rollouts/judge.rs
+++ b/src/rollouts/judge.rs
@@ -39,12 +39,12 @@
 /// Judges a new version by its answers, over all routes and for each of them: one may be
 /// bad on one route only.
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
+pub struct VersionEvaluator {
     all: Evidence,
     routes: HashMap<u32, Evidence>,
 }
 
-impl Judge {
+impl VersionEvaluator {
     /// Takes in the answers of a moment, by route.
     pub fn note(&mut self, batch: &[(u32, VersionCounts)]) {
         let mut sum = VersionCounts::default();
--- a/tests/decisions/rollouts.rs
+++ b/tests/decisions/rollouts.rs
@@ -102,7 +102,7 @@
 fn play(of: Behaviour, per_s: u64, trouble: f64, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut steps = RolloutSteps::new(CANARY_SHARE, 0.0);
-    let mut judge = Judge::default();
+    let mut judge = VersionEvaluator::default();
     let mut shares = vec![(0, 0.0_f32)];
     let mut state = RolloutState::InProgress;
     let mut outcome = Outcome {
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -113,7 +113,7 @@
     all
 }
 
-struct Judge<'a> {
+struct VersionEvaluator<'a> {
     world: &'a SoakWorld,
     seen: &'a Seen,
     runner: usize,
@@ -121,7 +121,7 @@
     arrived: Vec<(Run, usize)>,
 }
 
-impl<'a> Judge<'a> {
+impl<'a> VersionEvaluator<'a> {
     fn new(world: &'a SoakWorld, seen: &'a Seen, runner: usize) -> Self {
         let upstream = &world.runners[runner];
         let all = upstream.runs().into_iter().chain(upstream.turned_away());
@@ -186,7 +186,7 @@
     for (runner, said) in words.into_iter().enumerate() {
         let said = said.await.unwrap();
         let seen = seen.lock().unwrap();
-        let judge = Judge::new(&world, &seen, runner);
+        let judge = VersionEvaluator::new(&world, &seen, runner);
         for said in said {
             match said {
                 Said::Leaves { from, until } => {
