--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -16,7 +16,7 @@
 struct Led {
     order: u64,
     steps: RolloutSteps,
-    judge: VersionEvaluator,
+    evaluator: VersionEvaluator,
 }
 
 /// Leads the roll-outs while this daemon holds the duties: judges, decides on the next
@@ -93,7 +93,7 @@
             let led = Led {
                 order: rollout.order,
                 steps: RolloutSteps::new(most_unproved, rollout.share),
-                judge: VersionEvaluator::default(),
+                evaluator: VersionEvaluator::default(),
             };
             self.led.insert(rollout.service.clone(), led);
         }
@@ -104,12 +104,12 @@
             .version_book
             .lock()
             .take(&rollout.service, rollout.order);
-        led.judge.note(&batch);
+        led.evaluator.note(&batch);
         let started_ms = match rollout.started_ms {
             0 => now_ms(),
             started_ms => started_ms,
         };
-        let view = view_of(gateway, &rollout, &led.judge, started_ms);
+        let view = view_of(gateway, &rollout, &led.evaluator, started_ms);
         let state = led.steps.next(view);
         let share = led.steps.share();
         let is_step = state != rollout.state || share != rollout.share || rollout.fence != fence;
@@ -126,7 +126,7 @@
         if !is_step {
             return;
         }
-        let worst = led.judge.worst();
+        let worst = led.evaluator.worst();
         log::info!(
             target: "rollout",
             "step. service={} target={} state={} share={share} elapsed_ms={} deadline_ms={} judgement={:?} answers={} bad={} usual_rate={:.3} log_ratio={:.1} worst_answers={} worst_bad={} target_slots={} other_slots={} busy_others={}",
@@ -136,8 +136,8 @@
             view.elapsed_ms,
             view.deadline_ms,
             view.judgement,
-            led.judge.all().answers,
-            led.judge.all().bad,
+            led.evaluator.all().answers,
+            led.evaluator.all().bad,
             worst.usual_rate(),
             worst.log_ratio(),
             worst.answers,
@@ -178,7 +178,7 @@
 fn view_of(
     gateway: &Gateway,
     rollout: &Rollout,
-    judge: &VersionEvaluator,
+    evaluator: &VersionEvaluator,
     started_ms: u64,
 ) -> RolloutView {
     let (target_slots, other_slots) = gateway.version_slots(&rollout.service, &rollout.target);
@@ -191,6 +191,6 @@
         target_slots,
         other_slots,
         busy_others: gateway.busy_at_others(&rollout.service, &rollout.target),
-        judgement: judge.judgement(),
+        judgement: evaluator.judgement(),
     }
 }
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -5,8 +5,8 @@
 //! Everything here is pure: time is passed in, and nothing is sent. One daemon at a time
 //! leads a roll-out (`cluster/rollout_duty.rs`); all follow the share that it tells.
 
+mod evaluator;
 mod evidence;
-mod judge;
 mod outcome_meter;
 mod rollout;
 mod rollout_steps;
@@ -14,6 +14,6 @@
 mod version_counts;
 
 pub use {
-    evidence::*, judge::*, outcome_meter::*, rollout::*, rollout_steps::*, rollout_table::*,
+    evaluator::*, evidence::*, outcome_meter::*, rollout::*, rollout_steps::*, rollout_table::*,
     version_counts::*,
 };
--- a/tests/decisions/rollouts.rs
+++ b/tests/decisions/rollouts.rs
@@ -102,7 +102,7 @@
 fn play(of: Behaviour, per_s: u64, trouble: f64, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut steps = RolloutSteps::new(CANARY_SHARE, 0.0);
-    let mut judge = VersionEvaluator::default();
+    let mut evaluator = VersionEvaluator::default();
     let mut shares = vec![(0, 0.0_f32)];
     let mut state = RolloutState::InProgress;
     let mut outcome = Outcome {
@@ -144,7 +144,7 @@
             continue;
         }
         let batch: Vec<_> = (1..).zip(batch).collect();
-        judge.note(&batch);
+        evaluator.note(&batch);
         let is_there = now_ms >= BOOT_MS;
         state = steps.next(RolloutView {
             elapsed_ms: now_ms,
@@ -153,7 +153,7 @@
             target_slots: if is_there { 960 } else { 0 },
             other_slots: 960,
             busy_others: if share < 1.0 { 40 } else { 0 },
-            judgement: judge.judgement(),
+            judgement: evaluator.judgement(),
         });
         shares.push((now_ms, steps.share()));
         if state != RolloutState::InProgress {
