--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -59,7 +59,7 @@
 ///
 /// The answer carries only the sign of life and the table's place: facts travel
 /// on the links that each box opened itself, so that none is sent twice.
-pub fn take_news(world: &Arc<World>, news: News) -> News {
+pub fn take_news(world: &Arc<World>, news: HeartbeatPayload) -> HeartbeatPayload {
     world.links.heard(&news.from.id);
     let back_link = !knows(world, &news.from);
     take_facts(world, &news);
@@ -107,7 +107,7 @@
 
 /// Returns the news for one of so many links, and moves its place on; without
 /// links only the sign of life and the table's place.
-fn news_for(world: &World, told: &mut Told, links: Option<usize>) -> News {
+fn news_for(world: &World, told: &mut Told, links: Option<usize>) -> HeartbeatPayload {
     let mut facts = Vec::new();
     let mut loads = Vec::new();
     let boxes = world.boxes.read();
@@ -126,7 +126,7 @@
             .filter_map(|id| Some((id.clone(), stats.get(id)?.load.clone()?)))
             .collect();
     }
-    News {
+    HeartbeatPayload {
         from: own_fact(world, &boxes),
         table_folded_to: world.table_in_force().folded_to,
         facts,
@@ -166,7 +166,7 @@
     }
 }
 
-fn take_facts(world: &Arc<World>, news: &News) {
+fn take_facts(world: &Arc<World>, news: &HeartbeatPayload) {
     let mut facts = news.facts.clone();
     facts.push(news.from.clone());
     world.fold_facts(&facts);
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -18,7 +18,7 @@
         requests: Vec<RequestId>,
     },
     /// News, and a sign of life.
-    Heartbeat(News),
+    Heartbeat(HeartbeatPayload),
     /// Hold the copy of a request.
     Hold(Snapshot),
     /// Append to the copies that this box holds for an owner.
@@ -54,7 +54,7 @@
     /// What it is to each of the requests asked about.
     Ownership(Vec<Ownership>),
     /// News in return.
-    Heartbeat(News),
+    Heartbeat(HeartbeatPayload),
     /// How far each copy is.
     Replicated(Vec<Ack>),
     /// Where the request is, if it is known.
@@ -67,7 +67,7 @@
 
 /// What a heartbeat carries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct HeartbeatPayload {
     /// The sender.
     pub from: BoxFact,
     /// How far the sender has folded the table.
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -100,7 +100,7 @@
     /// A listing that is on its way to it.
     listing: Option<(Vec<Upstream>, usize)>,
     /// Another daemon's news that are on their way to it.
-    news: Option<(usize, News)>,
+    news: Option<(usize, HeartbeatPayload)>,
     /// Whose news it took in last, and what these told.
     known: Option<(usize, ToldDirectory)>,
     /// Whether it is of a build that goes by offsets.
@@ -108,7 +108,7 @@
 }
 
 #[derive(Debug)]
-enum News {
+enum HeartbeatPayload {
     /// As builds that go by offsets are told, and tell.
     Landed(DirectoryChanges),
     New(DirectoryNews),
@@ -166,8 +166,8 @@
         let known = known.map(|(_, told)| told);
         let theirs = &self.daemons[other].directory;
         let news = match self.daemons[own].is_landed || self.daemons[other].is_landed {
-            true => News::Landed(theirs.changes_since(known)),
-            false => News::New(theirs.news_since(known)),
+            true => HeartbeatPayload::Landed(theirs.changes_since(known)),
+            false => HeartbeatPayload::New(theirs.news_since(known)),
         };
         self.daemons[own].news = Some((other, news));
     }
@@ -176,11 +176,11 @@
         let daemon = &mut self.daemons[own];
         match daemon.news.take() {
             None => {}
-            Some((from, News::Landed(changes))) => {
+            Some((from, HeartbeatPayload::Landed(changes))) => {
                 daemon.known = Some((from, changes.told));
                 daemon.directory.apply(changes);
             }
-            Some((from, News::New(news))) => {
+            Some((from, HeartbeatPayload::New(news))) => {
                 daemon.known = Some((from, news.told));
                 daemon.directory.apply_news(news);
             }
