--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -223,18 +223,18 @@
 }
 
 /// Returns what this box tells of the table to a peer that has folded to `from`.
-pub fn table_news(world: &World, from: u64) -> TableNews {
+pub fn table_news(world: &World, from: u64) -> TableUpdate {
     if let Some(records) = world.table_records.lock().since(from) {
-        return TableNews::Records(records);
+        return TableUpdate::Records(records);
     }
     let whole = serde_json::to_string(&*world.table_in_force());
-    TableNews::Whole(whole.unwrap_or_default())
+    TableUpdate::Whole(whole.unwrap_or_default())
 }
 
-fn take_table(world: &Arc<World>, news: TableNews) {
+fn take_table(world: &Arc<World>, news: TableUpdate) {
     match news {
-        TableNews::Records(records) => fold_records(world, records),
-        TableNews::Whole(json) => {
+        TableUpdate::Records(records) => fold_records(world, records),
+        TableUpdate::Whole(json) => {
             let Ok(table) = serde_json::from_str::<Table>(&json) else {
                 return;
             };
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -60,7 +60,7 @@
     /// Where the request is, if it is known.
     Located(Option<Located>),
     /// The table's records or the whole of it.
-    Table(TableNews),
+    Table(TableUpdate),
     /// The log offset of an append; none if it may or may not be in the log.
     Appended(Option<u64>),
 }
@@ -171,7 +171,7 @@
 
 /// What a daemon tells of the table.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum TableNews {
+pub enum TableUpdate {
     /// The records that the asker lacks.
     Records(Vec<(u64, String)>),
     /// The whole table, as JSON.
