--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -6,7 +6,7 @@
         policy::SourceTries,
         rollouts::Rollout,
         routing::RoutingConfig,
-        upstreams::{DirectoryChanges, DirectoryNews, ToldDirectory},
+        upstreams::{DirectoryChanges, DirectoryUpdate, ToldDirectory},
     },
     bytes::Bytes,
     http::StatusCode,
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 enum HeardDirectory {
     Changes(DirectoryChanges),
-    News(DirectoryNews),
+    News(DirectoryUpdate),
 }
 
 impl HeardDirectory {
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -4,7 +4,7 @@
         names::UpstreamId,
         rollouts::Rollout,
         routing::{PackError, RoutingConfig, pack, unpack},
-        upstreams::{DirectoryChanges, DirectoryNews, PresentUpstream, ToldDirectory},
+        upstreams::{DirectoryChanges, DirectoryUpdate, PresentUpstream, ToldDirectory},
     },
     bytes::Bytes,
     displaydoc::Display,
@@ -116,9 +116,9 @@
     /// # Errors
     ///
     /// Returns what is wrong with the bytes.
-    pub fn directory(&self) -> Result<DirectoryNews, PackError> {
+    pub fn directory(&self) -> Result<DirectoryUpdate, PackError> {
         let (upstreams, gone) = unpack(&self.packed)?;
-        Ok(DirectoryNews {
+        Ok(DirectoryUpdate {
             told: self.told,
             is_whole: self.is_whole,
             upstreams,
--- a/src/upstreams/directory_news.rs
+++ b/src/upstreams/directory_news.rs
@@ -17,7 +17,7 @@
 /// What a daemon tells one that follows it. That an upstream still lives is no news: the
 /// follower keeps what it was told until it is told otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DirectoryNews {
+pub struct DirectoryUpdate {
     /// What is told with this.
     pub told: ToldDirectory,
     /// Whether these are all upstreams that there are, or only those that changed.
--- a/src/upstreams/followed_view.rs
+++ b/src/upstreams/followed_view.rs
@@ -1,5 +1,5 @@
 use {
-    super::DirectoryNews,
+    super::DirectoryUpdate,
     crate::names::{ServiceName, UpstreamId},
     std::collections::{HashMap, HashSet},
 };
@@ -29,7 +29,7 @@
     /// Takes in whom news tell of, beside those that are known.
     pub(super) fn take_in(
         &mut self,
-        news: &DirectoryNews,
+        news: &DirectoryUpdate,
         known: &HashMap<UpstreamId, ServiceName>,
     ) {
         if news.is_whole {
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        DirectoryChanges, DirectoryNews, DirectoryNotes, NewestLives, PresentUpstream,
+        DirectoryChanges, DirectoryNotes, DirectoryUpdate, NewestLives, PresentUpstream,
         ReadyUpstreams, ToldDirectory, Upstream, followed_view::FollowedView,
         gone_upstreams::GoneUpstreams, revision_index::RevisionIndex,
     },
@@ -309,7 +309,7 @@
 
     /// Returns what has changed since it was told last; everything, if that can't be
     /// told one by one.
-    pub fn news_since(&self, last: Option<ToldDirectory>) -> DirectoryNews {
+    pub fn news_since(&self, last: Option<ToldDirectory>) -> DirectoryUpdate {
         let (upstreams, gone) = match last.filter(|_| !self.is_told_whole(last)) {
             None => (self.all().map(|u| self.present(u)).collect(), Vec::new()),
             Some(last) => {
@@ -322,7 +322,7 @@
                 )
             }
         };
-        DirectoryNews {
+        DirectoryUpdate {
             told: self.told(),
             is_whole: self.is_told_whole(last),
             upstreams,
@@ -345,7 +345,7 @@
 
     /// Takes in news of the daemon that is followed, as of its position. What is known from
     /// elsewhere and should have been told by then is gone, too.
-    pub fn apply_news(&mut self, news: DirectoryNews) {
+    pub fn apply_news(&mut self, news: DirectoryUpdate) {
         let position = news.told.position;
         if position == 0 {
             let told = news.upstreams.into_iter();
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -8,7 +8,9 @@
     rand_chacha::ChaCha8Rng,
     saddlepulley::{
         names::{FailureDomain, ServiceName, UpstreamId},
-        upstreams::{DirectoryChanges, DirectoryNews, ToldDirectory, Upstream, UpstreamDirectory},
+        upstreams::{
+            DirectoryChanges, DirectoryUpdate, ToldDirectory, Upstream, UpstreamDirectory,
+        },
     },
     std::collections::BTreeMap,
 };
@@ -111,7 +113,7 @@
 enum HeartbeatPayload {
     /// As builds that go by offsets are told, and tell.
     Landed(DirectoryChanges),
-    New(DirectoryNews),
+    New(DirectoryUpdate),
 }
 
 struct World {
