--- a/src/upstreams/mod.rs
+++ b/src/upstreams/mod.rs
@@ -1,8 +1,8 @@
 //! Upstreams: which there are, how they fare, and connections to them.
 
 mod directory_changes;
-mod directory_news;
 mod directory_notes;
+mod directory_update;
 mod exchange;
 mod followed_view;
 mod gone_upstreams;
@@ -16,7 +16,7 @@
 mod upstream_pool;
 
 pub use {
-    directory_changes::*, directory_news::*, directory_notes::*, exchange::*, newest_lives::*,
+    directory_changes::*, directory_notes::*, directory_update::*, exchange::*, newest_lives::*,
     ready_upstreams::*, send_failure::*, upstream::*, upstream_directory::*, upstream_load::*,
     upstream_pool::*,
 };
