--- a/src/cluster/leaving/leaving_news.rs
+++ b/src/cluster/leaving/leaving_news.rs
@@ -6,7 +6,7 @@
 
 /// Upstreams that leave, as far as others are still to be told.
 #[derive(Debug, Default)]
-pub struct LeavingNews {
+pub struct LeavingQueue {
     due: BTreeMap<UpstreamId, Telling>,
 }
 
@@ -25,7 +25,7 @@
     pub members: Vec<UpstreamId>,
 }
 
-impl LeavingNews {
+impl LeavingQueue {
     /// Notes an upstream to tell others of: the daemons that report to this one, and hubs,
     /// unless a hub told it.
     pub fn note(&mut self, id: UpstreamId, tells_hubs: bool) {
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -3,8 +3,8 @@
     crate::{
         clock::BootInstant,
         cluster::{
-            ControlTraffic, DaemonEntry, EventLog, HubClient, LeavingNews, LoneQuotas, MemberTable,
-            PeerTable, PermitClient, SpokenVersions, UsageTeller, VersionBook,
+            ControlTraffic, DaemonEntry, EventLog, HubClient, LeavingQueue, LoneQuotas,
+            MemberTable, PeerTable, PermitClient, SpokenVersions, UsageTeller, VersionBook,
         },
         conf::GatewaySettings,
         names::{FailureDomain, ServiceName, UpstreamId},
@@ -60,7 +60,7 @@
     /// What upstreams want of this daemon and of those that it places for.
     pub told_rests: Mutex<ToldRests>,
     /// Upstreams whose answers said that they leave, as far as others are to be told.
-    pub leaving_news: Mutex<LeavingNews>,
+    pub leaving_news: Mutex<LeavingQueue>,
     /// Questions for permits to send to them.
     pub permit_client: PermitClient,
     /// What was sent to other daemons beside requests.
--- a/tests/decisions/leaving.rs
+++ b/tests/decisions/leaving.rs
@@ -1,7 +1,7 @@
 //! What daemons tell each other of upstreams that leave.
 
 use saddlepulley::{
-    cluster::{LeavingNews, LeavingToTell},
+    cluster::{LeavingQueue, LeavingToTell},
     names::UpstreamId,
 };
 
@@ -11,7 +11,7 @@
 
 #[test]
 fn news_of_one_that_leaves_are_lost_with_one_datagram_or_told_for_ever() {
-    let mut news = LeavingNews::default();
+    let mut news = LeavingQueue::default();
     news.note(id("a"), true);
     news.note(id("b"), false);
     for _ in 0..4 {
@@ -28,7 +28,7 @@
 
 #[test]
 fn many_that_leave_at_once_hide_some_of_them() {
-    let mut news = LeavingNews::default();
+    let mut news = LeavingQueue::default();
     for n in 0..100 {
         news.note(id(&format!("u{n}")), true);
     }
