--- a/src/cluster/leaving/leaving_teller.rs
+++ b/src/cluster/leaving/leaving_teller.rs
@@ -15,11 +15,11 @@
 pub(in crate::cluster) async fn tell_leaving(gateway: Arc<Gateway>) {
     loop {
         tokio::time::sleep(TELL_EVERY).await;
-        if gateway.leaving_news.lock().is_empty() {
+        if gateway.leaving_queue.lock().is_empty() {
             continue;
         }
         let (hubs, members) = gateway.hubs_and_members();
-        let told = gateway.leaving_news.lock().to_tell(MOST_TOLD);
+        let told = gateway.leaving_queue.lock().to_tell(MOST_TOLD);
         let is_hub = gateway.is_hub();
         send_leaving(&gateway, &told.hubs, is_hub, &hubs).await;
         send_leaving(&gateway, &told.members, is_hub, &members).await;
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -60,7 +60,7 @@
     /// What upstreams want of this daemon and of those that it places for.
     pub told_rests: Mutex<ToldRests>,
     /// Upstreams whose answers said that they leave, as far as others are to be told.
-    pub leaving_news: Mutex<LeavingQueue>,
+    pub leaving_queue: Mutex<LeavingQueue>,
     /// Questions for permits to send to them.
     pub permit_client: PermitClient,
     /// What was sent to other daemons beside requests.
@@ -164,7 +164,7 @@
             limits: Mutex::default(),
             rests: Mutex::default(),
             told_rests: Mutex::default(),
-            leaving_news: Mutex::default(),
+            leaving_queue: Mutex::default(),
             permit_client: PermitClient::default(),
             control: ControlTraffic::default(),
             spoken: Mutex::default(),
--- a/src/gateway/upstream_words.rs
+++ b/src/gateway/upstream_words.rs
@@ -48,7 +48,7 @@
             return;
         }
         if let Some(tells_hubs) = passes_on {
-            self.leaving_news.lock().note(id.clone(), tells_hubs);
+            self.leaving_queue.lock().note(id.clone(), tells_hubs);
         }
         if self.directory.read().is_left_until_its_end(id) {
             tokio::spawn(watch_for_end(self.clone(), id.clone()));
