--- a/src/cluster/hubs/digest_teller.rs
+++ b/src/cluster/hubs/digest_teller.rs
@@ -22,7 +22,7 @@
 pub(in crate::cluster) async fn tell_digests(gateway: Arc<Gateway>) {
     let mut sequence = 0;
     let mut listeners = FormerListeners::default();
-    let mut quota_news = QuotaNews::default();
+    let mut quota_news = QuotaAnnouncer::default();
     loop {
         sequence += 1;
         if gateway.tick_peers() {
@@ -42,7 +42,7 @@
 
 async fn tell_hubs(
     gateway: &Gateway,
-    quota_news: &mut QuotaNews,
+    quota_news: &mut QuotaAnnouncer,
     sequence: u64,
 ) -> BTreeSet<SocketAddr> {
     let own = gateway.settings.listen.peers;
--- a/src/cluster/quotas/quota_news.rs
+++ b/src/cluster/quotas/quota_news.rs
@@ -25,7 +25,7 @@
 /// rest by turns. What hubs tell then grows with the accounts in use, not with all that
 /// there are.
 #[derive(Debug, Default)]
-pub struct QuotaNews {
+pub struct QuotaAnnouncer {
     told: HashMap<String, Told>,
     listeners: BTreeSet<Listener>,
     /// How often all accounts are still to be told.
@@ -42,7 +42,7 @@
     times_left: u8,
 }
 
-impl QuotaNews {
+impl QuotaAnnouncer {
     /// Returns what to tell of all accounts to some listeners. One that listens anew is told
     /// of all of them.
     pub fn due(
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -5,7 +5,7 @@
     rand::{Rng, SeedableRng},
     rand_chacha::ChaCha8Rng,
     saddlepulley::{
-        cluster::{Listener, QuotaNews, ToldAccount},
+        cluster::{Listener, QuotaAnnouncer, ToldAccount},
         names::ClientAccount,
         policy::*,
         routing::AccountTerms,
@@ -43,7 +43,7 @@
 struct Fleet {
     terms: AccountTerms,
     books: Vec<QuotaBook>,
-    news: Vec<QuotaNews>,
+    news: Vec<QuotaAnnouncer>,
     lives: Vec<u64>,
     started_ms: Vec<u64>,
     heard: Vec<HashMap<usize, (u64, Vec<QuotaNotice>)>>,
@@ -59,7 +59,7 @@
         Self {
             terms: terms(),
             books: vec![QuotaBook::new(BOUNDS); daemons],
-            news: (0..daemons).map(|_| QuotaNews::default()).collect(),
+            news: (0..daemons).map(|_| QuotaAnnouncer::default()).collect(),
             lives: (0..daemons as u64).collect(),
             started_ms: vec![0; daemons],
             heard: vec![HashMap::new(); daemons],
@@ -72,7 +72,7 @@
 
     fn restart(&mut self, daemon: usize) {
         self.books[daemon] = QuotaBook::new(BOUNDS);
-        self.news[daemon] = QuotaNews::default();
+        self.news[daemon] = QuotaAnnouncer::default();
         self.lives[daemon] += 1_000;
         self.started_ms[daemon] = self.admitted.last().map_or(0, |(at, _)| *at);
         self.heard[daemon].clear();
@@ -315,7 +315,7 @@
     const TELLINGS: usize = 400;
     for accounts in [40, 333, 2_000] {
         let all: Vec<ToldAccount> = (0..accounts).map(told_account).collect();
-        let mut news = QuotaNews::default();
+        let mut news = QuotaAnnouncer::default();
         let listeners: BTreeSet<Listener> = (0..HUBS).map(|n| (address(n), 1)).collect();
         let mut told = HashMap::<String, usize>::new();
         let mut count = 0;
