--- a/src/cluster/hubs/digest_teller.rs
+++ b/src/cluster/hubs/digest_teller.rs
@@ -22,11 +22,11 @@
 pub(in crate::cluster) async fn tell_digests(gateway: Arc<Gateway>) {
     let mut sequence = 0;
     let mut listeners = FormerListeners::default();
-    let mut quota_news = QuotaAnnouncer::default();
+    let mut quota_announcer = QuotaAnnouncer::default();
     loop {
         sequence += 1;
         if gateway.tick_peers() {
-            let told = tell_hubs(&gateway, &mut quota_news, sequence).await;
+            let told = tell_hubs(&gateway, &mut quota_announcer, sequence).await;
             listeners.note_told(told);
         } else if let Some(told) = listeners.to_tell() {
             let digest = own_digest(&gateway, gateway.domain().as_str(), MEMBERS_EVERY_MS);
@@ -42,7 +42,7 @@
 
 async fn tell_hubs(
     gateway: &Gateway,
-    quota_news: &mut QuotaAnnouncer,
+    quota_announcer: &mut QuotaAnnouncer,
     sequence: u64,
 ) -> BTreeSet<SocketAddr> {
     let own = gateway.settings.listen.peers;
@@ -59,7 +59,7 @@
     let digest = own_digest(gateway, gateway.domain().as_str(), every_ms);
     let age_ms = gateway.hub_age_ms();
     let mut packets = vec![digest_packet(digest.clone())];
-    let quotas = in_parts(quota_news.due(gateway.tick_quotas(), listeners));
+    let quotas = in_parts(quota_announcer.due(gateway.tick_quotas(), listeners));
     let quotas = quotas_parts(gateway, quotas, sequence, age_ms);
     let loads = loads_parts(gateway, &gateway.led_loads(), sequence, 0);
     packets.extend(quotas.into_iter().chain(loads).map(Packet::from));
