--- a/src/cluster/feed/packed_news.rs
+++ b/src/cluster/feed/packed_news.rs
@@ -7,12 +7,12 @@
 /// News of a directory as they were packed at its newest revision, by the revision since
 /// which they tell; the whole directory since none.
 #[derive(Debug, Default)]
-pub struct PackedNews {
+pub struct PackedUpdates {
     revision: u64,
     packed: HashMap<Option<u64>, Bytes>,
 }
 
-impl PackedNews {
+impl PackedUpdates {
     /// Returns what was packed of a revision since an earlier one.
     pub fn get(&self, revision: u64, since: Option<u64>) -> Option<Bytes> {
         if revision != self.revision {
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PackedNews, messages::*},
+    super::{PackedUpdates, messages::*},
     crate::{
         cluster::{CONFIG_PATH, ConfigTeller, ControlKind},
         gateway::{AnswerBody, Gateway, own_answer, serve_plain, whole_body},
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 struct NewsTeller {
     gateway: Arc<Gateway>,
-    packed: Mutex<PackedNews>,
+    packed: Mutex<PackedUpdates>,
 }
 
 impl NewsTeller {
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -3,7 +3,7 @@
 use {
     bytes::Bytes,
     saddlepulley::{
-        cluster::{FeedUpdate, PackedNews, decode, encode, pack_upstreams},
+        cluster::{FeedUpdate, PackedUpdates, decode, encode, pack_upstreams},
         names::{FailureDomain, ServiceName, UpstreamId},
         upstreams::{Upstream, UpstreamDirectory},
     },
@@ -373,7 +373,7 @@
 #[test]
 fn news_are_packed_once_for_all_that_know_the_same() {
     const FOLLOWERS: u64 = 196;
-    let mut kept = PackedNews::default();
+    let mut kept = PackedUpdates::default();
     let mut packed_times = 0;
     let mut told = |revision: u64, since: Option<u64>| {
         let fresh = || {
