--- a/src/cluster/feed/mod.rs
+++ b/src/cluster/feed/mod.rs
@@ -3,8 +3,8 @@
 mod feed_forms;
 mod follower;
 mod messages;
-mod packed_news;
+mod packed_updates;
 mod state_source;
 mod teller;
 
-pub use {feed_forms::*, follower::*, messages::*, packed_news::*, state_source::*, teller::*};
+pub use {feed_forms::*, follower::*, messages::*, packed_updates::*, state_source::*, teller::*};
