--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -23,7 +23,7 @@
 /// Tells other daemons what this one knows.
 pub async fn serve_feed(listener: TcpListener, gateway: Arc<Gateway>) {
     let configs = Arc::new(ConfigTeller::new(gateway.clone()));
-    let news = Arc::new(NewsTeller {
+    let news = Arc::new(FeedServer {
         gateway,
         packed: Mutex::default(),
     });
@@ -31,8 +31,8 @@
         let (configs, news) = (configs.clone(), news.clone());
         async move {
             match request.uri().path() {
-                UPDATE_PATH => news.answer(request, NewsTeller::update_for).await,
-                NEWS_PATH => news.answer(request, NewsTeller::news_for).await,
+                UPDATE_PATH => news.answer(request, FeedServer::update_for).await,
+                NEWS_PATH => news.answer(request, FeedServer::news_for).await,
                 CONFIG_PATH => configs.answer(request).await,
                 _ => own_answer(StatusCode::NOT_FOUND, "no such path"),
             }
@@ -45,12 +45,12 @@
 /// the same: in a wave of upstreams that come or leave, packing would else take more time
 /// than all other work.
 #[derive(Debug)]
-struct NewsTeller {
+struct FeedServer {
     gateway: Arc<Gateway>,
     packed: Mutex<PackedUpdates>,
 }
 
-impl NewsTeller {
+impl FeedServer {
     async fn answer<T: Serialize>(
         &self,
         request: Request<Incoming>,
