--- a/src/cluster/configs/config_teller.rs
+++ b/src/cluster/configs/config_teller.rs
@@ -23,7 +23,7 @@
 
 /// Tells other daemons the configuration, a few at a time.
 #[derive(Debug)]
-pub struct ConfigTeller {
+pub struct ConfigServer {
     gateway: Arc<Gateway>,
     permits: Arc<Semaphore>,
     state: Mutex<Told>,
@@ -37,7 +37,7 @@
     to: VecDeque<SocketAddr>,
 }
 
-impl ConfigTeller {
+impl ConfigServer {
     /// Makes a teller of what is in force.
     pub fn new(gateway: Arc<Gateway>) -> Self {
         Self {
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -1,7 +1,7 @@
 use {
     super::{PackedUpdates, messages::*},
     crate::{
-        cluster::{CONFIG_PATH, ConfigTeller, ControlKind},
+        cluster::{CONFIG_PATH, ConfigServer, ControlKind},
         gateway::{AnswerBody, Gateway, own_answer, serve_plain, whole_body},
         routing::RoutingConfig,
         upstreams::ToldDirectory,
@@ -22,7 +22,7 @@
 
 /// Tells other daemons what this one knows.
 pub async fn serve_feed(listener: TcpListener, gateway: Arc<Gateway>) {
-    let configs = Arc::new(ConfigTeller::new(gateway.clone()));
+    let configs = Arc::new(ConfigServer::new(gateway.clone()));
     let news = Arc::new(FeedServer {
         gateway,
         packed: Mutex::default(),
