--- a/src/cluster/configs/mod.rs
+++ b/src/cluster/configs/mod.rs
@@ -2,6 +2,6 @@
 
 mod config_follower;
 mod config_message;
-mod config_teller;
+mod config_server;
 
-pub use {config_follower::*, config_message::*, config_teller::*};
+pub use {config_follower::*, config_message::*, config_server::*};
