--- a/src/cluster/usage/usage_teller.rs
+++ b/src/cluster/usage/usage_teller.rs
@@ -27,7 +27,7 @@
 
 /// What holders of the duties have heard of the counts of one life of a daemon.
 #[derive(Debug, Default)]
-pub struct UsageTeller {
+pub struct UsageAnnouncer {
     last_number: u64,
     holders: HashMap<(SocketAddr, u64), HolderView>,
 }
@@ -40,7 +40,7 @@
     sent: HashMap<u64, UsagePart>,
 }
 
-impl UsageTeller {
+impl UsageAnnouncer {
     /// Returns what to tell a holder: what it has not heard, in parts.
     pub fn parts(
         &mut self,
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -4,7 +4,7 @@
         clock::BootInstant,
         cluster::{
             ControlTraffic, DaemonEntry, EventLog, HubClient, LeavingQueue, LoneQuotas,
-            MemberTable, PeerTable, PermitClient, SpokenVersions, UsageTeller, VersionBook,
+            MemberTable, PeerTable, PermitClient, SpokenVersions, UsageAnnouncer, VersionBook,
         },
         conf::GatewaySettings,
         names::{FailureDomain, ServiceName, UpstreamId},
@@ -83,7 +83,7 @@
     pub lone_quotas: Mutex<LoneQuotas>,
     /// What those that are told usage have heard of the counts of daemons, by the life of
     /// each: of this one, and of others that it passes on.
-    pub usage_tellers: Mutex<HashMap<u64, UsageTeller>>,
+    pub usage_tellers: Mutex<HashMap<u64, UsageAnnouncer>>,
     /// Since when daemons are known to hold the duties or to watch who does, by their
     /// address and life.
     pub duty_daemons_since: Mutex<HashMap<(SocketAddr, u64), u64>>,
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -3,7 +3,7 @@
 use {
     crate::cluster_support::address,
     saddlepulley::{
-        cluster::{UsageHeard, UsagePart, UsageTeller},
+        cluster::{UsageAnnouncer, UsageHeard, UsagePart},
         names::ClientAccount,
         policy::UsageWindows,
     },
@@ -15,7 +15,7 @@
     let mut true_total = 0;
     for daemon in 0..300_usize {
         let mut own = UsageWindows::default();
-        let mut teller = UsageTeller::default();
+        let mut teller = UsageAnnouncer::default();
         for n in 0..60 {
             let account = ClientAccount::from(format!("tenant-{}", (daemon + n) % 40).as_str());
             own.note(7 + n as u64 % 2, &account);
@@ -56,7 +56,7 @@
 fn a_new_holder_of_the_duties_is_told_all_again() {
     let mut own = UsageWindows::default();
     own.note(7, &ClientAccount::from("t"));
-    let mut teller = UsageTeller::default();
+    let mut teller = UsageAnnouncer::default();
     let heard = |parts: &[UsagePart], life| UsageHeard {
         holder_life: life,
         life: 1,
@@ -86,7 +86,7 @@
     // The second holder is known since 4,000: what was heard later it has heard, too.
     assert_eq!(first_holder.heard(7, 4_000).len(), 1);
     for heard in first_holder.heard(7, 6_000) {
-        let mut teller = UsageTeller::default();
+        let mut teller = UsageAnnouncer::default();
         let daemon = (heard.name.as_str(), heard.life);
         let parts = teller.parts(daemon, (address(1), 6), &heard.windows, 0);
         for part in parts {
@@ -120,7 +120,7 @@
 fn what_was_heard_is_not_told_again_after_many_empty_windows() {
     let mut own = UsageWindows::default();
     own.note(7, &ClientAccount::from("t"));
-    let mut teller = UsageTeller::default();
+    let mut teller = UsageAnnouncer::default();
     let mut told = Vec::new();
     for window in 8..40 {
         for part in teller.parts(("n", 1), (address(0), 5), &own.newest(8), window) {
