--- a/src/cluster/messages/control_traffic.rs
+++ b/src/cluster/messages/control_traffic.rs
@@ -67,7 +67,7 @@
             Datagram::Loads(_) => Self::Loads,
             Datagram::Report(_) => Self::Report,
             Datagram::Ask(_) | Datagram::Answer(_) => Self::Ask,
-            Datagram::Usage(_) | Datagram::UsageHeard(_) => Self::Usage,
+            Datagram::Usage(_) | Datagram::UsageAck(_) => Self::Usage,
             Datagram::Versions(_) => Self::Versions,
             Datagram::Crashes(_) => Self::Crashes,
         }
--- a/src/cluster/messages/datagram.rs
+++ b/src/cluster/messages/datagram.rs
@@ -50,7 +50,7 @@
     /// A daemon tells the holder of the duties what began to run there.
     Usage(UsagePart),
     /// The holder has heard it.
-    UsageHeard(UsageHeard),
+    UsageAck(UsageAck),
     /// A daemon tells the leader of a roll-out how answers of both versions are.
     Versions(VersionsPart),
     /// A daemon tells of upstreams that ended under requests.
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -100,7 +100,7 @@
         Datagram::Crashes(part) => hear_crashes(gateway, &part),
         Datagram::Versions(part) => gateway.version_book.lock().hear(part),
         Datagram::Usage(part) => hear_usage(gateway, &part, from, now_ms).await,
-        Datagram::UsageHeard(heard) => {
+        Datagram::UsageAck(heard) => {
             let mut tellers = gateway.usage_tellers.lock();
             if let Some(teller) = tellers.get_mut(&heard.life) {
                 teller.hear(from, heard);
@@ -196,12 +196,12 @@
             usage.note_whole(&part.name, part.whole_before, now_ms);
         }
     }
-    let heard = UsageHeard {
+    let heard = UsageAck {
         holder_life: gateway.incarnation,
         life: part.life,
         number: part.number,
     };
     gateway
-        .send_datagram(&Datagram::UsageHeard(heard), from)
+        .send_datagram(&Datagram::UsageAck(heard), from)
         .await;
 }
--- a/src/cluster/usage/usage_part.rs
+++ b/src/cluster/usage/usage_part.rs
@@ -24,7 +24,7 @@
 
 /// The holder's word that it has heard a part.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
-pub struct UsageHeard {
+pub struct UsageAck {
     /// Which life of the holder.
     pub holder_life: u64,
     /// Which life of the daemon counted.
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -192,7 +192,7 @@
         window: 353_445_120,
         counts: vec![("t".into(), 412)],
     };
-    let heard = UsageHeard {
+    let heard = UsageAck {
         holder_life: 12,
         life: 5,
         number: 8,
@@ -218,7 +218,7 @@
         ("report", Datagram::Report(report())),
         ("ask", Datagram::Ask(ask())),
         ("usage", Datagram::Usage(usage)),
-        ("usage-heard", Datagram::UsageHeard(heard)),
+        ("usage-heard", Datagram::UsageAck(heard)),
         ("versions", Datagram::Versions(versions)),
         // From 7 on:
         ("crashes", Datagram::Crashes(crashes())),
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -3,7 +3,7 @@
 use {
     crate::cluster_support::address,
     saddlepulley::{
-        cluster::{UsageAnnouncer, UsageHeard, UsagePart},
+        cluster::{UsageAck, UsageAnnouncer, UsagePart},
         names::ClientAccount,
         policy::UsageWindows,
     },
@@ -37,7 +37,7 @@
                 holder.note_whole(&name, part.whole_before, 1_000);
                 teller.hear(
                     address(0),
-                    UsageHeard {
+                    UsageAck {
                         holder_life: 99,
                         life: 1,
                         number,
@@ -57,7 +57,7 @@
     let mut own = UsageWindows::default();
     own.note(7, &ClientAccount::from("t"));
     let mut teller = UsageAnnouncer::default();
-    let heard = |parts: &[UsagePart], life| UsageHeard {
+    let heard = |parts: &[UsagePart], life| UsageAck {
         holder_life: life,
         life: 1,
         number: parts[0].number,
@@ -99,7 +99,7 @@
             second_holder.merge(&part.name, part.life, &[(part.window, told.collect())]);
             teller.hear(
                 address(1),
-                UsageHeard {
+                UsageAck {
                     holder_life: 6,
                     life: part.life,
                     number: part.number,
@@ -124,7 +124,7 @@
     let mut told = Vec::new();
     for window in 8..40 {
         for part in teller.parts(("n", 1), (address(0), 5), &own.newest(8), window) {
-            let heard = UsageHeard {
+            let heard = UsageAck {
                 holder_life: 5,
                 life: 1,
                 number: part.number,
