--- a/src/cluster/usage/mod.rs
+++ b/src/cluster/usage/mod.rs
@@ -1,6 +1,6 @@
 //! How counts of requests reach the holder of the duties.
 
+mod usage_announcer;
 mod usage_part;
-mod usage_teller;
 
-pub use {usage_part::*, usage_teller::*};
+pub use {usage_announcer::*, usage_part::*};
