--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -101,7 +101,7 @@
         Datagram::Versions(part) => gateway.version_book.lock().hear(part),
         Datagram::Usage(part) => hear_usage(gateway, &part, from, now_ms).await,
         Datagram::UsageAck(heard) => {
-            let mut tellers = gateway.usage_tellers.lock();
+            let mut tellers = gateway.usage_announcers.lock();
             if let Some(teller) = tellers.get_mut(&heard.life) {
                 teller.hear(from, heard);
             }
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -83,7 +83,7 @@
     pub lone_quotas: Mutex<LoneQuotas>,
     /// What those that are told usage have heard of the counts of daemons, by the life of
     /// each: of this one, and of others that it passes on.
-    pub usage_tellers: Mutex<HashMap<u64, UsageAnnouncer>>,
+    pub usage_announcers: Mutex<HashMap<u64, UsageAnnouncer>>,
     /// Since when daemons are known to hold the duties or to watch who does, by their
     /// address and life.
     pub duty_daemons_since: Mutex<HashMap<(SocketAddr, u64), u64>>,
@@ -175,7 +175,7 @@
             hub_client: HubClient::default(),
             events: Mutex::default(),
             lone_quotas: Mutex::default(),
-            usage_tellers: Mutex::default(),
+            usage_announcers: Mutex::default(),
             duty_daemons_since: Mutex::default(),
             report_early: Notify::new(),
             usage: Mutex::default(),
