--- a/src/cluster/hubs/mod.rs
+++ b/src/cluster/hubs/mod.rs
@@ -3,7 +3,7 @@
 mod ask;
 mod ask_answers;
 mod digest;
-mod digest_teller;
+mod digest_announcer;
 mod event_log;
 mod former_listeners;
 mod hub_client;
@@ -17,4 +17,4 @@
     ask::*, digest::*, event_log::*, former_listeners::*, hub_client::*, loads_part::*,
     member_table::*, report::*, rests_part::*,
 };
-pub(super) use {ask_answers::*, digest_teller::*, report_teller::*};
+pub(super) use {ask_answers::*, digest_announcer::*, report_teller::*};
