--- a/src/cluster/hubs/mod.rs
+++ b/src/cluster/hubs/mod.rs
@@ -10,11 +10,11 @@
 mod loads_part;
 mod member_table;
 mod report;
-mod report_teller;
+mod report_announcer;
 mod rests_part;
 
 pub use {
     ask::*, digest::*, event_log::*, former_listeners::*, hub_client::*, loads_part::*,
     member_table::*, report::*, rests_part::*,
 };
-pub(super) use {ask_answers::*, digest_announcer::*, report_teller::*};
+pub(super) use {ask_answers::*, digest_announcer::*, report_announcer::*};
