--- a/src/cluster/crashes/mod.rs
+++ b/src/cluster/crashes/mod.rs
@@ -1,8 +1,8 @@
 //! Requests under which upstreams end: told to all, and kept on the platform.
 
-mod crash_teller;
+mod crash_announcer;
 mod crashes_part;
 mod quarantine_keeper;
 
-pub(super) use crash_teller::*;
+pub(super) use crash_announcer::*;
 pub use {crashes_part::*, quarantine_keeper::*};
