--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -1,10 +1,10 @@
 //! How much upstreams take that say so: told to all, and kept by permits.
 
-mod limit_teller;
+mod limit_announcer;
 mod limits_part;
 mod permit_answers;
 mod permit_client;
 mod permit_query;
 
-pub(super) use {limit_teller::*, permit_answers::*};
+pub(super) use {limit_announcer::*, permit_answers::*};
 pub use {limits_part::*, permit_client::*, permit_query::*};
