--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -6,7 +6,7 @@
         policy::SourceTries,
         rollouts::Rollout,
         routing::RoutingConfig,
-        upstreams::{DirectoryChanges, DirectoryUpdate, ToldDirectory},
+        upstreams::{DirectoryChanges, DirectoryCursor, DirectoryUpdate},
     },
     bytes::Bytes,
     http::StatusCode,
@@ -43,7 +43,7 @@
 struct Known {
     daemon: SocketAddr,
     life: u64,
-    told: ToldDirectory,
+    told: DirectoryCursor,
     /// Whether it tells changes without words that only say that an upstream lives.
     tells_updates: bool,
 }
@@ -67,7 +67,7 @@
 }
 
 impl HeardDirectory {
-    fn told(&self) -> ToldDirectory {
+    fn told(&self) -> DirectoryCursor {
         match self {
             Self::Changes(changes) => changes.told,
             Self::News(news) => news.told,
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -4,7 +4,7 @@
         names::UpstreamId,
         rollouts::Rollout,
         routing::{PackError, RoutingConfig, pack, unpack},
-        upstreams::{DirectoryChanges, DirectoryUpdate, PresentUpstream, ToldDirectory},
+        upstreams::{DirectoryChanges, DirectoryCursor, DirectoryUpdate, PresentUpstream},
     },
     bytes::Bytes,
     displaydoc::Display,
@@ -30,7 +30,7 @@
     /// The life of the daemon that told what is known.
     pub life: u64,
     /// What is known of its directory.
-    pub told: ToldDirectory,
+    pub told: DirectoryCursor,
     /// The version of the configuration that is known of.
     pub config_version: u64,
     /// How long to wait for news, in milliseconds.
@@ -90,7 +90,7 @@
     /// The newest roll-out of each service.
     pub rollouts: Vec<Rollout>,
     /// What is told of its directory.
-    pub told: ToldDirectory,
+    pub told: DirectoryCursor,
     /// Whether these are all upstreams that there are, or only those that changed.
     pub is_whole: bool,
     /// The upstreams, and the ids of those that are gone, packed: a whole directory is
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -4,7 +4,7 @@
         cluster::{CONFIG_PATH, ConfigServer, ControlKind},
         gateway::{AnswerBody, Gateway, own_answer, serve_plain, whole_body},
         routing::RoutingConfig,
-        upstreams::ToldDirectory,
+        upstreams::DirectoryCursor,
     },
     bytes::Bytes,
     http::{Request, Response, StatusCode},
@@ -94,7 +94,7 @@
     }
 
     /// Returns what the asker knows of this life's directory.
-    fn known(&self, ask: FeedQuery) -> Option<ToldDirectory> {
+    fn known(&self, ask: FeedQuery) -> Option<DirectoryCursor> {
         (ask.life == self.gateway.incarnation).then_some(ask.told)
     }
 
@@ -130,8 +130,8 @@
     /// Returns what is told of the directory, whether that is the whole, and its upstreams.
     fn packed_since(
         &self,
-        known: Option<ToldDirectory>,
-    ) -> Result<(ToldDirectory, bool, Bytes), FeedError> {
+        known: Option<DirectoryCursor>,
+    ) -> Result<(DirectoryCursor, bool, Bytes), FeedError> {
         let (told, is_whole) = {
             let directory = self.gateway.directory.read();
             (directory.told(), directory.is_told_whole(known))
--- a/src/upstreams/directory_changes.rs
+++ b/src/upstreams/directory_changes.rs
@@ -6,7 +6,7 @@
 
 /// What a daemon was told of another's directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldDirectory {
+pub struct DirectoryCursor {
     /// The revision that was told.
     pub revision: u64,
     /// The directory's position then.
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryChanges {
     /// What is told with this.
-    pub told: ToldDirectory,
+    pub told: DirectoryCursor,
     /// From this offset of the source on, up to the position, these are all upstreams
     /// that there are; 0 if it is the whole directory.
     pub all_since: u64,
--- a/src/upstreams/directory_update.rs
+++ b/src/upstreams/directory_update.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ToldDirectory, Upstream},
+    super::{DirectoryCursor, Upstream},
     crate::names::UpstreamId,
     serde::{Deserialize, Serialize},
 };
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryUpdate {
     /// What is told with this.
-    pub told: ToldDirectory,
+    pub told: DirectoryCursor,
     /// Whether these are all upstreams that there are, or only those that changed.
     pub is_whole: bool,
     /// Upstreams as they are now.
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        DirectoryChanges, DirectoryNotes, DirectoryUpdate, NewestLives, PresentUpstream,
-        ReadyUpstreams, ToldDirectory, Upstream, followed_view::FollowedView,
+        DirectoryChanges, DirectoryCursor, DirectoryNotes, DirectoryUpdate, NewestLives,
+        PresentUpstream, ReadyUpstreams, Upstream, followed_view::FollowedView,
         gone_upstreams::GoneUpstreams, revision_index::RevisionIndex,
     },
     crate::names::{ServiceName, UpstreamId},
@@ -309,7 +309,7 @@
 
     /// Returns what has changed since it was told last; everything, if that can't be
     /// told one by one.
-    pub fn news_since(&self, last: Option<ToldDirectory>) -> DirectoryUpdate {
+    pub fn news_since(&self, last: Option<DirectoryCursor>) -> DirectoryUpdate {
         let (upstreams, gone) = match last.filter(|_| !self.is_told_whole(last)) {
             None => (self.all().map(|u| self.present(u)).collect(), Vec::new()),
             Some(last) => {
@@ -331,13 +331,13 @@
     }
 
     /// Returns whether what has changed since it was told last can't be told one by one.
-    pub fn is_told_whole(&self, last: Option<ToldDirectory>) -> bool {
+    pub fn is_told_whole(&self, last: Option<DirectoryCursor>) -> bool {
         !last.is_some_and(|t| t.position > 0 && self.has_all_since(t.revision))
     }
 
     /// Returns what is told with the news of this moment.
-    pub fn told(&self) -> ToldDirectory {
-        ToldDirectory {
+    pub fn told(&self) -> DirectoryCursor {
+        DirectoryCursor {
             revision: self.revision,
             position: self.position,
         }
@@ -369,11 +369,11 @@
 
     /// Returns the same for a daemon of a build that goes by offsets: it is told of each
     /// word of an upstream, and takes those that it knows of and isn't told of for gone.
-    pub fn changes_since(&self, last: Option<ToldDirectory>) -> DirectoryChanges {
+    pub fn changes_since(&self, last: Option<DirectoryCursor>) -> DirectoryChanges {
         // Where words were passed over that only said that an upstream lives, it would take
         // live ones for gone.
         let can_tell =
-            |t: &ToldDirectory| self.has_all_since(t.revision) && self.exact_to >= t.position;
+            |t: &DirectoryCursor| self.has_all_since(t.revision) && self.exact_to >= t.position;
         let last = last.filter(can_tell).unwrap_or_default();
         let is_whole = last.position == 0;
         let position = match is_whole {
@@ -387,7 +387,7 @@
         };
         let gone = (!is_whole).then(|| self.gone.since(last.revision));
         DirectoryChanges {
-            told: ToldDirectory {
+            told: DirectoryCursor {
                 revision: self.revision,
                 position,
             },
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -9,7 +9,7 @@
     saddlepulley::{
         names::{FailureDomain, ServiceName, UpstreamId},
         upstreams::{
-            DirectoryChanges, DirectoryUpdate, ToldDirectory, Upstream, UpstreamDirectory,
+            DirectoryChanges, DirectoryCursor, DirectoryUpdate, Upstream, UpstreamDirectory,
         },
     },
     std::collections::BTreeMap,
@@ -104,7 +104,7 @@
     /// Another daemon's news that are on their way to it.
     news: Option<(usize, HeartbeatPayload)>,
     /// Whose news it took in last, and what these told.
-    known: Option<(usize, ToldDirectory)>,
+    known: Option<(usize, DirectoryCursor)>,
     /// Whether it is of a build that goes by offsets.
     is_landed: bool,
 }
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -8,7 +8,7 @@
         cluster::*,
         names::UpstreamId,
         rollouts::{AnswerCounts, Rollout, RolloutState, VersionCounts},
-        upstreams::{DirectoryChanges, ToldDirectory, Upstream},
+        upstreams::{DirectoryChanges, DirectoryCursor, Upstream},
     },
     std::net::SocketAddr,
 };
@@ -248,7 +248,7 @@
 pub fn feed_ask() -> FeedQuery {
     FeedQuery {
         life: 5,
-        told: ToldDirectory {
+        told: DirectoryCursor {
             revision: 41,
             position: 900,
         },
@@ -266,7 +266,7 @@
         config: None,
         config_position: Some(12),
         changes: DirectoryChanges {
-            told: ToldDirectory {
+            told: DirectoryCursor {
                 revision: 42,
                 position: 905,
             },
