--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -150,7 +150,7 @@
 
 fn quotas_parts(
     gateway: &Gateway,
-    parts: Vec<Vec<ToldAccount>>,
+    parts: Vec<Vec<AnnouncedAccount>>,
     sequence: u64,
     age_ms: u64,
 ) -> Vec<Datagram> {
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -148,11 +148,15 @@
 
     /// Returns what to tell a daemon of the client accounts: of those whose requests come to
     /// it each time, of the others by turns, as far as there is room.
-    pub fn quotas_for(&mut self, name: &str, all: Vec<ToldAccount>) -> Vec<Vec<ToldAccount>> {
+    pub fn quotas_for(
+        &mut self,
+        name: &str,
+        all: Vec<AnnouncedAccount>,
+    ) -> Vec<Vec<AnnouncedAccount>> {
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
-        let is_used = |told: &ToldAccount| member.accounts.contains_key(told.name.as_str());
+        let is_used = |told: &AnnouncedAccount| member.accounts.contains_key(told.name.as_str());
         let (mut told, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(is_used);
         let used = told.len();
         let begin = member.next_account.checked_rem(others.len()).unwrap_or(0);
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -46,7 +46,7 @@
     /// The newest digest.
     pub(super) digest: Digest,
     /// The accounts, as told last, and when that was: some are told more seldom.
-    pub(super) quotas: HashMap<ClientAccount, (ToldAccount, u64)>,
+    pub(super) quotas: HashMap<ClientAccount, (AnnouncedAccount, u64)>,
     quotas_sequence: u64,
     /// What it has at upstreams.
     pub(super) loads: ToldLoads,
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -122,7 +122,7 @@
         return;
     }
     let is_younger = part.age_ms <= gateway.hub_age_ms() + SAME_AGE_MS;
-    let notices: Vec<_> = part.quotas.iter().map(ToldAccount::notice).collect();
+    let notices: Vec<_> = part.quotas.iter().map(AnnouncedAccount::notice).collect();
     let mut quotas = gateway.quotas.lock();
     quotas.hear(&part.name, part.life, &notices, is_younger, now_ms);
 }
--- a/src/cluster/quotas/quota_announcer.rs
+++ b/src/cluster/quotas/quota_announcer.rs
@@ -1,5 +1,5 @@
 use {
-    crate::cluster::ToldAccount,
+    crate::cluster::AnnouncedAccount,
     std::{
         collections::{BTreeSet, HashMap},
         net::SocketAddr,
@@ -47,9 +47,9 @@
     /// of all of them.
     pub fn due(
         &mut self,
-        all: Vec<ToldAccount>,
+        all: Vec<AnnouncedAccount>,
         listeners: BTreeSet<Listener>,
-    ) -> Vec<ToldAccount> {
+    ) -> Vec<AnnouncedAccount> {
         if !listeners.is_subset(&self.listeners) {
             self.whole_left = WHOLE_TIMES;
         }
@@ -71,7 +71,7 @@
     }
 
     /// Returns whether something changed, and notes that it is told.
-    fn is_news(&mut self, account: &ToldAccount) -> bool {
+    fn is_news(&mut self, account: &AnnouncedAccount) -> bool {
         let (weight, admitted) = (account.weight, account.admitted);
         let fresh = Told {
             weight,
--- a/src/cluster/quotas/quotas_part.rs
+++ b/src/cluster/quotas/quotas_part.rs
@@ -17,12 +17,12 @@
     pub age_ms: u64,
     /// By account, the weight with which it asks for a part of the quota, what
     /// it has let in, what it sees left, and what all daemons asked for.
-    pub quotas: Vec<ToldAccount>,
+    pub quotas: Vec<AnnouncedAccount>,
 }
 
 /// What is told of one account.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ToldAccount {
+pub struct AnnouncedAccount {
     /// The account.
     pub name: String,
     /// The weight with which the daemon asks for a part of the quota.
@@ -35,7 +35,7 @@
     pub demand: f32,
 }
 
-impl ToldAccount {
+impl AnnouncedAccount {
     /// Makes what is told from a notice.
     pub fn of(notice: &QuotaNotice) -> Self {
         Self {
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -153,18 +153,22 @@
     }
 
     /// Brings the quotas up to date and returns what to tell of them.
-    pub fn tick_quotas(&self) -> Vec<ToldAccount> {
+    pub fn tick_quotas(&self) -> Vec<AnnouncedAccount> {
         let (accounts, daemons) = (self.account_terms(), self.daemons());
         let others = self.peers.lock().quota_daemons();
         let mut quotas = self.quotas.lock();
         let notices = quotas.tick(&accounts, &others, daemons, self.steady_ms());
-        notices.iter().map(ToldAccount::of).collect()
+        notices.iter().map(AnnouncedAccount::of).collect()
     }
 
     /// Returns what was told last of the quotas.
-    pub fn told_quotas(&self) -> Vec<ToldAccount> {
+    pub fn told_quotas(&self) -> Vec<AnnouncedAccount> {
         let quotas = self.quotas.lock();
-        quotas.last_notices().iter().map(ToldAccount::of).collect()
+        quotas
+            .last_notices()
+            .iter()
+            .map(AnnouncedAccount::of)
+            .collect()
     }
 
     /// Returns what this daemon has at upstreams.
--- a/tests/decisions/cluster_support.rs
+++ b/tests/decisions/cluster_support.rs
@@ -1,7 +1,7 @@
 //! Daemons of the routed path as others hear of them.
 
 use {
-    saddlepulley::cluster::{DaemonEntry, Digest, LoadsPart, ToldAccount, ToldLoad},
+    saddlepulley::cluster::{AnnouncedAccount, DaemonEntry, Digest, LoadsPart, ToldLoad},
     std::net::SocketAddr,
 };
 
@@ -29,8 +29,8 @@
 }
 
 /// What is told of an account.
-pub fn told_account(account: usize) -> ToldAccount {
-    ToldAccount {
+pub fn told_account(account: usize) -> AnnouncedAccount {
+    AnnouncedAccount {
         name: format!("tenant-{account}"),
         weight: 1e5,
         admitted: 1e9,
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -163,7 +163,7 @@
         life: u64::MAX,
         sequence: 70_000,
         age_ms: 90_000,
-        quotas: vec![ToldAccount {
+        quotas: vec![AnnouncedAccount {
             name: "t".into(),
             weight: 40.0,
             admitted: 9_000.25,
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -5,7 +5,7 @@
     rand::{Rng, SeedableRng},
     rand_chacha::ChaCha8Rng,
     saddlepulley::{
-        cluster::{Listener, QuotaAnnouncer, ToldAccount},
+        cluster::{AnnouncedAccount, Listener, QuotaAnnouncer},
         names::ClientAccount,
         policy::*,
         routing::AccountTerms,
@@ -98,9 +98,9 @@
             let notices =
                 self.books[from].tick(std::slice::from_ref(&self.terms), &others, daemons, now_ms);
             let listeners = self.listeners_of(from);
-            let told = notices.iter().map(ToldAccount::of).collect();
+            let told = notices.iter().map(AnnouncedAccount::of).collect();
             let told = self.news[from].due(told, listeners);
-            let notices: Vec<_> = told.iter().map(ToldAccount::notice).collect();
+            let notices: Vec<_> = told.iter().map(AnnouncedAccount::notice).collect();
             for to in (0..daemons).filter(|to| *to != from) {
                 if cut(from, now_ms) || cut(to, now_ms) {
                     continue;
@@ -314,7 +314,7 @@
     const IN_USE: usize = 20;
     const TELLINGS: usize = 400;
     for accounts in [40, 333, 2_000] {
-        let all: Vec<ToldAccount> = (0..accounts).map(told_account).collect();
+        let all: Vec<AnnouncedAccount> = (0..accounts).map(told_account).collect();
         let mut news = QuotaAnnouncer::default();
         let listeners: BTreeSet<Listener> = (0..HUBS).map(|n| (address(n), 1)).collect();
         let mut told = HashMap::<String, usize>::new();
