--- a/src/cluster/limits/limits_part.rs
+++ b/src/cluster/limits/limits_part.rs
@@ -13,12 +13,12 @@
     /// Whether a hub tells other hubs: these tell only those that report to them.
     pub among_hubs: bool,
     /// The limits.
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<AnnouncedLimit>,
 }
 
 /// What an upstream takes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ToldLimit {
+pub struct AnnouncedLimit {
     /// The upstream.
     pub upstream: String,
     /// Requests a second; none if it names no limit any more.
@@ -29,7 +29,7 @@
     pub age_ms: u32,
 }
 
-impl ToldLimit {
+impl AnnouncedLimit {
     /// Makes the message of what is known.
     pub fn of(known: &KnownLimit) -> Self {
         Self {
--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -7,7 +7,7 @@
 pub(in crate::cluster) fn hear_limits(gateway: &Gateway, part: &LimitsPart) {
     // A hub passes on what it hears: of hubs to those that report to it, of others to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
-    for told in part.limits.iter().filter_map(ToldLimit::known) {
+    for told in part.limits.iter().filter_map(AnnouncedLimit::known) {
         gateway.hear_limit(&told, passes_on);
     }
 }
@@ -38,7 +38,7 @@
             wait_ms: taken
                 .err()
                 .map_or(0, |ms| u32::try_from(ms).unwrap_or(u32::MAX)),
-            limit: known.as_ref().map(ToldLimit::of),
+            limit: known.as_ref().map(AnnouncedLimit::of),
         };
         let answer = Extension::PermitAnswer(answer);
         gateway.send_packet(&answer.into(), from).await;
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::BootInstant,
-        cluster::{Extension, PermitAnswer, PermitQuery, ToldLimit},
+        cluster::{AnnouncedLimit, Extension, PermitAnswer, PermitQuery},
         gateway::Gateway,
         policy::HubContact,
     },
@@ -47,7 +47,7 @@
         &self,
         gateway: &Gateway,
         issuer: SocketAddr,
-        limit: ToldLimit,
+        limit: AnnouncedLimit,
         is_passed_on: bool,
     ) -> Option<PermitAnswer> {
         let (open, answer, patience) = self.open(issuer, gateway.steady_ms())?;
--- a/src/cluster/limits/permit_query.rs
+++ b/src/cluster/limits/permit_query.rs
@@ -1,5 +1,5 @@
 use {
-    crate::cluster::ToldLimit,
+    crate::cluster::AnnouncedLimit,
     bincode::{Decode, Encode},
 };
 
@@ -14,7 +14,7 @@
     /// Whether it is passed on: then it is decided here, whoever issues permits.
     pub is_passed_on: bool,
     /// The limit, as the daemon knows it.
-    pub limit: ToldLimit,
+    pub limit: AnnouncedLimit,
 }
 
 /// The answer.
@@ -29,5 +29,5 @@
     /// If not, when to ask again, in milliseconds.
     pub wait_ms: u32,
     /// The limit, if the one who answers knows of any.
-    pub limit: Option<ToldLimit>,
+    pub limit: Option<AnnouncedLimit>,
 }
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -1,7 +1,7 @@
 use {
     super::{Gateway, LIMITED_ANSWERS, PERMITS, PlaceRequest, Placement},
     crate::{
-        cluster::{PermitIssuer, ToldLimit},
+        cluster::{AnnouncedLimit, PermitIssuer},
         names::{ServiceName, UpstreamId},
         policy::{KnownLimit, NamedLimit, PermitShare, RequestRate, name_hash},
         upstreams::Upstream,
@@ -115,11 +115,11 @@
         let taken = match self.permit_issuer(id) {
             PermitIssuer::Own => self.issue_permit(id),
             PermitIssuer::Other(issuer) => {
-                let limit = ToldLimit::of(&known);
+                let limit = AnnouncedLimit::of(&known);
                 let answer = self.permit_client.ask(self, issuer, limit, is_passed_on);
                 match answer.await {
                     Some(answer) => {
-                        let known = answer.limit.as_ref().and_then(ToldLimit::known);
+                        let known = answer.limit.as_ref().and_then(AnnouncedLimit::known);
                         if let Some(known) = known {
                             self.hear_limit(&known, None);
                         }
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -77,8 +77,8 @@
     assert!(!told.hear(loads_part(1, 0, 1, &["u1"])), "an older one");
 }
 
-fn told_limit(n: usize) -> ToldLimit {
-    ToldLimit {
+fn told_limit(n: usize) -> AnnouncedLimit {
+    AnnouncedLimit {
         upstream: format!("an-upstream-with-a-long-name-{n}~1764720000123"),
         per_s: Some(0.25),
         version: u64::MAX,
@@ -201,7 +201,7 @@
 #[test]
 fn a_told_rate_that_is_none_says_nothing() {
     for per_s in [f64::NAN, f64::INFINITY, -1.0] {
-        let told = ToldLimit {
+        let told = AnnouncedLimit {
             per_s: Some(per_s),
             ..told_limit(1)
         };
