--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -175,7 +175,7 @@
     sequence: u64,
     counted: u64,
 ) -> Vec<Datagram> {
-    let told = loads.iter().map(|(id, (active, tokens))| ToldLoad {
+    let told = loads.iter().map(|(id, (active, tokens))| AnnouncedLoad {
         upstream: id.to_string(),
         active: *active,
         waiting_tokens: u32::try_from(*tokens).unwrap_or(u32::MAX),
--- a/src/cluster/hubs/loads_part.rs
+++ b/src/cluster/hubs/loads_part.rs
@@ -7,7 +7,7 @@
 
 /// What a daemon has at one upstream.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ToldLoad {
+pub struct AnnouncedLoad {
     /// The upstream.
     pub upstream: String,
     /// Requests that are there.
@@ -33,7 +33,7 @@
     /// Each question up to this one is counted in, or over.
     pub counted: u64,
     /// What is at upstreams.
-    pub loads: Vec<ToldLoad>,
+    pub loads: Vec<AnnouncedLoad>,
 }
 
 /// Requests and waiting prompt tokens by upstream. Names of upstreams come from the
@@ -46,7 +46,7 @@
     life: u64,
     sequence: u64,
     /// Parts of a newer telling that is not whole yet.
-    pending: HashMap<u32, Vec<ToldLoad>>,
+    pending: HashMap<u32, Vec<AnnouncedLoad>>,
     pending_sequence: u64,
     /// Each question up to this one is counted in.
     pub counted: u64,
--- a/tests/decisions/cluster_support.rs
+++ b/tests/decisions/cluster_support.rs
@@ -1,7 +1,7 @@
 //! Daemons of the routed path as others hear of them.
 
 use {
-    saddlepulley::cluster::{AnnouncedAccount, DaemonEntry, Digest, LoadsPart, ToldLoad},
+    saddlepulley::cluster::{AnnouncedAccount, AnnouncedLoad, DaemonEntry, Digest, LoadsPart},
     std::net::SocketAddr,
 };
 
@@ -41,7 +41,7 @@
 
 /// A part of what a daemon has at upstreams, all of them alike.
 pub fn loads_part(sequence: u64, part: u32, parts: u32, upstreams: &[&str]) -> LoadsPart {
-    let loads = upstreams.iter().map(|id| ToldLoad {
+    let loads = upstreams.iter().map(|id| AnnouncedLoad {
         upstream: (*id).into(),
         active: 30,
         waiting_tokens: 500,
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -178,7 +178,7 @@
         part: 1,
         parts: 2,
         counted: 299,
-        loads: vec![ToldLoad {
+        loads: vec![AnnouncedLoad {
             upstream: "i-3".into(),
             active: 30,
             waiting_tokens: 70_000,
