--- a/src/cluster/hubs/loads_part.rs
+++ b/src/cluster/hubs/loads_part.rs
@@ -42,7 +42,7 @@
 
 /// The newest whole of what a daemon told of its loads.
 #[derive(Clone, Debug, Default)]
-pub struct ToldLoads {
+pub struct ReceivedLoads {
     life: u64,
     sequence: u64,
     /// Parts of a newer telling that is not whole yet.
@@ -54,7 +54,7 @@
     pub loads: Vec<(UpstreamId, u32, u64)>,
 }
 
-impl ToldLoads {
+impl ReceivedLoads {
     /// Takes in a part; returns whether a newer whole is known by it.
     pub fn hear(&mut self, part: LoadsPart) -> bool {
         if part.life != self.life {
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -27,7 +27,7 @@
     heard_ms: u64,
     /// Whether it lets its requests in through this daemon.
     leans: bool,
-    loads: ToldLoads,
+    loads: ReceivedLoads,
     /// When its loads were last told whole.
     loads_ms: u64,
     booked: Vec<Booking>,
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -49,7 +49,7 @@
     pub(super) quotas: HashMap<ClientAccount, (AnnouncedAccount, u64)>,
     quotas_sequence: u64,
     /// What it has at upstreams.
-    pub(super) loads: ToldLoads,
+    pub(super) loads: ReceivedLoads,
     /// When that was told whole last.
     pub(super) loads_ms: u64,
 }
@@ -97,7 +97,7 @@
                     digest,
                     quotas: HashMap::new(),
                     quotas_sequence: 0,
-                    loads: ToldLoads::default(),
+                    loads: ReceivedLoads::default(),
                     loads_ms: now_ms,
                 });
             }
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -67,7 +67,7 @@
 
 #[test]
 fn loads_change_once_all_of_their_parts_are_there() {
-    let mut told = ToldLoads::default();
+    let mut told = ReceivedLoads::default();
     assert!(told.hear(loads_part(1, 0, 1, &["u1", "u2"])));
     assert!(!told.hear(loads_part(2, 1, 2, &["u4"])));
     assert_eq!(told.loads.len(), 2, "the last whole counts");
