--- a/src/cluster/crashes/crashes_part.rs
+++ b/src/cluster/crashes/crashes_part.rs
@@ -13,12 +13,12 @@
     /// Whether a hub tells other hubs: these tell only those that report to them.
     pub among_hubs: bool,
     /// The ends.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<AnnouncedCrash>,
 }
 
 /// An upstream that ended under a request.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ToldEnd {
+pub struct AnnouncedCrash {
     /// The request's fingerprint.
     pub fingerprint: u128,
     /// The upstream.
@@ -31,7 +31,7 @@
     pub is_cleared: bool,
 }
 
-impl ToldEnd {
+impl AnnouncedCrash {
     /// Makes the message of what is known.
     pub fn of(known: &KnownEnd) -> Self {
         Self {
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn ends_of_upstreams_fit_whatever_their_names() {
-    let ends = (0..24).map(|n| ToldEnd {
+    let ends = (0..24).map(|n| AnnouncedCrash {
         fingerprint: u128::MAX - n,
         upstream: format!("an-upstream-with-a-long-name-{n}~1764720000123"),
         age_ms: u32::MAX,
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -230,7 +230,7 @@
 
 // From 7 on:
 fn crashes() -> CrashesPart {
-    let end = ToldEnd {
+    let end = AnnouncedCrash {
         fingerprint: u128::MAX,
         upstream: "i-1".into(),
         age_ms: 900,
