--- a/src/cluster/hubs/rests_part.rs
+++ b/src/cluster/hubs/rests_part.rs
@@ -8,19 +8,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RestsPart {
     /// The upstreams.
-    pub rests: Vec<ToldRest>,
+    pub rests: Vec<AnnouncedCooldown>,
 }
 
 /// How much rest an upstream wants of the daemon that tells it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ToldRest {
+pub struct AnnouncedCooldown {
     /// The upstream.
     pub upstream: String,
     /// How much is left, in milliseconds.
     pub left_ms: u32,
 }
 
-impl ToldRest {
+impl AnnouncedCooldown {
     /// Makes the message of what is known.
     pub fn of(id: &UpstreamId, left: Duration) -> Self {
         Self {
--- a/src/gateway/rest_state.rs
+++ b/src/gateway/rest_state.rs
@@ -1,7 +1,7 @@
 use {
     super::Gateway,
     crate::{
-        cluster::{RestsPart, ToldRest},
+        cluster::{AnnouncedCooldown, RestsPart},
         names::{BoxId, ServiceName, UpstreamId},
     },
     std::time::Duration,
@@ -54,10 +54,11 @@
     /// wants rest.
     pub fn rests_to_tell(&self) -> Option<RestsPart> {
         let now_ms = self.steady_ms();
-        let told: Vec<ToldRest> = {
+        let told: Vec<AnnouncedCooldown> = {
             let rests = self.rests.lock();
             let told = rests.resting(now_ms);
-            told.map(|(id, left)| ToldRest::of(id, left)).collect()
+            told.map(|(id, left)| AnnouncedCooldown::of(id, left))
+                .collect()
         };
         let rests = self.draw_some(told, MAX_TOLD);
         (!rests.is_empty()).then_some(RestsPart { rests })
