--- a/src/policy/rests/told_rests.rs
+++ b/src/policy/rests/told_rests.rs
@@ -11,11 +11,11 @@
 /// What upstreams want of a daemon, and of those that it places for, as these report it.
 /// Times are milliseconds of the daemon's steady clock.
 #[derive(Clone, Debug, Default)]
-pub struct ToldRests {
+pub struct ReportedCooldowns {
     by_daemon: HashMap<BoxId, RestBook>,
 }
 
-impl ToldRests {
+impl ReportedCooldowns {
     /// Takes in how much rest an upstream still wants of a daemon.
     pub fn hear(&mut self, daemon: &BoxId, id: &UpstreamId, left: Duration, now_ms: u64) {
         let book = self.by_daemon.entry(daemon.clone()).or_default();
--- a/tests/decisions/rests.rs
+++ b/tests/decisions/rests.rs
@@ -3,7 +3,7 @@
 use {
     saddlepulley::{
         names::{BoxId, UpstreamId},
-        policy::{RestBook, RestTime, ToldRests},
+        policy::{ReportedCooldowns, RestBook, RestTime},
     },
     std::time::Duration,
 };
@@ -72,7 +72,7 @@
 #[test]
 fn one_daemon_that_is_asked_for_rest_keeps_all_away() {
     let (one, other) = (BoxId::from("one"), BoxId::from("other"));
-    let mut told = ToldRests::default();
+    let mut told = ReportedCooldowns::default();
     told.hear(&one, &id("a"), seconds(3.0), 0);
     told.hear(&one, &id("a"), seconds(2.0), 100);
     assert!(told.asked_of_many(200).is_empty());
