--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -58,7 +58,7 @@
     /// Upstreams that want nothing from this daemon for a while.
     pub rests: Mutex<RestBook>,
     /// What upstreams want of this daemon and of those that it places for.
-    pub told_rests: Mutex<ReportedCooldowns>,
+    pub reported_cooldowns: Mutex<ReportedCooldowns>,
     /// Upstreams whose answers said that they leave, as far as others are to be told.
     pub leaving_queue: Mutex<LeavingQueue>,
     /// Questions for permits to send to them.
@@ -163,7 +163,7 @@
             loads: Mutex::default(),
             limits: Mutex::default(),
             rests: Mutex::default(),
-            told_rests: Mutex::default(),
+            reported_cooldowns: Mutex::default(),
             leaving_queue: Mutex::default(),
             permit_client: PermitClient::default(),
             control: ControlTraffic::default(),
--- a/src/gateway/rest_state.rs
+++ b/src/gateway/rest_state.rs
@@ -26,7 +26,7 @@
         let now_ms = self.steady_ms();
         self.rests.lock().note(id, rest, now_ms);
         let own = &self.settings.node.name;
-        self.told_rests.lock().hear(own, id, rest, now_ms);
+        self.reported_cooldowns.lock().hear(own, id, rest, now_ms);
         self.report_early.notify_one();
     }
 
@@ -47,7 +47,7 @@
     /// too, as long as there are others.
     pub(super) fn resting_for_many(&self) -> Vec<UpstreamId> {
         let now_ms = self.steady_ms();
-        self.told_rests.lock().asked_of_many(now_ms)
+        self.reported_cooldowns.lock().asked_of_many(now_ms)
     }
 
     /// Returns what to tell the hub that places for this daemon; nothing, if no upstream
@@ -68,7 +68,7 @@
     pub fn hear_rests(&self, daemon: &str, part: &RestsPart) {
         let now_ms = self.steady_ms();
         let daemon = BoxId::from(daemon);
-        let mut told = self.told_rests.lock();
+        let mut told = self.reported_cooldowns.lock();
         for rest in &part.rests {
             let id = UpstreamId::from(rest.upstream.as_str());
             told.hear(&daemon, &id, rest.left(), now_ms);
@@ -93,7 +93,7 @@
     /// Forgets rests that are over, and upstreams that are gone.
     pub(super) fn tick_rests(&self, is_known: impl Fn(&UpstreamId) -> bool) {
         let now_ms = self.steady_ms();
-        self.told_rests.lock().retain(&is_known, now_ms);
+        self.reported_cooldowns.lock().retain(&is_known, now_ms);
         self.rests.lock().retain(is_known, now_ms);
     }
 }
