--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -2,7 +2,7 @@
     super::{peer::Peer, peer_table::PeerTable},
     crate::{
         names::ClientAccount,
-        policy::{OtherDaemon, ToldQuota},
+        policy::{OtherDaemon, ReceivedQuota},
     },
     std::collections::HashMap,
 };
@@ -60,11 +60,11 @@
 
     /// Returns what this daemon was told of an account's quota by the hub that
     /// told it last.
-    pub fn told_quota(&self, account: &ClientAccount) -> Option<ToldQuota> {
+    pub fn told_quota(&self, account: &ClientAccount) -> Option<ReceivedQuota> {
         let hubs = self.told_hubs().filter_map(|p| p.as_hub());
         let told = hubs.filter_map(|hub| hub.quotas.get(account));
         let (told, at_ms) = told.max_by_key(|(_, at_ms)| *at_ms)?;
-        Some(ToldQuota {
+        Some(ReceivedQuota {
             level: f64::from(told.level),
             demand: f64::from(told.demand),
             at_ms: *at_ms,
--- a/src/cluster/quotas/lone_quotas.rs
+++ b/src/cluster/quotas/lone_quotas.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         names::ClientAccount,
-        policy::{DemandMeter, LoneQuota, QuotaLimit, ToldQuota},
+        policy::{DemandMeter, LoneQuota, QuotaLimit, ReceivedQuota},
     },
     std::{collections::HashMap, net::SocketAddr},
 };
@@ -26,8 +26,8 @@
 impl LoneAccount {
     /// Returns what is reckoned with where nothing was told: the daemon's even part of
     /// what is earned since it first decided by itself.
-    fn untold(&mut self, daemons: usize, now_ms: u64) -> ToldQuota {
-        ToldQuota {
+    fn untold(&mut self, daemons: usize, now_ms: u64) -> ReceivedQuota {
+        ReceivedQuota {
             level: 0.0,
             demand: self.demand.per_s(now_ms) * daemons as f64,
             at_ms: *self.untold_since_ms.get_or_insert(now_ms),
@@ -70,7 +70,7 @@
         &mut self,
         account: &ClientAccount,
         cost: f64,
-        told: Option<ToldQuota>,
+        told: Option<ReceivedQuota>,
         daemons: usize,
         limit: &QuotaLimit,
         now_ms: u64,
--- a/src/policy/quota/lone.rs
+++ b/src/policy/quota/lone.rs
@@ -2,7 +2,7 @@
 
 /// What a daemon that asks others was told of a client account's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldQuota {
+pub struct ReceivedQuota {
     /// What was left of it.
     pub level: f64,
     /// What all daemons asked for, in units a second.
@@ -26,7 +26,7 @@
         &mut self,
         cost: f64,
         own_demand: f64,
-        told: ToldQuota,
+        told: ReceivedQuota,
         limit: &QuotaLimit,
         now_ms: u64,
     ) -> bool {
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -7,7 +7,7 @@
     saddlepulley::{
         cluster::*,
         names::ClientAccount,
-        policy::{DaemonRank, HUBS_PER_DOMAIN, HubContact, LoneQuota, QuotaLimit, ToldQuota},
+        policy::{DaemonRank, HUBS_PER_DOMAIN, HubContact, LoneQuota, QuotaLimit, ReceivedQuota},
     },
     std::{
         collections::{BTreeMap, BTreeSet, HashSet},
@@ -275,7 +275,7 @@
         burst: 1_000.0,
         slack: 0.0,
     };
-    let told = ToldQuota {
+    let told = ReceivedQuota {
         level: 1_000.0,
         demand: 500.0,
         at_ms: 0,
@@ -299,7 +299,7 @@
         burst: 8_000.0,
         slack: 0.0,
     };
-    let told = |at_ms: u64| ToldQuota {
+    let told = |at_ms: u64| ReceivedQuota {
         level: 4_000.0,
         demand: 100.0,
         at_ms,
