--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -53,14 +53,14 @@
             .retain(|(address, life), _| *address != holder.0 || *life == holder.1);
         let view = self.holders.entry(holder).or_default();
         view.sent.clear();
-        let lacking: Vec<(u64, ToldCounts)> = own
+        let lacking: Vec<(u64, AnnouncedCounts)> = own
             .iter()
             .map(|(window, counts)| (*window, view.lacking(*window, counts)))
             .filter(|(_, counts)| !counts.is_empty())
             .collect();
         let whole_before = lacking.iter().map(|(w, _)| *w).min().unwrap_or(window);
         let whole_before = whole_before.min(window);
-        let mut split: Vec<(u64, ToldCounts)> = Vec::new();
+        let mut split: Vec<(u64, AnnouncedCounts)> = Vec::new();
         for (window, counts) in lacking {
             split.extend(in_parts(counts).into_iter().map(|part| (window, part)));
         }
@@ -107,7 +107,7 @@
 }
 
 impl HolderView {
-    fn lacking(&self, window: u64, counts: &AccountCounts) -> ToldCounts {
+    fn lacking(&self, window: u64, counts: &AccountCounts) -> AnnouncedCounts {
         let heard = self.heard.get(&window);
         let known = |name: &str| heard.and_then(|h| h.get(name)).copied().unwrap_or(0);
         let told = counts.iter().map(|(name, n)| (name.to_string(), *n as u32));
--- a/src/cluster/usage/usage_part.rs
+++ b/src/cluster/usage/usage_part.rs
@@ -1,7 +1,7 @@
 use bincode::{Decode, Encode};
 
 /// Counts of requests that began to run, by client account.
-pub type ToldCounts = Vec<(String, u32)>;
+pub type AnnouncedCounts = Vec<(String, u32)>;
 
 /// A part of what a daemon counted, for the holder of the duties. Counts only
 /// grow, so that parts may come twice and in any order.
@@ -19,7 +19,7 @@
     /// A window.
     pub window: u64,
     /// Its counts, or a part of them.
-    pub counts: ToldCounts,
+    pub counts: AnnouncedCounts,
 }
 
 /// The holder's word that it has heard a part.
