--- a/src/cli/rollout_command.rs
+++ b/src/cli/rollout_command.rs
@@ -1,6 +1,6 @@
 use {
     super::{CliError, explain::log_sources, finish},
-    crate::logs::{LogLine, ToldLine, read_lines, story_of},
+    crate::logs::{LogLine, SourcedLine, read_lines, story_of},
     pico_args::Arguments,
     serde_json::{Map, Value, json},
     std::{collections::BTreeMap, path::PathBuf},
@@ -26,12 +26,12 @@
 
 /// Prints the newest step of each service's roll-out.
 fn status(args: Arguments, as_json: bool) -> Result<(), CliError> {
-    let mut newest: BTreeMap<String, ToldLine> = BTreeMap::new();
+    let mut newest: BTreeMap<String, SourcedLine> = BTreeMap::new();
     for told in steps(args, |_| true)? {
         let service = told.line.value("service").unwrap_or_default().to_string();
         newest.insert(service, told);
     }
-    let newest: Vec<ToldLine> = newest.into_values().collect();
+    let newest: Vec<SourcedLine> = newest.into_values().collect();
     print_lines(&newest, as_json)
 }
 
@@ -45,7 +45,7 @@
 fn steps(
     mut args: Arguments,
     is_wanted: impl Fn(&LogLine) -> bool,
-) -> Result<Vec<ToldLine>, CliError> {
+) -> Result<Vec<SourcedLine>, CliError> {
     let mut files: Vec<PathBuf> = Vec::new();
     while let Some(file) = args.opt_free_from_str()? {
         files.push(file);
@@ -56,7 +56,7 @@
     Ok(read_lines(log_sources(&files)?, is_step)?)
 }
 
-fn print_lines(lines: &[ToldLine], as_json: bool) -> Result<(), CliError> {
+fn print_lines(lines: &[SourcedLine], as_json: bool) -> Result<(), CliError> {
     if lines.is_empty() {
         return Err(CliError::Failed(
             "no line tells of a step of a roll-out".into(),
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-fn step_as_json(told: &ToldLine) -> Value {
+fn step_as_json(told: &SourcedLine) -> Value {
     let fields = told.line.message.split_whitespace();
     let fields = fields.filter_map(|field| field.split_once('='));
     let mut step: Map<String, Value> = fields
--- a/src/logs/story.rs
+++ b/src/logs/story.rs
@@ -8,7 +8,7 @@
 
 /// A log line, and who wrote it.
 #[derive(Clone, Debug)]
-pub struct ToldLine {
+pub struct SourcedLine {
     /// The line.
     pub line: LogLine,
     /// The name of its source, or what a collector put before it.
@@ -26,7 +26,7 @@
 pub fn read_lines(
     sources: Vec<LogSource>,
     is_wanted: impl Fn(&LogLine) -> bool,
-) -> std::io::Result<Vec<ToldLine>> {
+) -> std::io::Result<Vec<SourcedLine>> {
     let mut lines = Vec::new();
     for (name, source) in sources {
         for text in source.lines() {
@@ -39,7 +39,7 @@
                 } else {
                     prefix
                 };
-                lines.push(ToldLine { line, source });
+                lines.push(SourcedLine { line, source });
             }
         }
     }
@@ -59,10 +59,10 @@
 }
 
 /// Writes lines with the times since the first one.
-pub fn story_of(lines: &[ToldLine]) -> String {
+pub fn story_of(lines: &[SourcedLine]) -> String {
     let mut story = String::new();
     let first_ms = lines.first().map_or(0, |told| told.line.time_ms);
-    for ToldLine { line, source } in lines {
+    for SourcedLine { line, source } in lines {
         let after_ms = line.time_ms - first_ms;
         let _ = writeln!(
             story,
