--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{cluster::*, gateway::Gateway, policy::KnownEnd},
+    crate::{cluster::*, gateway::Gateway, policy::KnownCrash},
     std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration},
 };
 
@@ -60,7 +60,7 @@
 
 async fn send_ends(
     gateway: &Gateway,
-    ends: &[KnownEnd],
+    ends: &[KnownCrash],
     among_hubs: bool,
     to: &BTreeSet<SocketAddr>,
 ) {
--- a/src/cluster/crashes/crashes_part.rs
+++ b/src/cluster/crashes/crashes_part.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         names::{RequestFingerprint, UpstreamId},
-        policy::KnownEnd,
+        policy::KnownCrash,
     },
     bincode::{Decode, Encode},
 };
@@ -33,7 +33,7 @@
 
 impl AnnouncedCrash {
     /// Makes the message of what is known.
-    pub fn of(known: &KnownEnd) -> Self {
+    pub fn of(known: &KnownCrash) -> Self {
         Self {
             fingerprint: known.fingerprint.number(),
             upstream: known.upstream.to_string(),
@@ -44,8 +44,8 @@
     }
 
     /// Returns what is known by the message.
-    pub fn known(&self) -> KnownEnd {
-        KnownEnd {
+    pub fn known(&self) -> KnownCrash {
+        KnownCrash {
             fingerprint: RequestFingerprint::from_number(self.fingerprint),
             upstream: UpstreamId::from(self.upstream.as_str()),
             age_ms: u64::from(self.age_ms),
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -2,7 +2,7 @@
     super::{Gateway, RequestContext, cut_offs::CutOff},
     crate::{
         names::{RequestFingerprint, UpstreamId},
-        policy::{KnownEnd, SuspectRecord},
+        policy::{KnownCrash, SuspectRecord},
     },
     http::StatusCode,
     rand::seq::IteratorRandom,
@@ -70,7 +70,7 @@
     }
 
     /// Takes in what another daemon told.
-    pub fn hear_end(&self, told: &KnownEnd, passes_on: Option<bool>) {
+    pub fn hear_end(&self, told: &KnownCrash, passes_on: Option<bool>) {
         let now_ms = self.steady_ms();
         let mut crashes = self.crashes.lock();
         let was_held = crashes.held_for(told.fingerprint, now_ms).is_some();
--- a/src/policy/quarantine/crash_book.rs
+++ b/src/policy/quarantine/crash_book.rs
@@ -22,7 +22,7 @@
 
 /// An upstream that ended under a request, as daemons tell each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KnownEnd {
+pub struct KnownCrash {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The upstream.
@@ -41,16 +41,16 @@
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The upstreams that ended under it; none if that is nothing to go by any more.
-    pub ends: Vec<KnownEnd>,
+    pub ends: Vec<KnownCrash>,
 }
 
 /// Ends to tell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EndsToTell {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
-    pub hubs: Vec<KnownEnd>,
+    pub hubs: Vec<KnownCrash>,
     /// The daemons that report to a hub.
-    pub members: Vec<KnownEnd>,
+    pub members: Vec<KnownCrash>,
 }
 
 /// The requests under which upstreams ended, by what this daemon saw and others told.
@@ -119,7 +119,7 @@
     /// Takes in what another daemon told; `passes_on` says whether this one tells other
     /// hubs (true), only those that report to it (false), or nobody. Returns whether it is
     /// news.
-    pub fn hear(&mut self, told: &KnownEnd, passes_on: Option<bool>, now_ms: u64) -> bool {
+    pub fn hear(&mut self, told: &KnownCrash, passes_on: Option<bool>, now_ms: u64) -> bool {
         let at_ms = now_ms.saturating_sub(told.age_ms);
         if now_ms >= at_ms + self.kept_ms() {
             return false;
@@ -234,7 +234,7 @@
 
     /// Returns the ends under requests that are held back, whether told before or not, at
     /// most some: the last ones first.
-    pub fn held_ends(&self, most: usize, now_ms: u64) -> Vec<KnownEnd> {
+    pub fn held_ends(&self, most: usize, now_ms: u64) -> Vec<KnownCrash> {
         let mut held = self.held(now_ms);
         held.sort_unstable_by_key(|f| std::cmp::Reverse(self.suspects[f].last_ms()));
         let ends = held.into_iter().flat_map(|fingerprint| {
@@ -317,8 +317,8 @@
     }
 }
 
-fn known_end(fingerprint: RequestFingerprint, end: &UpstreamEnd, now_ms: u64) -> KnownEnd {
-    KnownEnd {
+fn known_end(fingerprint: RequestFingerprint, end: &UpstreamEnd, now_ms: u64) -> KnownCrash {
+    KnownCrash {
         fingerprint,
         upstream: end.upstream.clone(),
         age_ms: now_ms.saturating_sub(end.at_ms),
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -5,7 +5,7 @@
     rand_chacha::ChaCha8Rng,
     saddlepulley::{
         names::{ClientAccount, RequestFingerprint, UpstreamId},
-        policy::{CrashBook, KnownEnd, QuarantineBounds},
+        policy::{CrashBook, KnownCrash, QuarantineBounds},
     },
     std::collections::{BTreeMap, HashSet},
 };
@@ -58,7 +58,7 @@
     let (mut book, poison) = (book(), request("p"));
     assert!(book.note_end(poison, &upstream(0), 0, 1_000));
     assert!(!book.note_end(poison, &upstream(0), 0, 1_300));
-    let told = KnownEnd {
+    let told = KnownCrash {
         fingerprint: poison,
         upstream: upstream(0),
         age_ms: 900,
@@ -202,7 +202,7 @@
 
 /// A daemon of the simulation: what it knows, and what is on its way to it.
 #[derive(Default)]
-struct Mailbox(BTreeMap<(u64, u64), KnownEnd>);
+struct Mailbox(BTreeMap<(u64, u64), KnownCrash>);
 
 const DAEMONS: usize = 6;
 const UPSTREAMS: u64 = 16;
