--- a/src/policy/quarantine/crash_book.rs
+++ b/src/policy/quarantine/crash_book.rs
@@ -46,7 +46,7 @@
 
 /// Ends to tell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EndsToTell {
+pub struct CrashesToAnnounce {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
     pub hubs: Vec<KnownCrash>,
     /// The daemons that report to a hub.
@@ -204,7 +204,7 @@
 
     /// Returns what to tell next, at most some ends: first of requests under which most
     /// upstreams ended.
-    pub fn to_tell(&mut self, most: usize, now_ms: u64) -> EndsToTell {
+    pub fn to_tell(&mut self, most: usize, now_ms: u64) -> CrashesToAnnounce {
         let mut due: Vec<(usize, u64, RequestFingerprint)> = self
             .suspects
             .iter()
@@ -212,7 +212,7 @@
             .map(|(fingerprint, suspect)| (suspect.count(), suspect.last_ms(), *fingerprint))
             .collect();
         due.sort_unstable_by(|a, b| b.cmp(a));
-        let mut told = EndsToTell::default();
+        let mut told = CrashesToAnnounce::default();
         for (.., fingerprint) in due {
             let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
                 continue;
