--- a/src/policy/limits/known_limit.rs
+++ b/src/policy/limits/known_limit.rs
@@ -24,7 +24,7 @@
 
 /// Limits to tell.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LimitsToTell {
+pub struct LimitsToAnnounce {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
     pub hubs: Vec<KnownLimit>,
     /// The daemons that report to a hub.
--- a/src/policy/limits/limit_book.rs
+++ b/src/policy/limits/limit_book.rs
@@ -209,8 +209,8 @@
     }
 
     /// Returns the news to tell next, at most some.
-    pub fn to_tell(&mut self, most: usize, now_ms: u64) -> LimitsToTell {
-        let mut told = LimitsToTell::default();
+    pub fn to_tell(&mut self, most: usize, now_ms: u64) -> LimitsToAnnounce {
+        let mut told = LimitsToAnnounce::default();
         let due = self.upstreams.iter_mut().filter(|(_, e)| e.tellings > 0);
         for (id, entry) in due.take(most) {
             entry.tellings -= 1;
