--- a/src/cluster/leaving/leaving_queue.rs
+++ b/src/cluster/leaving/leaving_queue.rs
@@ -18,7 +18,7 @@
 
 /// Upstreams that leave, to tell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LeavingToTell {
+pub struct LeavingToAnnounce {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
     pub hubs: Vec<UpstreamId>,
     /// The daemons that report to a hub.
@@ -34,8 +34,8 @@
     }
 
     /// Returns the news to tell next, at most some: first those that were told least.
-    pub fn to_tell(&mut self, most: usize) -> LeavingToTell {
-        let mut told = LeavingToTell::default();
+    pub fn to_tell(&mut self, most: usize) -> LeavingToAnnounce {
+        let mut told = LeavingToAnnounce::default();
         let mut due: Vec<_> = self.due.iter_mut().collect();
         due.sort_by_key(|(_, telling)| std::cmp::Reverse(telling.left));
         for (id, telling) in due.into_iter().take(most) {
--- a/tests/decisions/leaving.rs
+++ b/tests/decisions/leaving.rs
@@ -1,7 +1,7 @@
 //! What daemons tell each other of upstreams that leave.
 
 use saddlepulley::{
-    cluster::{LeavingQueue, LeavingToTell},
+    cluster::{LeavingQueue, LeavingToAnnounce},
     names::UpstreamId,
 };
 
@@ -16,14 +16,14 @@
     news.note(id("b"), false);
     for _ in 0..4 {
         assert!(!news.is_empty());
-        let told = LeavingToTell {
+        let told = LeavingToAnnounce {
             hubs: vec![id("a")],
             members: vec![id("a"), id("b")],
         };
         assert_eq!(news.to_tell(9), told);
     }
     assert!(news.is_empty());
-    assert_eq!(news.to_tell(9), LeavingToTell::default());
+    assert_eq!(news.to_tell(9), LeavingToAnnounce::default());
 }
 
 #[test]
