--- a/src/gateway/upstream_words.rs
+++ b/src/gateway/upstream_words.rs
@@ -1,6 +1,6 @@
 use {
     super::{Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, left_upstream::watch_for_end},
-    crate::{names::UpstreamId, policy::RestTime, upstreams::Upstream},
+    crate::{names::UpstreamId, policy::RetryAfter, upstreams::Upstream},
     http::{HeaderMap, StatusCode, header, response::Parts},
     std::sync::Arc,
 };
@@ -64,9 +64,9 @@
 
     fn read_rest(&self, context: &RequestContext, upstream: &Upstream, headers: &HeaderMap) {
         let values = headers.get_all(header::RETRY_AFTER);
-        match RestTime::read(values.iter().map(|value| value.as_bytes())) {
-            RestTime::Absent => {}
-            RestTime::For(rest) => {
+        match RetryAfter::read(values.iter().map(|value| value.as_bytes())) {
+            RetryAfter::Absent => {}
+            RetryAfter::For(rest) => {
                 metrics::counter!(REST_ANSWERS).increment(1);
                 log::info!(
                     target: "upstreams",
@@ -77,7 +77,7 @@
                 );
                 self.note_rest(&upstream.id, rest);
             }
-            RestTime::Unreadable => log::warn!(
+            RetryAfter::Unreadable => log::warn!(
                 target: "upstreams",
                 "an upstream names a time of rest that can't be read. upstream={}",
                 upstream.id
--- a/src/policy/rests/rest_time.rs
+++ b/src/policy/rests/rest_time.rs
@@ -5,7 +5,7 @@
 
 /// What a refusal says of when its upstream may be asked again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RestTime {
+pub enum RetryAfter {
     /// It names no time.
     Absent,
     /// It wants nothing from this daemon for so long.
@@ -14,7 +14,7 @@
     Unreadable,
 }
 
-impl RestTime {
+impl RetryAfter {
     /// Reads the values of a refusal's header, plain decimal numbers of seconds: the
     /// longest, where there are several.
     pub fn read<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> Self {
--- a/tests/decisions/rests.rs
+++ b/tests/decisions/rests.rs
@@ -3,7 +3,7 @@
 use {
     saddlepulley::{
         names::{BoxId, UpstreamId},
-        policy::{ReportedCooldowns, RestBook, RestTime},
+        policy::{ReportedCooldowns, RestBook, RetryAfter},
     },
     std::time::Duration,
 };
@@ -16,25 +16,25 @@
     Duration::from_secs_f64(s)
 }
 
-fn read(values: &[&str]) -> RestTime {
-    RestTime::read(values.iter().map(|value| value.as_bytes()))
+fn read(values: &[&str]) -> RetryAfter {
+    RetryAfter::read(values.iter().map(|value| value.as_bytes()))
 }
 
 #[test]
 fn what_is_no_number_of_seconds_is_read_as_a_rest() {
-    assert_eq!(read(&[]), RestTime::Absent);
-    assert_eq!(read(&["3"]), RestTime::For(seconds(3.0)));
-    assert_eq!(read(&[" 0.25 "]), RestTime::For(seconds(0.25)));
-    assert_eq!(read(&["0"]), RestTime::For(Duration::ZERO));
+    assert_eq!(read(&[]), RetryAfter::Absent);
+    assert_eq!(read(&["3"]), RetryAfter::For(seconds(3.0)));
+    assert_eq!(read(&[" 0.25 "]), RetryAfter::For(seconds(0.25)));
+    assert_eq!(read(&["0"]), RetryAfter::For(Duration::ZERO));
     // The longest counts; beside it what can't be read is no matter.
-    assert_eq!(read(&["1", "x", "2"]), RestTime::For(seconds(2.0)));
+    assert_eq!(read(&["1", "x", "2"]), RetryAfter::For(seconds(2.0)));
     let long = "9".repeat(300);
     for junk in [
         "", "-1", "+1", "1e3", "NaN", "inf", "soon", "1 2", ".", &long,
     ] {
-        assert_eq!(read(&[junk]), RestTime::Unreadable, "{junk:?}");
+        assert_eq!(read(&[junk]), RetryAfter::Unreadable, "{junk:?}");
     }
-    assert_eq!(RestTime::read([&b"\xff"[..]]), RestTime::Unreadable);
+    assert_eq!(RetryAfter::read([&b"\xff"[..]]), RetryAfter::Unreadable);
 }
 
 #[test]
