--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -56,7 +56,7 @@
     /// How much upstreams take that say so.
     pub limits: Mutex<LimitBook>,
     /// Upstreams that want nothing from this daemon for a while.
-    pub rests: Mutex<RestBook>,
+    pub rests: Mutex<CooldownTable>,
     /// What upstreams want of this daemon and of those that it places for.
     pub reported_cooldowns: Mutex<ReportedCooldowns>,
     /// Upstreams whose answers said that they leave, as far as others are to be told.
--- a/src/policy/rests/reported_cooldowns.rs
+++ b/src/policy/rests/reported_cooldowns.rs
@@ -1,5 +1,5 @@
 use {
-    super::RestBook,
+    super::CooldownTable,
     crate::names::{BoxId, UpstreamId},
     std::{collections::HashMap, time::Duration},
 };
@@ -12,7 +12,7 @@
 /// Times are milliseconds of the daemon's steady clock.
 #[derive(Clone, Debug, Default)]
 pub struct ReportedCooldowns {
-    by_daemon: HashMap<BoxId, RestBook>,
+    by_daemon: HashMap<BoxId, CooldownTable>,
 }
 
 impl ReportedCooldowns {
--- a/src/policy/rests/rest_book.rs
+++ b/src/policy/rests/rest_book.rs
@@ -8,11 +8,11 @@
 ///
 /// It counts for this daemon only: what an upstream wants of others, it tells them.
 #[derive(Clone, Debug, Default)]
-pub struct RestBook {
+pub struct CooldownTable {
     until_ms: HashMap<UpstreamId, u64>,
 }
 
-impl RestBook {
+impl CooldownTable {
     /// Notes that an upstream asked for rest. Of several times the last end counts: answers
     /// may come late.
     pub fn note(&mut self, id: &UpstreamId, rest: Duration, now_ms: u64) {
--- a/tests/decisions/rests.rs
+++ b/tests/decisions/rests.rs
@@ -3,7 +3,7 @@
 use {
     saddlepulley::{
         names::{BoxId, UpstreamId},
-        policy::{ReportedCooldowns, RestBook, RetryAfter},
+        policy::{CooldownTable, ReportedCooldowns, RetryAfter},
     },
     std::time::Duration,
 };
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_later_word_cuts_a_rest_short() {
-    let mut book = RestBook::default();
+    let mut book = CooldownTable::default();
     book.note(&id("a"), seconds(3.0), 1_000);
     book.note(&id("a"), seconds(1.0), 1_500);
     assert_eq!(book.left(&id("a"), 2_000), Some(seconds(2.0)));
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_rest_of_no_time_or_of_all_time_overflows() {
-    let mut book = RestBook::default();
+    let mut book = CooldownTable::default();
     book.note(&id("a"), Duration::ZERO, 1_000);
     assert!(!book.is_resting(&id("a"), 1_000));
     book.note(&id("b"), Duration::MAX, 1_000);
@@ -59,7 +59,7 @@
 
 #[test]
 fn rests_that_are_over_and_upstreams_that_are_gone_are_kept() {
-    let mut book = RestBook::default();
+    let mut book = CooldownTable::default();
     book.note(&id("over"), seconds(1.0), 0);
     book.note(&id("gone"), seconds(9.0), 0);
     book.note(&id("kept"), seconds(9.0), 0);
