--- a/src/cluster/hubs/rests_part.rs
+++ b/src/cluster/hubs/rests_part.rs
@@ -6,7 +6,7 @@
 
 /// Upstreams that want nothing from a daemon, as it tells the hub that places for it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct RestsPart {
+pub struct CooldownsPart {
     /// The upstreams.
     pub rests: Vec<AnnouncedCooldown>,
 }
--- a/src/cluster/messages/extension.rs
+++ b/src/cluster/messages/extension.rs
@@ -1,5 +1,5 @@
 use {
-    crate::cluster::{LeavingPart, LimitsPart, PermitAnswer, PermitQuery, RestsPart},
+    crate::cluster::{CooldownsPart, LeavingPart, LimitsPart, PermitAnswer, PermitQuery},
     bincode::{
         Decode, Encode, config, decode_from_slice, encode_into_std_write, error::EncodeError,
     },
@@ -42,7 +42,7 @@
     /// The sender tells of upstreams whose answers said that they leave.
     Leaving(LeavingPart),
     /// Upstreams that want nothing from the sender, behind a report.
-    Rests(RestsPart),
+    Rests(CooldownsPart),
 }
 
 impl Extension {
--- a/src/gateway/rest_state.rs
+++ b/src/gateway/rest_state.rs
@@ -1,7 +1,7 @@
 use {
     super::Gateway,
     crate::{
-        cluster::{AnnouncedCooldown, RestsPart},
+        cluster::{AnnouncedCooldown, CooldownsPart},
         names::{BoxId, ServiceName, UpstreamId},
     },
     std::time::Duration,
@@ -52,7 +52,7 @@
 
     /// Returns what to tell the hub that places for this daemon; nothing, if no upstream
     /// wants rest.
-    pub fn rests_to_tell(&self) -> Option<RestsPart> {
+    pub fn rests_to_tell(&self) -> Option<CooldownsPart> {
         let now_ms = self.steady_ms();
         let told: Vec<AnnouncedCooldown> = {
             let rests = self.rests.lock();
@@ -61,11 +61,11 @@
                 .collect()
         };
         let rests = self.draw_some(told, MAX_TOLD);
-        (!rests.is_empty()).then_some(RestsPart { rests })
+        (!rests.is_empty()).then_some(CooldownsPart { rests })
     }
 
     /// Takes in what upstreams want of a daemon that this one places for.
-    pub fn hear_rests(&self, daemon: &str, part: &RestsPart) {
+    pub fn hear_rests(&self, daemon: &str, part: &CooldownsPart) {
         let now_ms = self.steady_ms();
         let daemon = BoxId::from(daemon);
         let mut told = self.reported_cooldowns.lock();
