--- a/src/cluster/hubs/mod.rs
+++ b/src/cluster/hubs/mod.rs
@@ -2,6 +2,7 @@
 
 mod ask;
 mod ask_answers;
+mod cooldowns_part;
 mod digest;
 mod digest_announcer;
 mod event_log;
@@ -11,10 +12,9 @@
 mod member_table;
 mod report;
 mod report_announcer;
-mod rests_part;
 
 pub use {
-    ask::*, digest::*, event_log::*, former_listeners::*, hub_client::*, loads_part::*,
-    member_table::*, report::*, rests_part::*,
+    ask::*, cooldowns_part::*, digest::*, event_log::*, former_listeners::*, hub_client::*,
+    loads_part::*, member_table::*, report::*,
 };
 pub(super) use {ask_answers::*, digest_announcer::*, report_announcer::*};
