--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -54,7 +54,7 @@
     /// Requests under which upstreams ended.
     pub crashes: Mutex<CrashBook>,
     /// How much upstreams take that say so.
-    pub limits: Mutex<LimitBook>,
+    pub limits: Mutex<LimitTable>,
     /// Upstreams that want nothing from this daemon for a while.
     pub rests: Mutex<CooldownTable>,
     /// What upstreams want of this daemon and of those that it places for.
--- a/src/policy/limits/limit_book.rs
+++ b/src/policy/limits/limit_book.rs
@@ -48,11 +48,11 @@
 /// asks first: so a limit is used up wherever the load comes in, and not exceeded however
 /// many daemons there are. Times are milliseconds of the daemon's steady clock.
 #[derive(Clone, Debug, Default)]
-pub struct LimitBook {
+pub struct LimitTable {
     upstreams: HashMap<UpstreamId, Entry>,
 }
 
-impl LimitBook {
+impl LimitTable {
     /// Returns of how many upstreams anything is known.
     pub fn len(&self) -> usize {
         self.upstreams.len()
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -21,8 +21,8 @@
 }
 
 /// A book in which an upstream `u` has just named a limit.
-fn book_of(per_s: f64) -> LimitBook {
-    let mut book = LimitBook::default();
+fn book_of(per_s: f64) -> LimitTable {
+    let mut book = LimitTable::default();
     assert!(book.note_answer(&u("u"), named(per_s), 0, 0));
     book
 }
@@ -73,7 +73,7 @@
 }
 
 /// Takes whatever permits there are, many times a second.
-fn take_all(book: &mut LimitBook, from_ms: u64, to_ms: u64) -> Vec<u64> {
+fn take_all(book: &mut LimitTable, from_ms: u64, to_ms: u64) -> Vec<u64> {
     let times = (from_ms..to_ms).step_by(5);
     times
         .filter(|at| book.take(&u("u"), PermitShare::ALL, *at).is_ok())
@@ -112,7 +112,7 @@
     for (daemons, seed) in [(1, 1), (2, 2), (8, 3), (45, 4)] {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut issuer = book_of(5.0);
-        let mut asking: Vec<LimitBook> = (0..daemons).map(|_| book_of(5.0)).collect();
+        let mut asking: Vec<LimitTable> = (0..daemons).map(|_| book_of(5.0)).collect();
         let (mut times, mut asked) = (Vec::new(), 0);
         for now_ms in (1_000..61_000).step_by(2) {
             let book = &mut asking[rng.random_range(0..daemons)];
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_new_limit_gives_no_permits_for_the_time_before_it() {
-    let mut book = LimitBook::default();
+    let mut book = LimitTable::default();
     assert_eq!(
         book.take(&u("u"), PermitShare::ALL, 60_000),
         Ok(()),
@@ -184,7 +184,7 @@
 
 #[test]
 fn of_what_daemons_tell_the_newest_counts() {
-    let mut book = LimitBook::default();
+    let mut book = LimitTable::default();
     assert!(
         !book.hear(&told(None, 4), None, 5_000),
         "nothing was known of any"
@@ -218,7 +218,7 @@
 
 #[test]
 fn who_hears_something_older_tells_what_is_newer() {
-    let mut book = LimitBook::default();
+    let mut book = LimitTable::default();
     book.hear(&told(Some(2.0), 5), None, 5_000);
     assert!(
         book.to_tell(9, 5_000).hubs.is_empty(),
@@ -235,7 +235,7 @@
     let mut book = book_of(1.0);
     let tellings = (0..9).filter(|_| !book.to_tell(9, 0).hubs.is_empty());
     assert_eq!(tellings.count(), 4);
-    let mut hub = LimitBook::default();
+    let mut hub = LimitTable::default();
     hub.hear(&told(Some(1.0), 1), Some(false), 0);
     let news = hub.to_tell(9, 0);
     assert_eq!((news.hubs.len(), news.members.len()), (0, 1));
@@ -265,7 +265,7 @@
 fn daemons_come_to_know_the_same() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut books = vec![LimitBook::default(); 6];
+        let mut books = vec![LimitTable::default(); 6];
         let mut on_the_way: Vec<(usize, KnownLimit, u64)> = Vec::new();
         let mut last = None;
         for now_ms in (0..20_000).step_by(100) {
