--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -92,7 +92,7 @@
     /// Requests that began, by window and client account.
     pub usage: Mutex<UsageWindows>,
     /// The client accounts' quotas.
-    pub quotas: Mutex<QuotaBook>,
+    pub quotas: Mutex<QuotaTable>,
     /// The roll-outs of new versions.
     pub rollouts: Mutex<RolloutTable>,
     /// How answers are, by service, for roll-outs.
@@ -144,8 +144,8 @@
     /// Makes the state of a daemon that starts.
     pub fn new(settings: GatewaySettings, names: HeaderNames, seed: u64) -> Self {
         let quotas = match settings.mechanisms.quota_slack {
-            true => QuotaBook::new(settings.bounds.quotas),
-            false => QuotaBook::default(),
+            true => QuotaTable::new(settings.bounds.quotas),
+            false => QuotaTable::default(),
         };
         let own = DaemonEntry {
             name: settings.node.name.to_string(),
--- a/src/policy/quota/book.rs
+++ b/src/policy/quota/book.rs
@@ -25,7 +25,7 @@
 
 /// All client accounts' quotas as one daemon sees them.
 #[derive(Clone, Debug, Default)]
-pub struct QuotaBook {
+pub struct QuotaTable {
     bounds: QuotaBounds,
     accounts: HashMap<ClientAccount, QuotaAccount>,
     /// The weights that were announced last, the newest at the end.
@@ -33,7 +33,7 @@
     last_notices: Vec<QuotaNotice>,
 }
 
-impl QuotaBook {
+impl QuotaTable {
     /// Opens a book whose quotas hold within some bounds.
     pub fn new(bounds: QuotaBounds) -> Self {
         Self {
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -42,7 +42,7 @@
 /// cut off from all others at a time. Returns what was let in, by time.
 struct Fleet {
     terms: AccountTerms,
-    books: Vec<QuotaBook>,
+    books: Vec<QuotaTable>,
     news: Vec<QuotaAnnouncer>,
     lives: Vec<u64>,
     started_ms: Vec<u64>,
@@ -58,7 +58,7 @@
     fn new(daemons: usize, seed: u64) -> Self {
         Self {
             terms: terms(),
-            books: vec![QuotaBook::new(BOUNDS); daemons],
+            books: vec![QuotaTable::new(BOUNDS); daemons],
             news: (0..daemons).map(|_| QuotaAnnouncer::default()).collect(),
             lives: (0..daemons as u64).collect(),
             started_ms: vec![0; daemons],
@@ -71,7 +71,7 @@
     }
 
     fn restart(&mut self, daemon: usize) {
-        self.books[daemon] = QuotaBook::new(BOUNDS);
+        self.books[daemon] = QuotaTable::new(BOUNDS);
         self.news[daemon] = QuotaAnnouncer::default();
         self.lives[daemon] += 1_000;
         self.started_ms[daemon] = self.admitted.last().map_or(0, |(at, _)| *at);
