--- a/src/policy/quota/mod.rs
+++ b/src/policy/quota/mod.rs
@@ -1,10 +1,10 @@
 //! How quotas of client accounts hold over all daemons together.
 
 mod account;
-mod book;
 mod bounds;
 mod limit;
 mod lone;
+mod quota_table;
 mod wait;
 
-pub use {account::*, book::*, bounds::*, limit::*, lone::*, wait::*};
+pub use {account::*, bounds::*, limit::*, lone::*, quota_table::*, wait::*};
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -443,8 +443,12 @@
     for (offered, is_within) in [(0.5, true), (3.0, false)] {
         let mut fleet = Fleet::new(8, 1);
         fleet.run(6_000, offered, |_, _| false);
-        for book in &fleet.books {
-            assert_eq!(book.is_within_rate(&fleet.terms), is_within, "{offered}");
+        for quota_table in &fleet.books {
+            assert_eq!(
+                quota_table.is_within_rate(&fleet.terms),
+                is_within,
+                "{offered}"
+            );
         }
     }
 }
