--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -52,7 +52,7 @@
     /// How they fare.
     pub loads: Mutex<LoadTable>,
     /// Requests under which upstreams ended.
-    pub crashes: Mutex<CrashBook>,
+    pub crashes: Mutex<CrashTable>,
     /// How much upstreams take that say so.
     pub limits: Mutex<LimitTable>,
     /// Upstreams that want nothing from this daemon for a while.
@@ -155,7 +155,7 @@
         };
         Self {
             pace: SourcePace::for_bound(settings.bounds.drain_ms),
-            crashes: Mutex::new(CrashBook::new(settings.bounds.quarantine)),
+            crashes: Mutex::new(CrashTable::new(settings.bounds.quarantine)),
             settings,
             names,
             incarnation: seed,
--- a/src/policy/quarantine/crash_book.rs
+++ b/src/policy/quarantine/crash_book.rs
@@ -64,12 +64,12 @@
 ///
 /// What daemons tell each other can be taken in in any order, and more than once.
 #[derive(Debug)]
-pub struct CrashBook {
+pub struct CrashTable {
     bounds: QuarantineBounds,
     suspects: HashMap<RequestFingerprint, Suspect>,
 }
 
-impl CrashBook {
+impl CrashTable {
     /// Makes an empty book.
     pub fn new(bounds: QuarantineBounds) -> Self {
         Self {
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -5,15 +5,15 @@
     rand_chacha::ChaCha8Rng,
     saddlepulley::{
         names::{ClientAccount, RequestFingerprint, UpstreamId},
-        policy::{CrashBook, KnownCrash, QuarantineBounds},
+        policy::{CrashTable, KnownCrash, QuarantineBounds},
     },
     std::collections::{BTreeMap, HashSet},
 };
 
 const HOLD_MS: u64 = 600_000;
 
-fn quota_table() -> CrashBook {
-    CrashBook::new(QuarantineBounds::default())
+fn quota_table() -> CrashTable {
+    CrashTable::new(QuarantineBounds::default())
 }
 
 fn request(body: &str) -> RequestFingerprint {
@@ -216,7 +216,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     // From one each five seconds to three a second.
     let comes = [0.02, 0.05, 0.1, 0.3][(seed % 4) as usize];
-    let mut books: Vec<CrashBook> = (0..DAEMONS).map(|_| quota_table()).collect();
+    let mut books: Vec<CrashTable> = (0..DAEMONS).map(|_| quota_table()).collect();
     let mut mail: Vec<Mailbox> = (0..DAEMONS).map(|_| Mailbox::default()).collect();
     let poisons = [request("p"), request("q")];
     let mut back_ms = vec![0; UPSTREAMS as usize];
