--- a/src/policy/quarantine/mod.rs
+++ b/src/policy/quarantine/mod.rs
@@ -1,8 +1,8 @@
 //! Which requests are held back because upstreams end under them.
 
 mod bounds;
-mod crash_book;
+mod crash_table;
 mod suspect;
 
 use suspect::*;
-pub use {bounds::*, crash_book::*};
+pub use {bounds::*, crash_table::*};
