--- a/src/cluster/versions/versions_part.rs
+++ b/src/cluster/versions/versions_part.rs
@@ -29,13 +29,13 @@
 
 /// What was heard of answers during roll-outs, by service.
 #[derive(Debug, Default)]
-pub struct VersionBook {
+pub struct VersionCountTable {
     heard: HashMap<(String, String), Heard>,
     /// What was heard since it was taken last, by service and order.
     fresh: HashMap<(String, u64), HashMap<u32, VersionCounts>>,
 }
 
-impl VersionBook {
+impl VersionCountTable {
     /// Takes in what a daemon told.
     pub fn hear(&mut self, part: VersionsPart) {
         let key = (part.service.clone(), part.name);
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -4,7 +4,8 @@
         clock::BootInstant,
         cluster::{
             ControlTraffic, DaemonEntry, EventLog, HubClient, LeavingQueue, LoneQuotas,
-            MemberTable, PeerTable, PermitClient, SpokenVersions, UsageAnnouncer, VersionBook,
+            MemberTable, PeerTable, PermitClient, SpokenVersions, UsageAnnouncer,
+            VersionCountTable,
         },
         conf::GatewaySettings,
         names::{FailureDomain, ServiceName, UpstreamId},
@@ -98,7 +99,7 @@
     /// How answers are, by service, for roll-outs.
     pub outcomes: Mutex<HashMap<ServiceName, OutcomeMeter>>,
     /// What daemons told of answers during roll-outs.
-    pub version_book: Mutex<VersionBook>,
+    pub version_book: Mutex<VersionCountTable>,
     /// Wakes the task that tells other daemons about this one.
     pub tell_early: Notify,
     /// Whether clients are taken.
