--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -98,7 +98,7 @@
             }
         }
         Datagram::Crashes(part) => hear_crashes(gateway, &part),
-        Datagram::Versions(part) => gateway.version_book.lock().hear(part),
+        Datagram::Versions(part) => gateway.version_count_table.lock().hear(part),
         Datagram::Usage(part) => hear_usage(gateway, &part, from, now_ms).await,
         Datagram::UsageAck(heard) => {
             let mut tellers = gateway.usage_announcers.lock();
--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -101,7 +101,7 @@
             return;
         };
         let batch = gateway
-            .version_book
+            .version_count_table
             .lock()
             .take(&rollout.service, rollout.order);
         led.evaluator.note(&batch);
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -99,7 +99,7 @@
     /// How answers are, by service, for roll-outs.
     pub outcomes: Mutex<HashMap<ServiceName, OutcomeMeter>>,
     /// What daemons told of answers during roll-outs.
-    pub version_book: Mutex<VersionCountTable>,
+    pub version_count_table: Mutex<VersionCountTable>,
     /// Wakes the task that tells other daemons about this one.
     pub tell_early: Notify,
     /// Whether clients are taken.
@@ -183,7 +183,7 @@
             quotas: Mutex::new(quotas),
             rollouts: Mutex::default(),
             outcomes: Mutex::default(),
-            version_book: Mutex::default(),
+            version_count_table: Mutex::default(),
             tell_early: Notify::new(),
             phase: watch::Sender::new(GatewayPhase::Starting),
             last_sequence: AtomicU64::new(0),
