--- a/src/cluster/quotas/lone_quotas.rs
+++ b/src/cluster/quotas/lone_quotas.rs
@@ -38,7 +38,7 @@
 /// What a daemon that asks hubs lets in by itself while none answers, by client
 /// account, and what they have not heard of it yet.
 #[derive(Debug, Default)]
-pub struct LoneQuotas {
+pub struct StandaloneQuotas {
     accounts: HashMap<ClientAccount, LoneAccount>,
     /// What was let in and not told yet.
     untold: HashMap<ClientAccount, f64>,
@@ -50,7 +50,7 @@
     told_to: Option<SocketAddr>,
 }
 
-impl LoneQuotas {
+impl StandaloneQuotas {
     /// Notes what a request asks for.
     pub fn note_demand(&mut self, account: &ClientAccount, cost: f64, now_ms: u64) {
         let lone = self.accounts.entry(account.clone()).or_default();
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -3,9 +3,8 @@
     crate::{
         clock::BootInstant,
         cluster::{
-            ControlTraffic, DaemonEntry, EventLog, HubClient, LeavingQueue, LoneQuotas,
-            MemberTable, PeerTable, PermitClient, SpokenVersions, UsageAnnouncer,
-            VersionCountTable,
+            ControlTraffic, DaemonEntry, EventLog, HubClient, LeavingQueue, MemberTable, PeerTable,
+            PermitClient, SpokenVersions, StandaloneQuotas, UsageAnnouncer, VersionCountTable,
         },
         conf::GatewaySettings,
         names::{FailureDomain, ServiceName, UpstreamId},
@@ -81,7 +80,7 @@
     /// What happened to requests and hubs have not heard of.
     pub events: Mutex<EventLog>,
     /// What is let in while no hub answers.
-    pub lone_quotas: Mutex<LoneQuotas>,
+    pub lone_quotas: Mutex<StandaloneQuotas>,
     /// What those that are told usage have heard of the counts of daemons, by the life of
     /// each: of this one, and of others that it passes on.
     pub usage_announcers: Mutex<HashMap<u64, UsageAnnouncer>>,
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -305,8 +305,8 @@
         at_ms,
     };
     let account = ClientAccount::from("a");
-    let mut lone = LoneQuotas::default();
-    let let_in = |lone: &mut LoneQuotas, told_ms: u64, until_ms: u64| {
+    let mut lone = StandaloneQuotas::default();
+    let let_in = |lone: &mut StandaloneQuotas, told_ms: u64, until_ms: u64| {
         let mut units = 0.0;
         for now_ms in (told_ms..until_ms).step_by(100) {
             lone.note_demand(&account, 100.0, now_ms);
@@ -338,7 +338,7 @@
         slack: 0.0,
     };
     let account = ClientAccount::from("a");
-    let mut lone = LoneQuotas::default();
+    let mut lone = StandaloneQuotas::default();
     let mut let_in = 0.0;
     for now_ms in (0..=10_000).step_by(500) {
         lone.note_demand(&account, 100.0, now_ms);
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn the_largest_report_fits_into_a_datagram() {
-    let mut lone = LoneQuotas::default();
+    let mut lone = StandaloneQuotas::default();
     let told = ReceivedQuota {
         level: 1e9,
         demand: 1.0,
