--- a/src/cluster/quotas/lone_quotas.rs
+++ b/src/cluster/quotas/lone_quotas.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         names::ClientAccount,
-        policy::{DemandMeter, LoneQuota, QuotaLimit, ReceivedQuota},
+        policy::{DemandMeter, QuotaLimit, ReceivedQuota, StandaloneQuota},
     },
     std::{collections::HashMap, net::SocketAddr},
 };
@@ -15,7 +15,7 @@
 /// What a daemon that asks hubs knows of a client account that it lets in by itself.
 #[derive(Clone, Copy, Debug, Default)]
 struct LoneAccount {
-    quota: LoneQuota,
+    quota: StandaloneQuota,
     demand: DemandMeter,
     /// When what it was told last was told: what it spent counts from there.
     told_ms: u64,
--- a/src/policy/quota/lone.rs
+++ b/src/policy/quota/lone.rs
@@ -15,12 +15,12 @@
 /// of what was left when it last heard, and of the rate since. Its part is what
 /// it was asked for beside what all were.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoneQuota {
+pub struct StandaloneQuota {
     /// What was let in since the others told what is left.
     pub spent: f64,
 }
 
-impl LoneQuota {
+impl StandaloneQuota {
     /// Lets a request in if the part allows it, and notes it.
     pub fn admit(
         &mut self,
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -7,7 +7,9 @@
     saddlepulley::{
         cluster::*,
         names::ClientAccount,
-        policy::{DaemonRank, HUBS_PER_DOMAIN, HubContact, LoneQuota, QuotaLimit, ReceivedQuota},
+        policy::{
+            DaemonRank, HUBS_PER_DOMAIN, HubContact, QuotaLimit, ReceivedQuota, StandaloneQuota,
+        },
     },
     std::{
         collections::{BTreeMap, BTreeSet, HashSet},
@@ -280,13 +282,13 @@
         demand: 500.0,
         at_ms: 0,
     };
-    let mut quota = LoneQuota::default();
+    let mut quota = StandaloneQuota::default();
     assert!(
         quota.admit(400.0, 250.0, told, &limit, 0),
         "half of what is left"
     );
     assert!(!quota.admit(400.0, 250.0, told, &limit, 100));
-    let mut other = LoneQuota::default();
+    let mut other = StandaloneQuota::default();
     assert!(!other.admit(400.0, 50.0, told, &limit, 0), "a tenth of it");
 }
 
