--- a/src/cluster/quotas/lone_quotas.rs
+++ b/src/cluster/quotas/lone_quotas.rs
@@ -14,7 +14,7 @@
 
 /// What a daemon that asks hubs knows of a client account that it lets in by itself.
 #[derive(Clone, Copy, Debug, Default)]
-struct LoneAccount {
+struct StandaloneAccount {
     quota: StandaloneQuota,
     demand: DemandMeter,
     /// When what it was told last was told: what it spent counts from there.
@@ -23,7 +23,7 @@
     untold_since_ms: Option<u64>,
 }
 
-impl LoneAccount {
+impl StandaloneAccount {
     /// Returns what is reckoned with where nothing was told: the daemon's even part of
     /// what is earned since it first decided by itself.
     fn untold(&mut self, daemons: usize, now_ms: u64) -> ReceivedQuota {
@@ -39,7 +39,7 @@
 /// account, and what they have not heard of it yet.
 #[derive(Debug, Default)]
 pub struct StandaloneQuotas {
-    accounts: HashMap<ClientAccount, LoneAccount>,
+    accounts: HashMap<ClientAccount, StandaloneAccount>,
     /// What was let in and not told yet.
     untold: HashMap<ClientAccount, f64>,
     /// What is told until the hub has heard it.
