--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -122,7 +122,7 @@
     report.leans_on_you = true;
     report.wants_all = wants_all;
     report.wants_digest |= wants_all;
-    (report.alone, report.alone_batch) = gateway.lone_quotas.lock().to_tell(hub);
+    (report.alone, report.alone_batch) = gateway.standalone_quotas.lock().to_tell(hub);
     let events = match report.alone.is_empty() {
         true => MAX_EVENTS,
         false => MAX_EVENTS / 2,
--- a/src/cluster/quotas/mod.rs
+++ b/src/cluster/quotas/mod.rs
@@ -1,7 +1,7 @@
 //! What is told of client accounts' quotas.
 
-mod lone_quotas;
 mod quota_announcer;
 mod quotas_part;
+mod standalone_quotas;
 
-pub use {lone_quotas::*, quota_announcer::*, quotas_part::*};
+pub use {quota_announcer::*, quotas_part::*, standalone_quotas::*};
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -80,7 +80,7 @@
     /// What happened to requests and hubs have not heard of.
     pub events: Mutex<EventLog>,
     /// What is let in while no hub answers.
-    pub lone_quotas: Mutex<StandaloneQuotas>,
+    pub standalone_quotas: Mutex<StandaloneQuotas>,
     /// What those that are told usage have heard of the counts of daemons, by the life of
     /// each: of this one, and of others that it passes on.
     pub usage_announcers: Mutex<HashMap<u64, UsageAnnouncer>>,
@@ -174,7 +174,7 @@
             members: Mutex::default(),
             hub_client: HubClient::default(),
             events: Mutex::default(),
-            lone_quotas: Mutex::default(),
+            standalone_quotas: Mutex::default(),
             usage_announcers: Mutex::default(),
             duty_daemons_since: Mutex::default(),
             report_early: Notify::new(),
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -63,7 +63,7 @@
         let limited = account.filter(|a| a.rate_per_s > 0.0);
         if let Some(account) = limited {
             let now_ms = self.steady_ms();
-            let mut lone = self.lone_quotas.lock();
+            let mut lone = self.standalone_quotas.lock();
             lone.note_demand(&account.name, cost, now_ms);
         }
         let quota = limited.map(|account| QuotaQuery {
@@ -82,7 +82,7 @@
             },
             Some(Verdict::Placed { .. } | Verdict::NoUpstream) => {
                 if let Some(account) = limited {
-                    self.lone_quotas.lock().note_decided(&account.name);
+                    self.standalone_quotas.lock().note_decided(&account.name);
                 }
                 *context.placed.lock() = heard.and_then(|h| self.asked_placement(&h, false));
                 Ok(())
@@ -95,7 +95,7 @@
         let limit = self.quotas.lock().limit_of(account);
         let told = self.peers.lock().told_quota(&account.name);
         let daemons = self.daemons();
-        let mut lone = self.lone_quotas.lock();
+        let mut lone = self.standalone_quotas.lock();
         match lone.admit(&account.name, cost, told, daemons, &limit, now_ms) {
             true => Ok(()),
             false => Err(ALONE_RETRY_AFTER),
