--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -53,14 +53,14 @@
 impl StandaloneQuotas {
     /// Notes what a request asks for.
     pub fn note_demand(&mut self, account: &ClientAccount, cost: f64, now_ms: u64) {
-        let lone = self.accounts.entry(account.clone()).or_default();
-        lone.demand.note(cost, now_ms);
+        let standalone = self.accounts.entry(account.clone()).or_default();
+        standalone.demand.note(cost, now_ms);
     }
 
     /// Notes that a hub decided on a request of an account.
     pub fn note_decided(&mut self, account: &ClientAccount) {
-        if let Some(lone) = self.accounts.get_mut(account) {
-            lone.untold_since_ms = None;
+        if let Some(standalone) = self.accounts.get_mut(account) {
+            standalone.untold_since_ms = None;
         }
     }
 
@@ -75,15 +75,18 @@
         limit: &QuotaLimit,
         now_ms: u64,
     ) -> bool {
-        let lone = self.accounts.entry(account.clone()).or_default();
-        let told = told.unwrap_or_else(|| lone.untold(daemons, now_ms));
-        if lone.told_ms != told.at_ms {
+        let standalone = self.accounts.entry(account.clone()).or_default();
+        let told = told.unwrap_or_else(|| standalone.untold(daemons, now_ms));
+        if standalone.told_ms != told.at_ms {
             // What a hub had heard of by then it has counted.
-            lone.told_ms = told.at_ms;
-            lone.quota.spent = self.untold.get(account).copied().unwrap_or(0.0);
+            standalone.told_ms = told.at_ms;
+            standalone.quota.spent = self.untold.get(account).copied().unwrap_or(0.0);
         }
-        let own_demand = lone.demand.per_s(now_ms);
-        if !lone.quota.admit(cost, own_demand, told, limit, now_ms) {
+        let own_demand = standalone.demand.per_s(now_ms);
+        if !standalone
+            .quota
+            .admit(cost, own_demand, told, limit, now_ms)
+        {
             return false;
         }
         *self.untold.entry(account.clone()).or_default() += cost;
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -63,8 +63,8 @@
         let limited = account.filter(|a| a.rate_per_s > 0.0);
         if let Some(account) = limited {
             let now_ms = self.steady_ms();
-            let mut lone = self.standalone_quotas.lock();
-            lone.note_demand(&account.name, cost, now_ms);
+            let mut standalone = self.standalone_quotas.lock();
+            standalone.note_demand(&account.name, cost, now_ms);
         }
         let quota = limited.map(|account| QuotaQuery {
             account: account.name.to_string(),
@@ -95,8 +95,8 @@
         let limit = self.quotas.lock().limit_of(account);
         let told = self.peers.lock().told_quota(&account.name);
         let daemons = self.daemons();
-        let mut lone = self.standalone_quotas.lock();
-        match lone.admit(&account.name, cost, told, daemons, &limit, now_ms) {
+        let mut standalone = self.standalone_quotas.lock();
+        match standalone.admit(&account.name, cost, told, daemons, &limit, now_ms) {
             true => Ok(()),
             false => Err(ALONE_RETRY_AFTER),
         }
--- a/src/policy/quota/mod.rs
+++ b/src/policy/quota/mod.rs
@@ -3,8 +3,8 @@
 mod account;
 mod bounds;
 mod limit;
-mod lone;
 mod quota_table;
+mod standalone;
 mod wait;
 
-pub use {account::*, bounds::*, limit::*, lone::*, quota_table::*, wait::*};
+pub use {account::*, bounds::*, limit::*, quota_table::*, standalone::*, wait::*};
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -307,25 +307,25 @@
         at_ms,
     };
     let account = ClientAccount::from("a");
-    let mut lone = StandaloneQuotas::default();
-    let let_in = |lone: &mut StandaloneQuotas, told_ms: u64, until_ms: u64| {
+    let mut standalone = StandaloneQuotas::default();
+    let let_in = |standalone: &mut StandaloneQuotas, told_ms: u64, until_ms: u64| {
         let mut units = 0.0;
         for now_ms in (told_ms..until_ms).step_by(100) {
-            lone.note_demand(&account, 100.0, now_ms);
-            if lone.admit(&account, 100.0, Some(told(told_ms)), 8, &limit, now_ms) {
+            standalone.note_demand(&account, 100.0, now_ms);
+            if standalone.admit(&account, 100.0, Some(told(told_ms)), 8, &limit, now_ms) {
                 units += 100.0;
             }
             if now_ms % 500 == 0 {
-                lone.to_tell(address(1));
+                standalone.to_tell(address(1));
             }
         }
         units
     };
-    let units = let_in(&mut lone, 0, 10_000);
+    let units = let_in(&mut standalone, 0, 10_000);
     assert!(units <= 4_000.0 + 1_000.0, "{units}");
     assert!(units >= 4_000.0, "{units}");
     // Told anew, it counts from there.
-    let units = let_in(&mut lone, 10_000, 12_000);
+    let units = let_in(&mut standalone, 10_000, 12_000);
     assert!((1_900.0..=2_000.0).contains(&units), "{units}");
 }
 
@@ -340,21 +340,21 @@
         slack: 0.0,
     };
     let account = ClientAccount::from("a");
-    let mut lone = StandaloneQuotas::default();
+    let mut standalone = StandaloneQuotas::default();
     let mut let_in = 0.0;
     for now_ms in (0..=10_000).step_by(500) {
-        lone.note_demand(&account, 100.0, now_ms);
-        if lone.admit(&account, 100.0, None, DAEMONS, &limit, now_ms) {
+        standalone.note_demand(&account, 100.0, now_ms);
+        if standalone.admit(&account, 100.0, None, DAEMONS, &limit, now_ms) {
             let_in += 100.0;
         }
         // A hub that doesn't answer is told all the same.
-        lone.to_tell(address(1));
+        standalone.to_tell(address(1));
     }
     let part = limit.rate * 10.0 / DAEMONS as f64;
     assert!(let_in <= part && let_in >= 0.9 * part, "{let_in} of {part}");
     // What was earned before a hub decided again was the hub's to give.
-    lone.note_decided(&account);
-    assert!(!lone.admit(&account, 100.0, None, DAEMONS, &limit, 60_000));
+    standalone.note_decided(&account);
+    assert!(!standalone.admit(&account, 100.0, None, DAEMONS, &limit, 60_000));
 }
 
 fn report_of(name: &str, daemon: usize, sequence: u64, holds_duties: bool) -> Report {
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -88,7 +88,7 @@
 
 #[test]
 fn the_largest_report_fits_into_a_datagram() {
-    let mut lone = StandaloneQuotas::default();
+    let mut standalone = StandaloneQuotas::default();
     let told = ReceivedQuota {
         level: 1e9,
         demand: 1.0,
@@ -101,8 +101,8 @@
     };
     for account in 0..300 {
         let account = ClientAccount::from(format!("tenant-{account}").as_str());
-        lone.note_demand(&account, 1e3, 0);
-        assert!(lone.admit(&account, 123.4, Some(told), 1, &limit, 0));
+        standalone.note_demand(&account, 1e3, 0);
+        assert!(standalone.admit(&account, 123.4, Some(told), 1, &limit, 0));
     }
     let mut log = EventLog::default();
     for n in 0..48 {
@@ -115,7 +115,7 @@
     let mut units = 0;
     for sequence in 1..=40 {
         let mut report = report(sequence, &log.to_tell(12), 0);
-        (report.alone, report.alone_batch) = lone.to_tell(address(1));
+        (report.alone, report.alone_batch) = standalone.to_tell(address(1));
         units += report.alone.len();
         let bytes = Datagram::Report(report).encode();
         assert!(bytes.is_ok(), "{bytes:?}");
