--- a/src/upstreams/newest_lives.rs
+++ b/src/upstreams/newest_lives.rs
@@ -2,11 +2,11 @@
 
 /// The newest life of each upstream that was heard of, also of those that are gone.
 #[derive(Clone, Debug, Default)]
-pub struct NewestLives {
+pub struct NewestIncarnations {
     by_upstream: HashMap<Box<str>, UpstreamId>,
 }
 
-impl NewestLives {
+impl NewestIncarnations {
     /// Returns an upstream's newest life.
     pub fn get(&self, upstream: &str) -> Option<&UpstreamId> {
         self.by_upstream.get(upstream)
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        DirectoryChanges, DirectoryCursor, DirectoryNotes, DirectoryUpdate, NewestLives,
+        DirectoryChanges, DirectoryCursor, DirectoryNotes, DirectoryUpdate, NewestIncarnations,
         PresentUpstream, ReadyUpstreams, Upstream, followed_view::FollowedView,
         gone_upstreams::GoneUpstreams, revision_index::RevisionIndex,
     },
@@ -34,7 +34,7 @@
 pub struct UpstreamDirectory {
     by_service: HashMap<ServiceName, BTreeMap<UpstreamId, Arc<Upstream>>>,
     service_of: HashMap<UpstreamId, ServiceName>,
-    lives: NewestLives,
+    lives: NewestIncarnations,
     /// Before this offset of the source everything is taken in.
     position: u64,
     /// Before this offset it is known of each upstream where its last word stands, also of
