--- a/src/upstreams/mod.rs
+++ b/src/upstreams/mod.rs
@@ -6,7 +6,7 @@
 mod exchange;
 mod followed_view;
 mod gone_upstreams;
-mod newest_lives;
+mod newest_incarnations;
 mod ready_upstreams;
 mod revision_index;
 mod send_failure;
@@ -16,7 +16,7 @@
 mod upstream_pool;
 
 pub use {
-    directory_changes::*, directory_notes::*, directory_update::*, exchange::*, newest_lives::*,
-    ready_upstreams::*, send_failure::*, upstream::*, upstream_directory::*, upstream_load::*,
-    upstream_pool::*,
+    directory_changes::*, directory_notes::*, directory_update::*, exchange::*,
+    newest_incarnations::*, ready_upstreams::*, send_failure::*, upstream::*,
+    upstream_directory::*, upstream_load::*, upstream_pool::*,
 };
