--- a/src/upstreams/gone_upstreams.rs
+++ b/src/upstreams/gone_upstreams.rs
@@ -2,7 +2,7 @@
 
 /// Lives of upstreams that are gone, in the order in which they went.
 #[derive(Debug, Default)]
-pub(super) struct GoneUpstreams {
+pub(super) struct RemovedUpstreams {
     went: RevisionIndex,
     /// Those that had said that they leave: these lives never come back.
     had_left: HashSet<UpstreamId>,
@@ -10,7 +10,7 @@
     all_since: u64,
 }
 
-impl GoneUpstreams {
+impl RemovedUpstreams {
     /// Notes that a life went with a revision of the directory.
     pub(super) fn note(&mut self, id: &UpstreamId, was_leaving: bool, revision: u64) {
         self.went.note(id, revision);
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -2,7 +2,7 @@
     super::{
         DirectoryChanges, DirectoryCursor, DirectoryNotes, DirectoryUpdate, NewestIncarnations,
         PresentUpstream, ReadyUpstreams, Upstream, followed_view::FollowedView,
-        gone_upstreams::GoneUpstreams, revision_index::RevisionIndex,
+        gone_upstreams::RemovedUpstreams, revision_index::RevisionIndex,
     },
     crate::names::{ServiceName, UpstreamId},
     parking_lot::Mutex,
@@ -49,7 +49,7 @@
     /// Of such a source, the upstreams whose answers said that they leave: nothing else
     /// tells that one is another life.
     left: HashSet<UpstreamId>,
-    gone: GoneUpstreams,
+    gone: RemovedUpstreams,
     /// With which revision each changed last.
     changed: RevisionIndex,
     /// Entries that went while their source was away, with until when they may
