--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -2,7 +2,7 @@
     super::{
         DirectoryChanges, DirectoryCursor, DirectoryNotes, DirectoryUpdate, NewestIncarnations,
         PresentUpstream, ReadyUpstreams, Upstream, followed_view::FollowedView,
-        gone_upstreams::RemovedUpstreams, revision_index::RevisionIndex,
+        removed_upstreams::RemovedUpstreams, revision_index::RevisionIndex,
     },
     crate::names::{ServiceName, UpstreamId},
     parking_lot::Mutex,
