--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -1,5 +1,5 @@
 use {
-    crate::{cluster::*, gateway::Gateway, policy::SeedPace},
+    crate::{cluster::*, gateway::Gateway, policy::SeedBackoff},
     std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration},
 };
 
@@ -24,7 +24,7 @@
 /// one itself, and to its seeds until it hears any.
 pub(in crate::cluster) async fn tell_reports(gateway: Arc<Gateway>) {
     let mut reporter = Reporter {
-        seed_pace: SeedPace::new(gateway.draw()),
+        seed_pace: SeedBackoff::new(gateway.draw()),
         hears_hubs: false,
         reported: (None, 0),
         alive_ms: 0,
@@ -46,7 +46,7 @@
 
 struct Reporter {
     gateway: Arc<Gateway>,
-    seed_pace: SeedPace,
+    seed_pace: SeedBackoff,
     hears_hubs: bool,
     /// The hub through which requests are let in, as it was reported to last, and when.
     reported: (Option<SocketAddr>, u64),
--- a/src/policy/hubs/seed_pace.rs
+++ b/src/policy/hubs/seed_pace.rs
@@ -8,7 +8,7 @@
 /// same moment and have the same few seeds; asked by all of them all the time, these
 /// would not get their answers out. Times are milliseconds of the daemon's steady clock.
 #[derive(Clone, Copy, Debug)]
-pub struct SeedPace {
+pub struct SeedBackoff {
     next: usize,
     pause_ms: u64,
     due_ms: u64,
@@ -23,7 +23,7 @@
     pub every_ms: u64,
 }
 
-impl SeedPace {
+impl SeedBackoff {
     /// Starts at a seed that is drawn, so that all seeds are asked by as many.
     pub fn new(drawn: u64) -> Self {
         Self {
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -11,7 +11,7 @@
     rand_chacha::ChaCha8Rng,
     saddlepulley::{
         cluster::*,
-        policy::{HUBS_PER_DOMAIN, SeedPace},
+        policy::{HUBS_PER_DOMAIN, SeedBackoff},
     },
     std::{
         collections::{BTreeMap, HashMap},
@@ -38,7 +38,7 @@
 
 struct Daemon {
     table: PeerTable,
-    pace: SeedPace,
+    pace: SeedBackoff,
     /// How long after the first ones it starts.
     lag_ms: u64,
 }
@@ -63,7 +63,7 @@
                 &format!("domain-{}", n % DOMAINS),
                 n,
             )),
-            pace: SeedPace::new(rng.random()),
+            pace: SeedBackoff::new(rng.random()),
             lag_ms: rng.random_range(0..4) * STEP_MS,
         });
         Self {
@@ -229,7 +229,7 @@
 
 #[test]
 fn a_seed_that_does_not_answer_is_asked_again_and_others_meanwhile() {
-    let mut pace = SeedPace::new(4);
+    let mut pace = SeedBackoff::new(4);
     let mut asked = Vec::new();
     for now_ms in (0..10_000).step_by(50) {
         if let Some(ask) = pace.ask(3, 1, now_ms) {
