--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -24,7 +24,7 @@
 /// one itself, and to its seeds until it hears any.
 pub(in crate::cluster) async fn tell_reports(gateway: Arc<Gateway>) {
     let mut reporter = Reporter {
-        seed_pace: SeedBackoff::new(gateway.draw()),
+        seed_backoff: SeedBackoff::new(gateway.draw()),
         hears_hubs: false,
         reported: (None, 0),
         alive_ms: 0,
@@ -46,7 +46,7 @@
 
 struct Reporter {
     gateway: Arc<Gateway>,
-    seed_pace: SeedBackoff,
+    seed_backoff: SeedBackoff,
     hears_hubs: bool,
     /// The hub through which requests are let in, as it was reported to last, and when.
     reported: (Option<SocketAddr>, u64),
@@ -71,7 +71,7 @@
     fn is_starting(&mut self, now_ms: u64) -> bool {
         let hears_hubs = self.gateway.peers.lock().hears_hubs();
         if self.hears_hubs && !hears_hubs {
-            self.seed_pace.restart(now_ms);
+            self.seed_backoff.restart(now_ms);
         }
         self.hears_hubs = hears_hubs;
         now_ms < STARTING_MS || !hears_hubs
@@ -81,7 +81,7 @@
     async fn ask_seed(&mut self, now_ms: u64) -> bool {
         let gateway = &self.gateway;
         let seeds = &gateway.settings.peers.seeds;
-        let Some(ask) = self.seed_pace.ask(seeds.len(), gateway.draw(), now_ms) else {
+        let Some(ask) = self.seed_backoff.ask(seeds.len(), gateway.draw(), now_ms) else {
             return false;
         };
         let seed = seeds[ask.seed];
--- a/src/policy/hubs/mod.rs
+++ b/src/policy/hubs/mod.rs
@@ -3,6 +3,6 @@
 
 mod contact;
 mod rank;
-mod seed_pace;
+mod seed_backoff;
 
-pub use {contact::*, rank::*, seed_pace::*};
+pub use {contact::*, rank::*, seed_backoff::*};
