--- a/src/policy/sources/pace.rs
+++ b/src/policy/sources/pace.rs
@@ -17,7 +17,7 @@
 /// read: as seldom as the bound allows within which all must know of an upstream
 /// that leaves. Each read is a call that costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SourcePace {
+pub struct SourceReadSchedule {
     /// How many daemons of a failure domain read.
     pub readers: usize,
     /// How long a read is held, in milliseconds.
@@ -26,7 +26,7 @@
     pub pause_ms: u64,
 }
 
-impl SourcePace {
+impl SourceReadSchedule {
     /// Returns the pace for a bound in milliseconds.
     pub fn for_bound(bound_ms: u64) -> Self {
         Self {
--- a/tests/decisions/sources.rs
+++ b/tests/decisions/sources.rs
@@ -140,12 +140,12 @@
 
 #[test]
 fn the_source_is_read_as_seldom_as_the_bound_allows() {
-    let tight = SourcePace::for_bound(2_000);
+    let tight = SourceReadSchedule::for_bound(2_000);
     assert_eq!(
         (tight.readers, tight.hold_ms, tight.pause_ms),
         (2, 500, 400)
     );
-    let wide = SourcePace::for_bound(4_000);
+    let wide = SourceReadSchedule::for_bound(4_000);
     assert_eq!(wide.readers, 1);
     assert!(wide.stale_ms() + 300 < 4_000, "time for another to read");
 }
