--- a/src/provider/source_watch.rs
+++ b/src/provider/source_watch.rs
@@ -14,12 +14,12 @@
 /// Watches all calls of a daemon to a shared source, so that none waits for an answer that
 /// won't come while others are answered.
 #[derive(Debug)]
-pub struct SourceWatch {
+pub struct SourceMonitor {
     started: BootInstant,
     silence: watch::Sender<SourceSilence>,
 }
 
-impl Default for SourceWatch {
+impl Default for SourceMonitor {
     fn default() -> Self {
         Self {
             started: BootInstant::now(),
@@ -28,7 +28,7 @@
     }
 }
 
-impl SourceWatch {
+impl SourceMonitor {
     fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
--- a/tests/decisions/source_silence.rs
+++ b/tests/decisions/source_silence.rs
@@ -1,7 +1,7 @@
 //! Reads that a shared source may hold, while it falls silent and returns.
 
 use {
-    saddlepulley::{policy::SourceSilence, provider::SourceWatch},
+    saddlepulley::{policy::SourceSilence, provider::SourceMonitor},
     std::{cell::Cell, future::pending, time::Duration},
 };
 
@@ -31,7 +31,7 @@
 }
 
 /// Two calls of other parts of the daemon: one that is not answered, and one that is.
-async fn fall_silent_and_return(watch: &SourceWatch) {
+async fn fall_silent_and_return(watch: &SourceMonitor) {
     let failed: Result<(), &str> = watch.call(async { Err("no answer") }).await;
     assert!(failed.is_err());
     let answered: Result<(), &str> = watch.call(async { Ok(()) }).await;
@@ -40,7 +40,7 @@
 
 #[tokio::test]
 async fn a_read_hangs_on_after_others_are_answered_again() {
-    let watch = SourceWatch::default();
+    let watch = SourceMonitor::default();
     let begun = Cell::new(0);
     let read = watch.read_held(HOLD, |hold| {
         let number = begun.replace(begun.get() + 1);
@@ -57,7 +57,7 @@
 
 #[tokio::test]
 async fn a_further_read_that_fails_ends_the_first_one() {
-    let watch = SourceWatch::default();
+    let watch = SourceMonitor::default();
     let begun = Cell::new(0);
     let (tx, rx) = tokio::sync::oneshot::channel();
     let mut first = Some(rx);
@@ -84,14 +84,14 @@
 
 #[tokio::test]
 async fn a_source_that_refuses_is_asked_without_end() {
-    let watch = SourceWatch::default();
+    let watch = SourceMonitor::default();
     let read = watch.read_held(HOLD, |_| async { Err::<(), _>("refused") });
     assert_eq!(read.await, Err("refused"));
 }
 
 #[tokio::test]
 async fn a_pause_lasts_on_after_the_source_is_back() {
-    let watch = SourceWatch::default();
+    let watch = SourceMonitor::default();
     tokio::join!(watch.pause(HOLD), async {
         tokio::task::yield_now().await;
         fall_silent_and_return(&watch).await;
