--- a/src/clock/suspension.rs
+++ b/src/clock/suspension.rs
@@ -19,11 +19,11 @@
 
 /// Tells a suspension by two clocks, one of which stands still meanwhile.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SuspensionWatch {
+pub struct SuspensionDetector {
     apart_ms: Option<u64>,
 }
 
-impl SuspensionWatch {
+impl SuspensionDetector {
     /// Takes in what both clocks say, in milliseconds since any moment each; returns for
     /// how long the machine was suspended since the last look, if it was.
     pub fn look(&mut self, steady_ms: u64, boot_ms: u64) -> Option<u64> {
@@ -37,7 +37,7 @@
 /// Looks for suspensions, and wakes what waits for a deadline.
 pub async fn watch_for_suspensions() {
     let (steady, boot) = (Instant::now(), BootInstant::now());
-    let mut watch = SuspensionWatch::default();
+    let mut watch = SuspensionDetector::default();
     loop {
         let (steady_ms, boot_ms) = (steady.elapsed().as_millis(), boot.elapsed().as_millis());
         if let Some(suspended_ms) = watch.look(steady_ms as u64, boot_ms as u64) {
--- a/tests/decisions/suspension.rs
+++ b/tests/decisions/suspension.rs
@@ -4,7 +4,7 @@
 //! Suspensions are played by pausing the runtime's clock, on which timers are.
 
 use {
-    saddlepulley::clock::{BootInstant, SuspensionWatch, TimeIsUp, announce_resume, timeout},
+    saddlepulley::clock::{BootInstant, SuspensionDetector, TimeIsUp, announce_resume, timeout},
     std::{
         future::{pending, poll_fn},
         pin::pin,
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_suspension_is_told_by_clocks_that_move_apart() {
-    let mut watch = SuspensionWatch::default();
+    let mut watch = SuspensionDetector::default();
     assert_eq!(watch.look(1_000, 51_000), None, "the first look");
     assert_eq!(watch.look(1_250, 51_250), None);
     assert_eq!(
