--- a/tests/decisions/support.rs
+++ b/tests/decisions/support.rs
@@ -28,8 +28,8 @@
 }
 
 /// A request of 1,000 prompt and 100 answer tokens.
-pub fn ask() -> Ask {
-    Ask {
+pub fn ask() -> RequestNeeds {
+    RequestNeeds {
         prompt_tokens: 1_000,
         generated_tokens: 0,
         expected_tokens: 100,
