--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -152,11 +152,11 @@
     }
 }
 
-fn tell_verdict(offset: u64, verdict: &Verdict) {
-    if let Verdict::Conflict(keys) = verdict {
+fn tell_verdict(offset: u64, verdict: &EditOutcome) {
+    if let EditOutcome::Conflict(keys) = verdict {
         log::info!(target: "table", "an edit conflicts. offset={offset} keys={keys:?}");
     }
-    if let Verdict::Invalid(why) = verdict {
+    if let EditOutcome::Invalid(why) = verdict {
         log::warn!(target: "table", "an edit is invalid. offset={offset} error=\"{why}\"");
     }
 }
--- a/src/cli/table_command.rs
+++ b/src/cli/table_command.rs
@@ -23,7 +23,7 @@
     /// The record.
     pub record: TableRecord,
     /// What became of it.
-    pub verdict: Verdict,
+    pub verdict: EditOutcome,
 }
 
 /// Runs `table`.
@@ -204,17 +204,17 @@
     })
 }
 
-fn verdict_of(folded: &[Folded], id: Uuid) -> Option<Verdict> {
+fn verdict_of(folded: &[Folded], id: Uuid) -> Option<EditOutcome> {
     let is_it = |f: &&Folded| matches!(&f.record, TableRecord::Edit(e) if e.id == id);
     folded.iter().find(is_it).map(|f| f.verdict.clone())
 }
 
-fn to_version(verdict: Verdict) -> Result<u64, CliError> {
+fn to_version(verdict: EditOutcome) -> Result<u64, CliError> {
     match verdict {
-        Verdict::Accepted(version) => Ok(version),
-        Verdict::Conflict(keys) => Err(CliError::Conflict(keys.join(", "))),
-        Verdict::Invalid(why) => Err(CliError::Failed(why)),
-        Verdict::Doubled | Verdict::Stale => {
+        EditOutcome::Accepted(version) => Ok(version),
+        EditOutcome::Conflict(keys) => Err(CliError::Conflict(keys.join(", "))),
+        EditOutcome::Invalid(why) => Err(CliError::Failed(why)),
+        EditOutcome::Doubled | EditOutcome::Stale => {
             Err(CliError::Failed("the edit was folded before".to_string()))
         }
     }
--- a/src/contracts/table.rs
+++ b/src/contracts/table.rs
@@ -20,7 +20,7 @@
 
 /// What became of an edit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum EditOutcome {
     /// It is in force from this version on.
     Accepted(u64),
     /// Another edit changed these keys first.
@@ -50,15 +50,15 @@
 
 impl Table {
     /// Folds the record at an offset of the log.
-    pub fn fold(&mut self, offset: u64, record: TableRecord) -> Verdict {
+    pub fn fold(&mut self, offset: u64, record: TableRecord) -> EditOutcome {
         if offset < self.folded_to {
-            return Verdict::Stale;
+            return EditOutcome::Stale;
         }
         self.folded_to = offset + 1;
         match record {
             TableRecord::Edit(edit) => self.fold_edit(offset + 1, edit),
             // Whoever has folded all records before it knows what it shows.
-            TableRecord::Snapshot(_) => Verdict::Stale,
+            TableRecord::Snapshot(_) => EditOutcome::Stale,
         }
     }
 
@@ -126,16 +126,16 @@
         self.entries.get(key).map_or(0, |v| v.version)
     }
 
-    fn fold_edit(&mut self, version: u64, edit: Edit) -> Verdict {
+    fn fold_edit(&mut self, version: u64, edit: Edit) -> EditOutcome {
         if self.edits.contains(&edit.id) {
-            return Verdict::Doubled;
+            return EditOutcome::Doubled;
         }
         let conflicts = self.conflicts(&edit);
         if !conflicts.is_empty() {
-            return Verdict::Conflict(conflicts);
+            return EditOutcome::Conflict(conflicts);
         }
         if let Err(e) = check_edit(self, &edit) {
-            return Verdict::Invalid(e.to_string());
+            return EditOutcome::Invalid(e.to_string());
         }
         for (key, change) in edit.changes {
             match change.entry {
@@ -145,7 +145,7 @@
         }
         self.remember(edit.id);
         self.version = version;
-        Verdict::Accepted(version)
+        EditOutcome::Accepted(version)
     }
 
     fn conflicts(&self, edit: &Edit) -> Vec<String> {
--- a/tests/decisions/table_fold.rs
+++ b/tests/decisions/table_fold.rs
@@ -25,7 +25,10 @@
 fn published() -> Table {
     let mut table = Table::default();
     let edit = file(FILE).edit_of(&table, Uuid::from_u128(1));
-    assert_eq!(table.fold(0, TableRecord::Edit(edit)), Verdict::Accepted(1));
+    assert_eq!(
+        table.fold(0, TableRecord::Edit(edit)),
+        EditOutcome::Accepted(1)
+    );
     table
 }
 
@@ -40,11 +43,14 @@
     let mut table = published();
     let a = edited(&table, "weight = 2", "weight = 3", 2);
     let b = edited(&table, "weight = 2", "weight = 9", 3);
-    assert_eq!(table.fold(1, TableRecord::Edit(a)), Verdict::Accepted(2));
+    assert_eq!(
+        table.fold(1, TableRecord::Edit(a)),
+        EditOutcome::Accepted(2)
+    );
     let key = "acme/assistant/txc-a".to_string();
     assert_eq!(
         table.fold(2, TableRecord::Edit(b)),
-        Verdict::Conflict(vec![key])
+        EditOutcome::Conflict(vec![key])
     );
     assert_eq!(table.version, 2);
 }
@@ -54,8 +60,14 @@
     let mut table = published();
     let a = edited(&table, "weight = 2", "weight = 3", 2);
     let b = edited(&table, "weight = 1", "weight = 5", 3);
-    assert_eq!(table.fold(1, TableRecord::Edit(a)), Verdict::Accepted(2));
-    assert_eq!(table.fold(2, TableRecord::Edit(b)), Verdict::Accepted(3));
+    assert_eq!(
+        table.fold(1, TableRecord::Edit(a)),
+        EditOutcome::Accepted(2)
+    );
+    assert_eq!(
+        table.fold(2, TableRecord::Edit(b)),
+        EditOutcome::Accepted(3)
+    );
 }
 
 #[test]
@@ -67,7 +79,10 @@
     table.fold(1, TableRecord::Edit(a));
     let other_row = file(&stale.replacen("weight = 1", "weight = 7", 1));
     let edit = other_row.edit_of(&base, Uuid::from_u128(4));
-    assert_eq!(table.fold(2, TableRecord::Edit(edit)), Verdict::Accepted(3));
+    assert_eq!(
+        table.fold(2, TableRecord::Edit(edit)),
+        EditOutcome::Accepted(3)
+    );
     let shown = TableFile::show(&table);
     assert!(
         shown.contains("weight = 3") && shown.contains("weight = 7"),
@@ -80,7 +95,7 @@
     let mut table = published();
     let a = edited(&table, "weight = 2", "weight = 3", 2);
     table.fold(1, TableRecord::Edit(a.clone()));
-    assert_eq!(table.fold(2, TableRecord::Edit(a)), Verdict::Doubled);
+    assert_eq!(table.fold(2, TableRecord::Edit(a)), EditOutcome::Doubled);
     assert_eq!(table.version, 2);
 }
 
