--- a/src/policy/rests/reported_cooldowns.rs
+++ b/src/policy/rests/reported_cooldowns.rs
@@ -18,8 +18,8 @@
 impl ReportedCooldowns {
     /// Takes in how much rest an upstream still wants of a daemon.
     pub fn hear(&mut self, daemon: &BoxId, id: &UpstreamId, left: Duration, now_ms: u64) {
-        let quota_table = self.by_daemon.entry(daemon.clone()).or_default();
-        quota_table.note(id, left, now_ms);
+        let cooldowns = self.by_daemon.entry(daemon.clone()).or_default();
+        cooldowns.note(id, left, now_ms);
     }
 
     /// Returns the upstreams that want rest of so many daemons that it is no matter of one.
@@ -39,9 +39,9 @@
 
     /// Forgets rests that are over, and upstreams that are gone.
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId) -> bool, now_ms: u64) {
-        self.by_daemon.retain(|_, quota_table| {
-            quota_table.retain(&is_known, now_ms);
-            quota_table.resting(now_ms).next().is_some()
+        self.by_daemon.retain(|_, cooldowns| {
+            cooldowns.retain(&is_known, now_ms);
+            cooldowns.resting(now_ms).next().is_some()
         });
     }
 }
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -12,7 +12,7 @@
 
 const HOLD_MS: u64 = 600_000;
 
-fn quota_table() -> CrashTable {
+fn crash_table() -> CrashTable {
     CrashTable::new(QuarantineBounds::default())
 }
 
@@ -44,20 +44,20 @@
 
 #[test]
 fn a_request_is_held_back_once_three_upstreams_ended_under_it() {
-    let (mut quota_table, poison) = (quota_table(), request("p"));
+    let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
-        assert_eq!(quota_table.held_for(poison, n * 2_000), None, "{n}");
-        assert!(quota_table.note_end(poison, &upstream(n), 0, n * 2_000));
+        assert_eq!(crash_table.held_for(poison, n * 2_000), None, "{n}");
+        assert!(crash_table.note_end(poison, &upstream(n), 0, n * 2_000));
     }
-    assert_eq!(quota_table.held_for(poison, 4_000), Some(HOLD_MS));
-    assert_eq!(quota_table.held_for(request("q"), 4_000), None);
+    assert_eq!(crash_table.held_for(poison, 4_000), Some(HOLD_MS));
+    assert_eq!(crash_table.held_for(request("q"), 4_000), None);
 }
 
 #[test]
 fn one_end_counts_once_whoever_saw_it_and_an_upstream_may_end_again() {
-    let (mut quota_table, poison) = (quota_table(), request("p"));
-    assert!(quota_table.note_end(poison, &upstream(0), 0, 1_000));
-    assert!(!quota_table.note_end(poison, &upstream(0), 0, 1_300));
+    let (mut crash_table, poison) = (crash_table(), request("p"));
+    assert!(crash_table.note_end(poison, &upstream(0), 0, 1_000));
+    assert!(!crash_table.note_end(poison, &upstream(0), 0, 1_300));
     let told = KnownCrash {
         fingerprint: poison,
         upstream: upstream(0),
@@ -65,67 +65,67 @@
         ran_ms: 90,
         is_cleared: false,
     };
-    assert!(!quota_table.hear(&told, None, 2_500));
+    assert!(!crash_table.hear(&told, None, 2_500));
     for at_ms in [6_000, 11_000] {
-        assert_eq!(quota_table.held_for(poison, at_ms), None);
-        assert!(quota_table.note_end(poison, &upstream(0), 0, at_ms));
+        assert_eq!(crash_table.held_for(poison, at_ms), None);
+        assert!(crash_table.note_end(poison, &upstream(0), 0, at_ms));
     }
-    assert!(quota_table.held_for(poison, 11_000).is_some());
+    assert!(crash_table.held_for(poison, 11_000).is_some());
 }
 
 #[test]
 fn requests_that_ran_beside_it_are_not_held_back() {
-    let (mut quota_table, poison) = (quota_table(), request("p"));
+    let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
-        quota_table.note_end(poison, &upstream(n), 0, n * 100);
+        crash_table.note_end(poison, &upstream(n), 0, n * 100);
         for beside in 0..20 {
-            quota_table.note_end(request(&format!("{n}/{beside}")), &upstream(n), 0, n * 100);
+            crash_table.note_end(request(&format!("{n}/{beside}")), &upstream(n), 0, n * 100);
         }
     }
-    assert_eq!(quota_table.held(300), vec![poison]);
+    assert_eq!(crash_table.held(300), vec![poison]);
 }
 
 /// All upstreams of a service are lost at one moment, and on each runs what is asked most.
 #[test]
 fn upstreams_that_are_lost_together_count_once() {
-    let (mut quota_table, often) = (quota_table(), request("often"));
+    let (mut crash_table, often) = (crash_table(), request("often"));
     for n in 0..8 {
-        quota_table.note_end(often, &upstream(n), 30 + n, 1_000 + n);
+        crash_table.note_end(often, &upstream(n), 30 + n, 1_000 + n);
     }
-    assert!(quota_table.held(1_010).is_empty());
+    assert!(crash_table.held(1_010).is_empty());
     // Twice more, one after the other, is no coincidence.
-    quota_table.note_end(often, &upstream(8), 30, 2_000);
-    assert!(quota_table.held(2_000).is_empty());
-    quota_table.note_end(often, &upstream(9), 30, 3_000);
-    assert_eq!(quota_table.held(3_000), vec![often]);
+    crash_table.note_end(often, &upstream(8), 30, 2_000);
+    assert!(crash_table.held(2_000).is_empty());
+    crash_table.note_end(often, &upstream(9), 30, 3_000);
+    assert_eq!(crash_table.held(3_000), vec![often]);
 }
 
 #[test]
 fn one_that_was_beside_it_each_time_is_told_apart_by_the_next_end() {
-    let (mut quota_table, poison, beside) = (quota_table(), request("p"), request("i"));
+    let (mut crash_table, poison, beside) = (crash_table(), request("p"), request("i"));
     for n in 0..3 {
-        quota_table.note_end(poison, &upstream(n), 0, n * 100);
-        quota_table.note_end(beside, &upstream(n), 0, n * 100);
+        crash_table.note_end(poison, &upstream(n), 0, n * 100);
+        crash_table.note_end(beside, &upstream(n), 0, n * 100);
     }
-    assert!(quota_table.held(300).is_empty(), "not told apart yet");
-    quota_table.note_end(poison, &upstream(3), 0, 400);
-    assert_eq!(quota_table.held(400), vec![poison]);
+    assert!(crash_table.held(300).is_empty(), "not told apart yet");
+    crash_table.note_end(poison, &upstream(3), 0, 400);
+    assert_eq!(crash_table.held(400), vec![poison]);
 }
 
 #[test]
 fn requests_that_never_come_apart_are_held_back_a_little_later() {
-    let (mut quota_table, one, other) = (quota_table(), request("p"), request("q"));
+    let (mut crash_table, one, other) = (crash_table(), request("p"), request("q"));
     for n in 0..5 {
-        assert!(quota_table.held(n * 100).is_empty());
-        quota_table.note_end(one, &upstream(n), 0, n * 100);
-        quota_table.note_end(other, &upstream(n), 0, n * 100);
+        assert!(crash_table.held(n * 100).is_empty());
+        crash_table.note_end(one, &upstream(n), 0, n * 100);
+        crash_table.note_end(other, &upstream(n), 0, n * 100);
     }
-    assert_eq!(quota_table.held(500).len(), 2);
+    assert_eq!(crash_table.held(500).len(), 2);
 }
 
 #[test]
 fn a_request_that_is_answered_whole_is_cleared_whatever_is_told_in_which_order() {
-    let (mut here, mut there, often) = (quota_table(), quota_table(), request("i"));
+    let (mut here, mut there, often) = (crash_table(), crash_table(), request("i"));
     for n in 0..3 {
         here.note_end(often, &upstream(n), 0, n * 100);
     }
@@ -148,39 +148,39 @@
 
 #[test]
 fn after_its_hold_one_more_end_holds_it_back_again() {
-    let (mut quota_table, poison) = (quota_table(), request("p"));
+    let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
-        quota_table.note_end(poison, &upstream(n), 0, n);
+        crash_table.note_end(poison, &upstream(n), 0, n);
     }
     let back_ms = HOLD_MS + 10;
-    quota_table.tick(back_ms);
-    assert_eq!(quota_table.held_for(poison, back_ms), None);
-    quota_table.note_end(poison, &upstream(3), 0, back_ms);
-    assert_eq!(quota_table.held_for(poison, back_ms), Some(HOLD_MS));
-    quota_table.tick(back_ms + 2 * HOLD_MS);
-    assert!(quota_table.is_empty());
+    crash_table.tick(back_ms);
+    assert_eq!(crash_table.held_for(poison, back_ms), None);
+    crash_table.note_end(poison, &upstream(3), 0, back_ms);
+    assert_eq!(crash_table.held_for(poison, back_ms), Some(HOLD_MS));
+    crash_table.tick(back_ms + 2 * HOLD_MS);
+    assert!(crash_table.is_empty());
 }
 
 #[test]
 fn what_is_kept_and_told_stays_bounded_and_the_most_suspected_come_first() {
-    let (mut quota_table, poison) = (quota_table(), request("p"));
+    let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..2 {
-        quota_table.note_end(poison, &upstream(n), 0, n);
+        crash_table.note_end(poison, &upstream(n), 0, n);
     }
     for n in 0..20_000 {
-        quota_table.note_end(request(&n.to_string()), &upstream(n % 300), 0, n);
+        crash_table.note_end(request(&n.to_string()), &upstream(n % 300), 0, n);
     }
-    assert_eq!(quota_table.len(), 512);
-    let told = quota_table.to_tell(24, 20_000);
+    assert_eq!(crash_table.len(), 512);
+    let told = crash_table.to_tell(24, 20_000);
     assert_eq!(told.hubs.len(), 24);
     assert_eq!(told.hubs[0].fingerprint, poison);
-    quota_table.note_end(poison, &upstream(400), 0, 20_000);
-    assert_eq!(quota_table.held(20_000), vec![poison]);
+    crash_table.note_end(poison, &upstream(400), 0, 20_000);
+    assert_eq!(crash_table.held(20_000), vec![poison]);
 }
 
 #[test]
 fn what_is_to_be_written_is_written_by_those_that_saw_it_and_dropped_when_cleared() {
-    let (mut here, mut there, poison) = (quota_table(), quota_table(), request("p"));
+    let (mut here, mut there, poison) = (crash_table(), crash_table(), request("p"));
     here.note_end(poison, &upstream(0), 0, 0);
     assert!(here.to_write(9, 0).is_empty(), "one end is no pattern");
     for n in 1..3 {
@@ -216,7 +216,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     // From one each five seconds to three a second.
     let comes = [0.02, 0.05, 0.1, 0.3][(seed % 4) as usize];
-    let mut books: Vec<CrashTable> = (0..DAEMONS).map(|_| quota_table()).collect();
+    let mut books: Vec<CrashTable> = (0..DAEMONS).map(|_| crash_table()).collect();
     let mut mail: Vec<Mailbox> = (0..DAEMONS).map(|_| Mailbox::default()).collect();
     let poisons = [request("p"), request("q")];
     let mut back_ms = vec![0; UPSTREAMS as usize];
@@ -225,7 +225,7 @@
     // Innocent requests under way: who, where, at which daemon, since and until when.
     let mut under_way: Vec<(RequestFingerprint, u64, usize, u64, u64)> = Vec::new();
     for now_ms in (0..40_000).step_by(TICK_MS as usize) {
-        for (quota_table, mailbox) in books.iter_mut().zip(&mut mail) {
+        for (crash_table, mailbox) in books.iter_mut().zip(&mut mail) {
             let due: Vec<_> = mailbox
                 .0
                 .range(..(now_ms, u64::MAX))
@@ -235,7 +235,7 @@
                 let mut end = mailbox.0.remove(&key).unwrap();
                 // What a datagram takes on its way is not in the age that it tells.
                 end.age_ms = end.age_ms.saturating_sub(rng.random_range(0..50));
-                quota_table.hear(&end, None, now_ms);
+                crash_table.hear(&end, None, now_ms);
             }
         }
         let up: Vec<u64> = (0..UPSTREAMS)
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -113,7 +113,7 @@
     all
 }
 
-struct VersionEvaluator<'a> {
+struct RunChecker<'a> {
     world: &'a SoakWorld,
     seen: &'a Seen,
     runner: usize,
@@ -121,7 +121,7 @@
     arrived: Vec<(Run, usize)>,
 }
 
-impl<'a> VersionEvaluator<'a> {
+impl<'a> RunChecker<'a> {
     fn new(world: &'a SoakWorld, seen: &'a Seen, runner: usize) -> Self {
         let upstream = &world.runners[runner];
         let all = upstream.runs().into_iter().chain(upstream.turned_away());
@@ -186,16 +186,16 @@
     for (runner, said) in words.into_iter().enumerate() {
         let said = said.await.unwrap();
         let seen = seen.lock().unwrap();
-        let evaluator = VersionEvaluator::new(&world, &seen, runner);
+        let checker = RunChecker::new(&world, &seen, runner);
         for said in said {
             match said {
                 Said::Leaves { from, until } => {
-                    let late = evaluator.after_leaving(from, until);
+                    let late = checker.after_leaving(from, until);
                     assert!(late.is_none(), "seed {seed}: u{runner} left: {late:?}");
                     left += 1;
                 }
                 Said::Rest { from, until, rest } => {
-                    let most = evaluator.most_in_a_rest(from, until, rest);
+                    let most = checker.most_in_a_rest(from, until, rest);
                     let what = format!("{most} requests in a rest of {rest:?}");
                     assert!(most <= ALLOWED_IN_REST, "seed {seed}: u{runner}: {what}");
                     rested += 1;
