--- a/src/cluster/hubs/ask.rs
+++ b/src/cluster/hubs/ask.rs
@@ -3,7 +3,7 @@
 /// A daemon's question to a hub of its failure domain: may a request in, and
 /// where shall it run?
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct Ask {
+pub struct AdmissionQuery {
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
--- a/src/cluster/hubs/ask_answers.rs
+++ b/src/cluster/hubs/ask_answers.rs
@@ -5,7 +5,11 @@
 
 /// Answers a question of a daemon that reports to this one: at once, or later where the
 /// request is held or a permit has to be asked for.
-pub(in crate::cluster) async fn answer_ask(gateway: &Arc<Gateway>, ask: Ask, from: SocketAddr) {
+pub(in crate::cluster) async fn answer_ask(
+    gateway: &Arc<Gateway>,
+    ask: AdmissionQuery,
+    from: SocketAddr,
+) {
     let now_ms = gateway.steady_ms();
     let known = gateway.members.lock().known_answer(&ask, now_ms);
     let verdict = match known {
@@ -27,7 +31,7 @@
 
 async fn answer_later(
     gateway: Arc<Gateway>,
-    ask: Ask,
+    ask: AdmissionQuery,
     decision: std::pin::Pin<Box<impl Future<Output = Verdict> + Send>>,
     to: SocketAddr,
 ) {
@@ -35,7 +39,7 @@
     answer(&gateway, &ask, verdict, to).await;
 }
 
-async fn answer(gateway: &Gateway, ask: &Ask, verdict: Verdict, to: SocketAddr) {
+async fn answer(gateway: &Gateway, ask: &AdmissionQuery, verdict: Verdict, to: SocketAddr) {
     let now_ms = gateway.steady_ms();
     gateway.members.lock().note_answer(ask, &verdict, now_ms);
     let answer = Answer {
@@ -49,7 +53,7 @@
 }
 
 /// Decides for another daemon whether a request is let in, and where it runs.
-async fn decide(gateway: Arc<Gateway>, ask: Ask) -> Verdict {
+async fn decide(gateway: Arc<Gateway>, ask: AdmissionQuery) -> Verdict {
     let Some(table) = gateway.table() else {
         return Verdict::Unknown;
     };
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::BootInstant,
-        cluster::{Answer, Ask, Datagram, PlacementQuery, QuotaQuery, Verdict},
+        cluster::{AdmissionQuery, Answer, Datagram, PlacementQuery, QuotaQuery, Verdict},
         gateway::Gateway,
         policy::HubContact,
     },
@@ -74,7 +74,7 @@
     ) -> Option<ReceivedDecision> {
         let hubs = self.hubs_to_ask(gateway);
         let (open, mut answers) = self.open();
-        let ask = Ask {
+        let ask = AdmissionQuery {
             name: gateway.settings.node.name.to_string(),
             life: gateway.incarnation,
             id: open.id,
@@ -84,7 +84,7 @@
         };
         let patience_ms = ask.quota.as_ref().map_or(0, |q| q.patience_ms);
         let hold = Duration::from_millis(u64::from(patience_ms)) + HOLD_GRACE;
-        let datagram = Datagram::Ask(ask);
+        let datagram = Datagram::AdmissionQuery(ask);
         for hub in hubs {
             match self.ask_hub(gateway, hub, &datagram, &mut answers).await {
                 // It said that it would answer later.
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns the answer that a question already got.
-    pub fn known_answer(&mut self, ask: &Ask, now_ms: u64) -> Option<Verdict> {
+    pub fn known_answer(&mut self, ask: &AdmissionQuery, now_ms: u64) -> Option<Verdict> {
         let member = self.member(&ask.name, ask.life, now_ms);
         member.leans = true;
         if let Some(quota) = &ask.quota {
@@ -124,7 +124,7 @@
     }
 
     /// Remembers an answer, and counts the request in where it was placed.
-    pub fn note_answer(&mut self, ask: &Ask, verdict: &Verdict, now_ms: u64) {
+    pub fn note_answer(&mut self, ask: &AdmissionQuery, verdict: &Verdict, now_ms: u64) {
         let member = self.member(&ask.name, ask.life, now_ms);
         if let Verdict::Placed {
             upstream,
--- a/src/cluster/messages/control_traffic.rs
+++ b/src/cluster/messages/control_traffic.rs
@@ -18,7 +18,7 @@
     /// What daemons report to hubs.
     Report,
     /// Questions to hubs, and their answers.
-    Ask,
+    AdmissionQuery,
     /// What began to run, and that it was heard.
     Usage,
     /// Answers during roll-outs.
@@ -36,7 +36,7 @@
         Self::Quotas,
         Self::Loads,
         Self::Report,
-        Self::Ask,
+        Self::AdmissionQuery,
         Self::Usage,
         Self::Versions,
         Self::Crashes,
@@ -50,7 +50,7 @@
             Self::Quotas => "quotas",
             Self::Loads => "loads",
             Self::Report => "report",
-            Self::Ask => "ask",
+            Self::AdmissionQuery => "ask",
             Self::Usage => "usage",
             Self::Versions => "versions",
             Self::Crashes => "crashes",
@@ -66,7 +66,7 @@
             Datagram::Quotas(_) => Self::Quotas,
             Datagram::Loads(_) => Self::Loads,
             Datagram::Report(_) => Self::Report,
-            Datagram::Ask(_) | Datagram::Answer(_) => Self::Ask,
+            Datagram::AdmissionQuery(_) | Datagram::Answer(_) => Self::AdmissionQuery,
             Datagram::Usage(_) | Datagram::UsageAck(_) => Self::Usage,
             Datagram::Versions(_) => Self::Versions,
             Datagram::Crashes(_) => Self::Crashes,
--- a/src/cluster/messages/datagram.rs
+++ b/src/cluster/messages/datagram.rs
@@ -44,7 +44,7 @@
     /// A daemon reports to a hub of its failure domain.
     Report(Report),
     /// A daemon asks a hub to let a request in and to place it.
-    Ask(Ask),
+    AdmissionQuery(AdmissionQuery),
     /// A hub answers.
     Answer(Answer),
     /// A daemon tells the holder of the duties what began to run there.
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -208,7 +208,7 @@
     /// Places a request of another daemon, and takes its prompt as kept there.
     pub async fn place_asked(
         &self,
-        ask: &Ask,
+        ask: &AdmissionQuery,
         service: ServiceName,
         domain: FailureDomain,
     ) -> Verdict {
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -110,8 +110,8 @@
     }
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> AdmissionQuery {
+    AdmissionQuery {
         name: "edge-3".into(),
         life: 5,
         id: 300,
@@ -216,7 +216,7 @@
         ("quotas", Datagram::Quotas(quotas)),
         ("loads", Datagram::Loads(loads)),
         ("report", Datagram::Report(report())),
-        ("ask", Datagram::Ask(ask())),
+        ("ask", Datagram::AdmissionQuery(ask())),
         ("usage", Datagram::Usage(usage)),
         ("usage-heard", Datagram::UsageAck(heard)),
         ("versions", Datagram::Versions(versions)),
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -42,8 +42,8 @@
     assert_eq!(members.leaning(), 1, "it fell silent");
 }
 
-fn ask(id: u64) -> Ask {
-    Ask {
+fn ask(id: u64) -> AdmissionQuery {
+    AdmissionQuery {
         name: "n".into(),
         life: 1,
         id,
