--- a/src/cluster/hubs/ask.rs
+++ b/src/cluster/hubs/ask.rs
@@ -58,12 +58,12 @@
     /// Which life of the daemon asked.
     pub life: u64,
     /// What is to be done.
-    pub verdict: Verdict,
+    pub verdict: HubDecision,
 }
 
 /// What a hub decided.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum Verdict {
+pub enum HubDecision {
     /// It is let in and may run.
     Placed {
         /// The upstream.
--- a/src/cluster/hubs/ask_answers.rs
+++ b/src/cluster/hubs/ask_answers.rs
@@ -21,7 +21,7 @@
                 std::task::Poll::Pending => {
                     // Ends by itself when the request has been held long enough.
                     tokio::spawn(answer_later(gateway.clone(), ask.clone(), decision, from));
-                    Verdict::Held
+                    HubDecision::Held
                 }
             }
         }
@@ -32,14 +32,14 @@
 async fn answer_later(
     gateway: Arc<Gateway>,
     ask: AdmissionQuery,
-    decision: std::pin::Pin<Box<impl Future<Output = Verdict> + Send>>,
+    decision: std::pin::Pin<Box<impl Future<Output = HubDecision> + Send>>,
     to: SocketAddr,
 ) {
     let verdict = decision.await;
     answer(&gateway, &ask, verdict, to).await;
 }
 
-async fn answer(gateway: &Gateway, ask: &AdmissionQuery, verdict: Verdict, to: SocketAddr) {
+async fn answer(gateway: &Gateway, ask: &AdmissionQuery, verdict: HubDecision, to: SocketAddr) {
     let now_ms = gateway.steady_ms();
     gateway.members.lock().note_answer(ask, &verdict, now_ms);
     let answer = Answer {
@@ -53,23 +53,23 @@
 }
 
 /// Decides for another daemon whether a request is let in, and where it runs.
-async fn decide(gateway: Arc<Gateway>, ask: AdmissionQuery) -> Verdict {
+async fn decide(gateway: Arc<Gateway>, ask: AdmissionQuery) -> HubDecision {
     let Some(table) = gateway.table() else {
-        return Verdict::Unknown;
+        return HubDecision::Unknown;
     };
     let service = ask.place.service.as_str().into();
     if table.find_service(&service).is_none() {
-        return Verdict::Unknown;
+        return HubDecision::Unknown;
     }
     if let Some(quota) = &ask.quota {
         let mut accounts = table.config().accounts.iter();
         let Some(account) = accounts.find(|t| t.name.as_str() == quota.account) else {
-            return Verdict::Unknown;
+            return HubDecision::Unknown;
         };
         let patience = Duration::from_millis(u64::from(quota.patience_ms));
         if let Err(wait) = gateway.admit(account, quota.cost, patience).await {
             gateway.log_refusal(account, quota.cost, wait, &ask.request);
-            return Verdict::Refused {
+            return HubDecision::Refused {
                 wait_ms: wait.as_millis() as u64,
             };
         }
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::BootInstant,
-        cluster::{AdmissionQuery, Answer, Datagram, PlacementQuery, QuotaQuery, Verdict},
+        cluster::{AdmissionQuery, Answer, Datagram, HubDecision, PlacementQuery, QuotaQuery},
         gateway::Gateway,
         policy::HubContact,
     },
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedDecision {
     /// What is to be done.
-    pub verdict: Verdict,
+    pub verdict: HubDecision,
     /// Whether the placement has a permit, where its upstream names a limit: hubs of earlier
     /// builds know of none.
     pub has_permit: bool,
@@ -88,7 +88,7 @@
         for hub in hubs {
             match self.ask_hub(gateway, hub, &datagram, &mut answers).await {
                 // It said that it would answer later.
-                Some(heard) if heard.verdict == Verdict::Held => {
+                Some(heard) if heard.verdict == HubDecision::Held => {
                     if let Some(heard) = decided_within(hold, &mut answers).await {
                         return Some(heard);
                     }
@@ -210,7 +210,7 @@
     let decided = async {
         loop {
             let heard = answers.recv().await?;
-            if heard.verdict != Verdict::Held {
+            if heard.verdict != HubDecision::Held {
                 return Some(heard);
             }
         }
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -37,7 +37,7 @@
     accounts: HashMap<ClientAccount, u64>,
     /// Where its next turn among the other accounts begins.
     next_account: usize,
-    answers: VecDeque<(u64, Verdict)>,
+    answers: VecDeque<(u64, HubDecision)>,
 }
 
 /// A placement that no report has counted in yet.
@@ -112,7 +112,7 @@
     }
 
     /// Returns the answer that a question already got.
-    pub fn known_answer(&mut self, ask: &AdmissionQuery, now_ms: u64) -> Option<Verdict> {
+    pub fn known_answer(&mut self, ask: &AdmissionQuery, now_ms: u64) -> Option<HubDecision> {
         let member = self.member(&ask.name, ask.life, now_ms);
         member.leans = true;
         if let Some(quota) = &ask.quota {
@@ -124,9 +124,9 @@
     }
 
     /// Remembers an answer, and counts the request in where it was placed.
-    pub fn note_answer(&mut self, ask: &AdmissionQuery, verdict: &Verdict, now_ms: u64) {
+    pub fn note_answer(&mut self, ask: &AdmissionQuery, verdict: &HubDecision, now_ms: u64) {
         let member = self.member(&ask.name, ask.life, now_ms);
-        if let Verdict::Placed {
+        if let HubDecision::Placed {
             upstream,
             unread_tokens,
             ..
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -211,7 +211,7 @@
         ask: &AdmissionQuery,
         service: ServiceName,
         domain: FailureDomain,
-    ) -> Verdict {
+    ) -> HubDecision {
         let typed = |names: &[String]| -> Vec<UpstreamId> {
             names.iter().map(|n| UpstreamId::from(n.as_str())).collect()
         };
@@ -226,10 +226,10 @@
             apart_by: ask.place.apart_by,
         };
         let Some(placement) = self.choose_permitted(&request, &ask.request).await else {
-            return Verdict::NoUpstream;
+            return HubDecision::NoUpstream;
         };
         self.note_cached(&request.prompt, &placement.upstream);
-        Verdict::Placed {
+        HubDecision::Placed {
             upstream: placement.upstream.id.to_string(),
             unread_tokens: placement.unread_tokens,
             waiting_tokens: placement.waiting_tokens,
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -1,7 +1,7 @@
 use {
     super::{Placement, *},
     crate::{
-        cluster::{PlacementQuery, QuotaQuery, ReceivedDecision, Verdict},
+        cluster::{HubDecision, PlacementQuery, QuotaQuery, ReceivedDecision},
         names::{FailureDomain, ServiceName, UpstreamId},
         policy::*,
         routing::AccountTerms,
@@ -75,12 +75,12 @@
         let request = context.id_text();
         let heard = self.hub_client.ask(self, request, quota, place).await;
         match heard.as_ref().map(|heard| &heard.verdict) {
-            Some(Verdict::Refused { wait_ms }) => Err(Duration::from_millis(*wait_ms)),
-            Some(Verdict::Unknown | Verdict::Held) | None => match limited {
+            Some(HubDecision::Refused { wait_ms }) => Err(Duration::from_millis(*wait_ms)),
+            Some(HubDecision::Unknown | HubDecision::Held) | None => match limited {
                 Some(account) => self.admit_alone(account, cost),
                 None => Ok(()),
             },
-            Some(Verdict::Placed { .. } | Verdict::NoUpstream) => {
+            Some(HubDecision::Placed { .. } | HubDecision::NoUpstream) => {
                 if let Some(account) = limited {
                     self.standalone_quotas.lock().note_decided(&account.name);
                 }
@@ -127,7 +127,7 @@
     /// Returns the placement that a hub decided on, if its upstream is known and
     /// ready here, too, and takes requests from this daemon.
     fn asked_placement(&self, heard: &ReceivedDecision, is_repeat: bool) -> Option<Placement> {
-        let Verdict::Placed {
+        let HubDecision::Placed {
             upstream,
             unread_tokens,
             waiting_tokens,
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -138,17 +138,17 @@
 
 /// Returns the kinds of datagrams with one of each.
 pub fn datagrams() -> Vec<(&'static str, Datagram)> {
-    let placed = Verdict::Placed {
+    let placed = HubDecision::Placed {
         upstream: "i-3".into(),
         unread_tokens: 660,
         waiting_tokens: 264,
     };
     let verdicts = [
         ("answer-placed", placed),
-        ("answer-no-upstream", Verdict::NoUpstream),
-        ("answer-refused", Verdict::Refused { wait_ms: 450 }),
-        ("answer-held", Verdict::Held),
-        ("answer-unknown", Verdict::Unknown),
+        ("answer-no-upstream", HubDecision::NoUpstream),
+        ("answer-refused", HubDecision::Refused { wait_ms: 450 }),
+        ("answer-held", HubDecision::Held),
+        ("answer-unknown", HubDecision::Unknown),
     ];
     let answers = verdicts.into_iter().map(|(kind, verdict)| {
         let answer = Answer {
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -65,7 +65,7 @@
 #[test]
 fn a_placement_counts_from_the_answer_until_a_report_counts_it_in() {
     let mut members = MemberTable::default();
-    let placed = Verdict::Placed {
+    let placed = HubDecision::Placed {
         upstream: "u1".into(),
         unread_tokens: 700,
         waiting_tokens: 0,
