--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -135,7 +135,7 @@
             state.as_str(),
             view.elapsed_ms,
             view.deadline_ms,
-            view.judgement,
+            view.assessment,
             led.evaluator.all().answers,
             led.evaluator.all().bad,
             worst.usual_rate(),
@@ -191,6 +191,6 @@
         target_slots,
         other_slots,
         busy_others: gateway.busy_at_others(&rollout.service, &rollout.target),
-        judgement: evaluator.judgement(),
+        assessment: evaluator.assessment(),
     }
 }
--- a/src/rollouts/evaluator.rs
+++ b/src/rollouts/evaluator.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns what is known.
-    pub fn judgement(&self) -> Assessment {
+    pub fn assessment(&self) -> Assessment {
         if self.worst().log_ratio() >= LOG_ALPHA {
             return Assessment::Bad;
         }
--- a/src/rollouts/rollout_steps.rs
+++ b/src/rollouts/rollout_steps.rs
@@ -36,7 +36,7 @@
     /// Requests that run or wait at upstreams of other versions.
     pub busy_others: u32,
     /// What is known of the new version.
-    pub judgement: Assessment,
+    pub assessment: Assessment,
 }
 
 /// The steps of one roll-out, as its leader takes them.
@@ -70,7 +70,7 @@
     pub fn next(&mut self, view: RolloutView) -> RolloutState {
         self.has_seen_others |= view.other_slots > 0;
         let gets_most = self.share >= MOST;
-        let is_bad = match view.judgement {
+        let is_bad = match view.assessment {
             Assessment::Bad => true,
             Assessment::StronglySuspected => gets_most,
             _ => false,
@@ -93,10 +93,10 @@
         }
         self.share = self.next_share(view);
         let all_moved = self.share >= 1.0;
-        if all_moved && self.is_idle(view) && view.judgement == Assessment::Good {
+        if all_moved && self.is_idle(view) && view.assessment == Assessment::Good {
             return self.end(RolloutState::Completed);
         }
-        match (is_last, all_moved && view.judgement == Assessment::Good) {
+        match (is_last, all_moved && view.assessment == Assessment::Good) {
             (true, true) => self.end(RolloutState::Completed),
             (true, false) => self.end(RolloutState::RolledBack),
             (false, _) => RolloutState::InProgress,
@@ -108,8 +108,8 @@
         let planned = RISE.iter().find(|(until, _)| part < *until);
         let planned = planned.map_or(1.0, |(_, share)| *share);
         let first = self.most_unproved * FIRST_PART;
-        let is_first = part < FIRST_UNTIL || view.judgement == Assessment::Unknown;
-        let share = match view.judgement {
+        let is_first = part < FIRST_UNTIL || view.assessment == Assessment::Unknown;
+        let share = match view.assessment {
             _ if is_first => first,
             Assessment::Suspected | Assessment::StronglySuspected => {
                 // As much as a bad one may get: known soon, and within the bound.
--- a/tests/decisions/rollouts.rs
+++ b/tests/decisions/rollouts.rs
@@ -153,7 +153,7 @@
             target_slots: if is_there { 960 } else { 0 },
             other_slots: 960,
             busy_others: if share < 1.0 { 40 } else { 0 },
-            judgement: evaluator.judgement(),
+            assessment: evaluator.assessment(),
         });
         shares.push((now_ms, steps.share()));
         if state != RolloutState::InProgress {
