--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -75,8 +75,8 @@
     }
 }
 
-impl From<FeedNews> for Heard {
-    fn from(news: FeedNews) -> Self {
+impl From<FeedReply> for Heard {
+    fn from(news: FeedReply) -> Self {
         Self {
             life: news.life,
             source_age_ms: news.source_age_ms,
@@ -173,7 +173,7 @@
 
     async fn ask_by_offsets(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let answer = self.post(daemon, NEWS_PATH, false).await?;
-        Ok(decode::<FeedNews>(&answer)?.into())
+        Ok(decode::<FeedReply>(&answer)?.into())
     }
 
     async fn post(
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -39,7 +39,7 @@
 
 /// What a daemon tells another that goes by offsets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FeedNews {
+pub struct FeedReply {
     /// Which life of it.
     pub life: u64,
     /// How old the newest answer of its source is, in milliseconds.
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -148,11 +148,11 @@
         Ok((news.told, news.is_whole, packed))
     }
 
-    fn news_for(&self, ask: FeedQuery) -> Result<FeedNews, FeedError> {
+    fn news_for(&self, ask: FeedQuery) -> Result<FeedReply, FeedError> {
         let gateway = &self.gateway;
         let config_position = *gateway.config_position.lock();
         let (config_version, config) = self.config_for(ask);
-        Ok(FeedNews {
+        Ok(FeedReply {
             life: gateway.incarnation,
             source_age_ms: gateway.source_age_ms(),
             config_version,
--- a/tests/decisions/foreign_bytes.rs
+++ b/tests/decisions/foreign_bytes.rs
@@ -8,7 +8,7 @@
     bytes::Bytes,
     proptest::{prelude::*, test_runner::RngSeed},
     saddlepulley::{
-        cluster::{CrashesPart, Datagram, FeedNews, FeedQuery, FeedUpdate, Packet, decode},
+        cluster::{CrashesPart, Datagram, FeedQuery, FeedReply, FeedUpdate, Packet, decode},
         names::UpstreamId,
         platform::{
             KeyedRecord, config_from_record, read_answer, split_keyed, suspect_record,
@@ -58,7 +58,7 @@
         bytes.push(253);
         bytes.extend([0xff; 7]);
         bytes.push(0x0f);
-        assert!(decode::<FeedNews>(&bytes).is_err(), "after {zeros} zeros");
+        assert!(decode::<FeedReply>(&bytes).is_err(), "after {zeros} zeros");
     }
 }
 
@@ -103,7 +103,7 @@
         let _ = split_keyed(&shared);
         let _ = Datagram::decode(&bytes);
         let _ = decode::<FeedQuery>(&bytes);
-        let _ = decode::<FeedNews>(&bytes);
+        let _ = decode::<FeedReply>(&bytes);
         let _ = unpack_config(&bytes);
         if let Ok(update) = decode::<FeedUpdate>(&bytes) {
             let _ = update.directory();
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -258,8 +258,8 @@
 }
 
 /// Returns news.
-pub fn feed_news() -> FeedNews {
-    FeedNews {
+pub fn feed_news() -> FeedReply {
+    FeedReply {
         life: 5,
         source_age_ms: Some(300),
         config_version: 41,
