--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -51,7 +51,7 @@
 
 /// What a report told that was not known.
 #[derive(Debug, Default, PartialEq)]
-pub struct ReportNews {
+pub struct ReportChanges {
     /// What happened to requests.
     pub events: Vec<MemberEvent>,
     /// What was let in without a hub, by client account.
@@ -69,11 +69,11 @@
 
 impl MemberTable {
     /// Takes in a report; returns what is new.
-    pub fn hear_report(&mut self, report: &Report, now_ms: u64) -> ReportNews {
+    pub fn hear_report(&mut self, report: &Report, now_ms: u64) -> ReportChanges {
         let member = self.member(&report.daemon.name, report.life, now_ms);
         member.leans = report.leans_on_you;
         if !member.leans {
-            return ReportNews::default();
+            return ReportChanges::default();
         }
         let last_event = member.last_event;
         let fresh = report.events.iter().filter(|(n, _)| *n > last_event);
@@ -86,7 +86,7 @@
             let typed = |(name, units): &(String, f64)| (ClientAccount::from(&**name), *units);
             alone = report.alone.iter().map(typed).collect();
         }
-        ReportNews { events, alone }
+        ReportChanges { events, alone }
     }
 
     /// Takes in what a daemon has at upstreams.
