--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -171,9 +171,9 @@
     }
 
     /// Notes that a hub was heard from.
-    pub fn note_heard(&self, hub: SocketAddr) {
+    pub fn record_contact(&self, hub: SocketAddr) {
         if let Some(contact) = self.state.lock().hubs.get_mut(&hub) {
-            contact.note_heard();
+            contact.record_contact();
         }
     }
 
@@ -182,7 +182,7 @@
         let contact = state.hubs.entry(hub).or_default();
         match after {
             Some(after) => contact.note_answer(after.as_secs_f64() * 1_000.0),
-            None => contact.note_heard(),
+            None => contact.record_contact(),
         }
     }
 
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -71,7 +71,7 @@
         }
     }
     let now_ms = gateway.steady_ms();
-    gateway.hub_client.note_heard(from);
+    gateway.hub_client.record_contact(from);
     match packet.datagram {
         Datagram::Digest(digest) => {
             gateway.hear_rollouts(&digest.rollouts);
@@ -191,7 +191,7 @@
     if part.life != gateway.incarnation {
         let mut usage = gateway.usage.lock();
         usage.merge(&part.name, part.life, &told);
-        usage.note_heard(&part.name, part.life, now_ms);
+        usage.record_contact(&part.name, part.life, now_ms);
         if part.whole_before > 0 {
             usage.note_whole(&part.name, part.whole_before, now_ms);
         }
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -47,7 +47,7 @@
     }
 
     /// Notes that something of a life's counts was heard.
-    pub fn note_heard(&mut self, node: &str, incarnation: u64, now_ms: u64) {
+    pub fn record_contact(&mut self, node: &str, incarnation: u64, now_ms: u64) {
         self.heard_ms
             .insert((node.to_string(), incarnation), now_ms);
     }
--- a/src/policy/hubs/contact.rs
+++ b/src/policy/hubs/contact.rs
@@ -30,7 +30,7 @@
 impl HubContact {
     /// Notes an answer to a question that was sent once.
     pub fn note_answer(&mut self, after_ms: f64) {
-        self.note_heard();
+        self.record_contact();
         self.times = Some(match self.times {
             None => (after_ms, after_ms / 2.0),
             Some((time, deviation)) => {
@@ -44,7 +44,7 @@
     }
 
     /// Notes that the hub was heard from.
-    pub fn note_heard(&mut self) {
+    pub fn record_contact(&mut self) {
         self.backoff_ms = 0;
         self.avoided_until_ms = 0;
     }
--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -20,14 +20,14 @@
 impl SourceContact {
     /// Notes that the source answered.
     pub fn note_answer(&mut self, now_ms: u64) {
-        self.note_heard(now_ms, now_ms);
+        self.record_contact(now_ms, now_ms);
         self.failing_since_ms = None;
     }
 
     /// Notes when the source was heard, by this daemon or another. If nobody heard it for
     /// long, entries may have lapsed; if others did all the time, only this daemon was cut
     /// off, and what goes is gone.
-    fn note_heard(&mut self, heard_ms: u64, now_ms: u64) {
+    fn record_contact(&mut self, heard_ms: u64, now_ms: u64) {
         let before_ms = self.heard_ms;
         let was_away = before_ms.is_none_or(|before_ms| heard_ms >= before_ms + UNHEARD_MS);
         if was_away && self.is_cut(now_ms) {
@@ -43,7 +43,7 @@
 
     /// Notes when the source told something to a daemon that this one asks.
     pub fn note_relayed(&mut self, heard_ms: u64, now_ms: u64) {
-        self.note_heard(heard_ms, now_ms);
+        self.record_contact(heard_ms, now_ms);
     }
 
     /// Notes that the source is no longer called: whether it could be reached
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -266,7 +266,7 @@
     assert!(contact.is_avoided(1_100));
     assert!(!contact.is_avoided(2_000));
     contact.note_silent(2_000);
-    contact.note_heard();
+    contact.record_contact();
     assert!(!contact.is_avoided(2_001));
 }
 
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -79,8 +79,8 @@
     let mut first_holder = UsageWindows::default();
     first_holder.merge("gone", 1, &[(3, counts(2)), (7, counts(5)), (8, counts(6))]);
     first_holder.merge("lives", 2, &[(8, counts(1))]);
-    first_holder.note_heard("gone", 1, 1_000);
-    first_holder.note_heard("lives", 2, 5_000);
+    first_holder.record_contact("gone", 1, 1_000);
+    first_holder.record_contact("lives", 2, 5_000);
 
     let mut second_holder = UsageWindows::default();
     // The second holder is known since 4,000: what was heard later it has heard, too.
