--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 struct Member {
     life: u64,
-    heard_ms: u64,
+    last_seen_ms: u64,
     /// Whether it lets its requests in through this daemon.
     leans: bool,
     loads: ReceivedLoads,
@@ -107,7 +107,7 @@
                 ..Member::default()
             };
         }
-        member.heard_ms = now_ms;
+        member.last_seen_ms = now_ms;
         member
     }
 
@@ -185,7 +185,7 @@
     /// Forgets daemons that fell silent, and placements that came to nothing.
     pub fn tick(&mut self, now_ms: u64) {
         self.members
-            .retain(|_, m| now_ms < m.heard_ms + MEMBER_SILENT_MS);
+            .retain(|_, m| now_ms < m.last_seen_ms + MEMBER_SILENT_MS);
         for member in self.members.values_mut() {
             member.booked.retain(|b| now_ms < b.at_ms + BOOKED_MS);
             member.accounts.retain(|_, at_ms| now_ms < *at_ms + USED_MS);
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -25,7 +25,7 @@
     /// Which life of it was heard.
     pub(super) life: u64,
     /// When it was heard last.
-    pub(super) heard_ms: Option<u64>,
+    pub(super) last_seen_ms: Option<u64>,
     /// When another told last that it hears it.
     told_ms: Option<u64>,
     /// How often it tells of itself, in milliseconds.
@@ -61,7 +61,7 @@
             rank: entry.rank(),
             entry,
             life: 0,
-            heard_ms: None,
+            last_seen_ms: None,
             told_ms: Some(now_ms),
             every_ms: 0,
             status: DaemonStatus::default(),
@@ -74,7 +74,7 @@
     /// Notes that another daemon hears it.
     pub(super) fn note_told(&mut self, entry: DaemonEntry, now_ms: u64) {
         self.told_ms = Some(now_ms);
-        if self.heard_ms.is_none() {
+        if self.last_seen_ms.is_none() {
             self.set_entry(entry);
         }
     }
@@ -87,7 +87,7 @@
         }
         self.note_life(digest.life);
         self.set_entry(digest.daemon.clone());
-        self.heard_ms = Some(now_ms);
+        self.last_seen_ms = Some(now_ms);
         self.every_ms = u64::from(digest.every_ms);
         self.status = digest.status;
         match &mut self.hub {
@@ -113,7 +113,7 @@
         self.note_life(report.life);
         self.report_sequence = report.sequence;
         self.set_entry(report.daemon.clone());
-        self.heard_ms = Some(now_ms);
+        self.last_seen_ms = Some(now_ms);
         self.every_ms = u64::from(report.every_ms);
         self.status = report.status;
         true
@@ -170,7 +170,7 @@
     /// Returns whether it is alive: by what was heard of it, or by what others
     /// say where it doesn't talk to this daemon.
     pub(super) fn is_live(&self, now_ms: u64) -> bool {
-        match self.heard_ms {
+        match self.last_seen_ms {
             Some(_) => !self.is_silent(now_ms),
             None => self.told_ms.is_some_and(|told| now_ms < told + TOLD_MS),
         }
@@ -200,14 +200,14 @@
     /// its own, as it tells it: it grows with the number of hubs that it knows,
     /// which differ while daemons start.
     fn is_older(&self, periods: f64, now_ms: u64) -> bool {
-        let Some(heard_ms) = self.heard_ms else {
+        let Some(last_seen_ms) = self.last_seen_ms else {
             return true;
         };
-        now_ms.saturating_sub(heard_ms) as f64 >= self.every_ms as f64 * periods
+        now_ms.saturating_sub(last_seen_ms) as f64 >= self.every_ms as f64 * periods
     }
 
     /// Returns when it was last heard or told of.
     pub(super) fn last_ms(&self) -> u64 {
-        self.heard_ms.max(self.told_ms).unwrap_or(0)
+        self.last_seen_ms.max(self.told_ms).unwrap_or(0)
     }
 }
--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -42,7 +42,7 @@
                 let other = OtherDaemon {
                     node: peer.entry.name.clone(),
                     weight: f64::from(told.weight),
-                    heard_ms: peer.heard_ms.unwrap_or(0),
+                    last_seen_ms: peer.last_seen_ms.unwrap_or(0),
                     late: !replaced && peer.is_late(self.now_ms),
                     silent: !replaced && peer.is_silent(self.now_ms),
                     replaced,
@@ -93,7 +93,7 @@
     /// Hubs whose part of the quotas is their own.
     pub(super) fn reserved(&self) -> impl Iterator<Item = &Peer> {
         let heard = self.told_hubs().filter(|p| {
-            p.heard_ms
+            p.last_seen_ms
                 .is_some_and(|heard| self.now_ms < heard + RESERVED_MS)
         });
         heard.filter(|p| !self.is_replaced_there(p))
--- a/src/cluster/membership/peer_sources.rs
+++ b/src/cluster/membership/peer_sources.rs
@@ -34,7 +34,7 @@
         informed.sort();
         let mut addresses: Vec<_> = informed.into_iter().map(|(.., a)| a).collect();
         // Of those that are only told of, nothing is known: they come last.
-        let told = self.live().filter(|p| p.heard_ms.is_none());
+        let told = self.live().filter(|p| p.last_seen_ms.is_none());
         addresses.extend(told.map(|p| p.entry.address));
         addresses
     }
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -211,7 +211,7 @@
     /// Returns which lives of other hubs this one tells. One that is silent for a while is
     /// the same listener when it is heard again.
     pub fn listening_hubs(&self) -> BTreeSet<Listener> {
-        let heard = self.hubs_anywhere().filter(|p| p.heard_ms.is_some());
+        let heard = self.hubs_anywhere().filter(|p| p.last_seen_ms.is_some());
         heard.map(|p| (p.entry.address, p.life)).collect()
     }
 
@@ -219,7 +219,9 @@
     /// starts again hears of the others by being told.
     pub fn silent_neighbours(&self) -> Vec<SocketAddr> {
         let silent = self.all().filter(|p| {
-            p.entry.domain == self.own.domain && p.heard_ms.is_some() && p.is_silent(self.now_ms)
+            p.entry.domain == self.own.domain
+                && p.last_seen_ms.is_some()
+                && p.is_silent(self.now_ms)
         });
         silent.map(|p| p.entry.address).collect()
     }
@@ -268,8 +270,8 @@
     /// is `wanted_ms` old.
     pub fn wants_digest(&self, hub: SocketAddr, wanted_ms: u64) -> bool {
         let peer = self.named(self.index.at(hub).into_iter()).next();
-        let heard_ms = peer.and_then(|p| p.heard_ms);
-        heard_ms.is_none_or(|heard| self.now_ms >= heard + wanted_ms)
+        let last_seen_ms = peer.and_then(|p| p.last_seen_ms);
+        last_seen_ms.is_none_or(|heard| self.now_ms >= heard + wanted_ms)
     }
 
     pub(super) fn live(&self) -> impl Iterator<Item = &Peer> {
--- a/src/cluster/membership/spoken_versions.rs
+++ b/src/cluster/membership/spoken_versions.rs
@@ -32,7 +32,7 @@
     /// Returns the versions in which a daemon is told.
     pub fn for_daemon(&self, to: SocketAddr, now_ms: u64) -> &'static [u8] {
         let spoken = self.spoken.get(&to);
-        let fresh = spoken.filter(|(_, heard_ms)| now_ms < heard_ms + FORGOTTEN_MS);
+        let fresh = spoken.filter(|(_, last_seen_ms)| now_ms < last_seen_ms + FORGOTTEN_MS);
         match fresh {
             Some((OLDEST_DATAGRAM_VERSION, _)) => &[OLDEST_DATAGRAM_VERSION],
             Some(_) => &[DATAGRAM_VERSION],
@@ -43,7 +43,7 @@
     /// Forgets daemons that have long been silent.
     pub fn tick(&mut self, now_ms: u64) {
         self.spoken
-            .retain(|_, (_, heard_ms)| now_ms < *heard_ms + FORGOTTEN_MS);
+            .retain(|_, (_, last_seen_ms)| now_ms < *last_seen_ms + FORGOTTEN_MS);
     }
 
     /// Returns how many daemons speak each version that this build knows.
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -27,7 +27,7 @@
     /// By source, its own counts; they only grow.
     others: BTreeMap<(String, u64), BTreeMap<u64, AccountCounts>>,
     /// When something of each source was heard last.
-    heard_ms: HashMap<(String, u64), u64>,
+    last_seen_ms: HashMap<(String, u64), u64>,
     /// By daemon, before which window all was told, and when that was heard.
     tellers: HashMap<String, (u64, u64)>,
 }
@@ -48,7 +48,7 @@
 
     /// Notes that something of a life's counts was heard.
     pub fn record_contact(&mut self, node: &str, incarnation: u64, now_ms: u64) {
-        self.heard_ms
+        self.last_seen_ms
             .insert((node.to_string(), incarnation), now_ms);
     }
 
@@ -57,8 +57,8 @@
     pub fn heard(&self, from_window: u64, before_ms: u64) -> Vec<HeardUsage> {
         let mut heard = Vec::new();
         for ((name, life), windows) in &self.others {
-            let heard_ms = self.heard_ms.get(&(name.clone(), *life));
-            if heard_ms.is_some_and(|at_ms| *at_ms >= before_ms) {
+            let last_seen_ms = self.last_seen_ms.get(&(name.clone(), *life));
+            if last_seen_ms.is_some_and(|at_ms| *at_ms >= before_ms) {
                 continue;
             }
             let late = windows.range(from_window..);
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -54,7 +54,7 @@
     /// The weight with which it asks for a part of the rate.
     pub weight: f64,
     /// When it was heard last.
-    pub heard_ms: u64,
+    pub last_seen_ms: u64,
     /// Whether its notice is late: it may be cut off.
     pub late: bool,
     /// Whether it has been silent for too long since.
@@ -235,7 +235,7 @@
                 let left = self.level.max(0.0) * part;
                 self.level -= left;
                 other.charged += left;
-                silent.heard_ms
+                silent.last_seen_ms
             }
         };
         let used = rate * part * now_ms.saturating_sub(from_ms) as f64 / 1_000.0;
--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -12,7 +12,7 @@
 /// milliseconds of its steady clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SourceContact {
-    heard_ms: Option<u64>,
+    last_seen_ms: Option<u64>,
     failing_since_ms: Option<u64>,
     returned_ms: Option<u64>,
 }
@@ -27,13 +27,13 @@
     /// Notes when the source was heard, by this daemon or another. If nobody heard it for
     /// long, entries may have lapsed; if others did all the time, only this daemon was cut
     /// off, and what goes is gone.
-    fn record_contact(&mut self, heard_ms: u64, now_ms: u64) {
-        let before_ms = self.heard_ms;
-        let was_away = before_ms.is_none_or(|before_ms| heard_ms >= before_ms + UNHEARD_MS);
+    fn record_contact(&mut self, last_seen_ms: u64, now_ms: u64) {
+        let before_ms = self.last_seen_ms;
+        let was_away = before_ms.is_none_or(|before_ms| last_seen_ms >= before_ms + UNHEARD_MS);
         if was_away && self.is_cut(now_ms) {
-            self.returned_ms = Some(heard_ms);
+            self.returned_ms = Some(last_seen_ms);
         }
-        self.heard_ms = before_ms.max(Some(heard_ms));
+        self.last_seen_ms = before_ms.max(Some(last_seen_ms));
     }
 
     /// Notes that a call to the source, begun at `began_ms`, failed.
@@ -42,8 +42,8 @@
     }
 
     /// Notes when the source told something to a daemon that this one asks.
-    pub fn note_relayed(&mut self, heard_ms: u64, now_ms: u64) {
-        self.record_contact(heard_ms, now_ms);
+    pub fn note_relayed(&mut self, last_seen_ms: u64, now_ms: u64) {
+        self.record_contact(last_seen_ms, now_ms);
     }
 
     /// Notes that the source is no longer called: whether it could be reached
@@ -54,8 +54,8 @@
 
     /// Returns how old the newest answer is; none before the first.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
-        self.heard_ms
-            .map(|heard_ms| now_ms.saturating_sub(heard_ms))
+        self.last_seen_ms
+            .map(|last_seen_ms| now_ms.saturating_sub(last_seen_ms))
     }
 
     /// Returns whether calls have been failing for a while.
--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -182,7 +182,7 @@
         let mut builds = [Build::Landed(old); DAEMONS];
         let mut spoken = vec![SpokenVersions::default(); DAEMONS];
         let mut changed_ms = [0; DAEMONS];
-        let mut heard_ms = [[0; DAEMONS]; DAEMONS];
+        let mut last_seen_ms = [[0; DAEMONS]; DAEMONS];
         let mut cut_until_ms = 0;
         for now_ms in (0..90_000).step_by(TELL_MS as usize) {
             if rng.random_bool(0.02) {
@@ -208,7 +208,7 @@
                         if is_cut || rng.random_bool(0.1) || !builds[to].understands(version) {
                             continue;
                         }
-                        heard_ms[to][from] = now_ms;
+                        last_seen_ms[to][from] = now_ms;
                         spoken[to].note(at(from as u16), version, now_ms);
                     }
                 }
@@ -219,7 +219,7 @@
                         continue;
                     }
                     let since = changed_ms[from].max(changed_ms[to]).max(cut_until_ms);
-                    let deaf_ms = now_ms.saturating_sub(heard_ms[to][from].max(since));
+                    let deaf_ms = now_ms.saturating_sub(last_seen_ms[to][from].max(since));
                     assert!(
                         deaf_ms <= HEARD_WITHIN_MS,
                         "seed {seed} at {now_ms}: {to} ({:?}) hears nothing of {from} ({:?})",
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -129,7 +129,7 @@
 
     fn others_of(&self, at: usize, now_ms: u64) -> HashMap<ClientAccount, Vec<OtherDaemon>> {
         let mut others: HashMap<ClientAccount, Vec<OtherDaemon>> = HashMap::new();
-        for (from, (heard_ms, notices)) in &self.heard[at] {
+        for (from, (last_seen_ms, notices)) in &self.heard[at] {
             for notice in notices {
                 others
                     .entry(notice.account.clone())
@@ -137,9 +137,9 @@
                     .push(OtherDaemon {
                         node: from.to_string(),
                         weight: notice.weight,
-                        heard_ms: *heard_ms,
-                        late: now_ms > heard_ms + LATE_MS,
-                        silent: now_ms >= heard_ms + SILENT_MS,
+                        last_seen_ms: *last_seen_ms,
+                        late: now_ms > last_seen_ms + LATE_MS,
+                        silent: now_ms >= last_seen_ms + SILENT_MS,
                         replaced: false,
                     });
             }
@@ -360,7 +360,7 @@
     let other = OtherDaemon {
         node: "b".into(),
         weight: 90_000.0,
-        heard_ms: 5_000,
+        last_seen_ms: 5_000,
         late: true,
         silent: false,
         replaced: false,
@@ -401,11 +401,11 @@
 fn what_was_charged_for_a_silent_daemon_is_given_back_when_it_is_heard() {
     let limit = exact(100_000.0, 100_000.0);
     let mut account = QuotaAccount::new(0.5, &limit, 0);
-    let others = |heard_ms: u64, silent: bool| {
+    let others = |last_seen_ms: u64, silent: bool| {
         [OtherDaemon {
             node: "b".into(),
             weight: 50_000.0,
-            heard_ms,
+            last_seen_ms,
             late: silent,
             silent,
             replaced: false,
