--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -3,7 +3,7 @@
         cluster::*,
         gateway::Gateway,
         names::now_ms,
-        policy::{AccountCounts, HeardUsage},
+        policy::{AccountCounts, ReceivedUsage},
     },
     std::{
         collections::{BTreeMap, HashMap},
@@ -196,7 +196,7 @@
 
 /// Tells the own counts; returns whether all of them were heard.
 async fn tell_own(gateway: &Gateway, listener: &DutyListener) -> bool {
-    let counts = HeardUsage {
+    let counts = ReceivedUsage {
         name: gateway.settings.node.name.to_string(),
         life: gateway.incarnation,
         windows: gateway.usage.lock().newest(TOLD_WINDOWS),
@@ -226,7 +226,7 @@
 async fn tell(
     gateway: &Gateway,
     listener: &DutyListener,
-    counts: &HeardUsage,
+    counts: &ReceivedUsage,
     window: u64,
 ) -> bool {
     let parts = {
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -11,7 +11,7 @@
 
 /// What was heard of the counts of one life of another daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeardUsage {
+pub struct ReceivedUsage {
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
@@ -54,7 +54,7 @@
 
     /// Returns what was heard of other daemons' counts, from a window on, of lives
     /// last heard before `before_ms`.
-    pub fn heard(&self, from_window: u64, before_ms: u64) -> Vec<HeardUsage> {
+    pub fn heard(&self, from_window: u64, before_ms: u64) -> Vec<ReceivedUsage> {
         let mut heard = Vec::new();
         for ((name, life), windows) in &self.others {
             let last_seen_ms = self.last_seen_ms.get(&(name.clone(), *life));
@@ -64,7 +64,7 @@
             let late = windows.range(from_window..);
             let late: Vec<_> = late.map(|(w, counts)| (*w, counts.clone())).collect();
             if !late.is_empty() {
-                heard.push(HeardUsage {
+                heard.push(ReceivedUsage {
                     name: name.clone(),
                     life: *life,
                     windows: late,
