--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -14,7 +14,7 @@
 /// answers are.
 impl Gateway {
     /// Takes in an operator's order.
-    pub fn hear_rollout_order(&self, order: &RolloutOrder) {
+    pub fn apply_rollout_order(&self, order: &RolloutOrder) {
         self.hear_rollouts(&[Rollout::ordered(order)]);
     }
 
--- a/tests/decisions/rollout_duty.rs
+++ b/tests/decisions/rollout_duty.rs
@@ -66,7 +66,7 @@
 fn gateway() -> Gateway {
     let settings = GatewaySettings::parse("settings", SETTINGS).unwrap();
     let gateway = Gateway::new(settings, HeaderNames::default(), 7);
-    gateway.hear_rollout_order(&RolloutOrder {
+    gateway.apply_rollout_order(&RolloutOrder {
         service: "s".into(),
         target: "v2".into(),
         deadline_s: 30.0,
