--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -219,7 +219,7 @@
         let version = heard.config_version;
         self.gateway.peers.lock().hear_config(daemon, version);
         self.gateway.note_newest_config(version);
-        self.gateway.hear_rollouts(&heard.rollouts);
+        self.gateway.apply_rollouts(&heard.rollouts);
         self.gateway
             .change_directory(|directory, _| match heard.directory {
                 HeardDirectory::Changes(changes) => directory.apply(changes),
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -74,7 +74,7 @@
     gateway.hub_client.record_contact(from);
     match packet.datagram {
         Datagram::Digest(digest) => {
-            gateway.hear_rollouts(&digest.rollouts);
+            gateway.apply_rollouts(&digest.rollouts);
             let name = digest.daemon.name.clone();
             let mut peers = gateway.peers.lock();
             peers.hear_digest(digest, now_ms);
--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -78,7 +78,7 @@
     /// the operator would read two that differ.
     async fn begin(&mut self, gateway: &Gateway, fence: u64) -> Result<(), BackendError> {
         self.board.take_over(fence).await?;
-        gateway.hear_rollouts(&self.board.read().await?);
+        gateway.apply_rollouts(&self.board.read().await?);
         self.led.clear();
         self.unwritten.clear();
         self.last_number = 0;
@@ -122,7 +122,7 @@
             age_ms: 0,
             ..rollout
         };
-        gateway.hear_rollouts(std::slice::from_ref(&told));
+        gateway.apply_rollouts(std::slice::from_ref(&told));
         if !is_step {
             return;
         }
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -15,11 +15,11 @@
 impl Gateway {
     /// Takes in an operator's order.
     pub fn apply_rollout_order(&self, order: &RolloutOrder) {
-        self.hear_rollouts(&[Rollout::ordered(order)]);
+        self.apply_rollouts(&[Rollout::ordered(order)]);
     }
 
     /// Takes in what was told of roll-outs.
-    pub fn hear_rollouts(&self, told: &[Rollout]) {
+    pub fn apply_rollouts(&self, told: &[Rollout]) {
         let now_ms = self.steady_ms();
         for rollout in told {
             if self.rollouts.lock().hear(rollout, now_ms) {
