--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -4,7 +4,7 @@
 };
 
 /// Takes in limits that another daemon told.
-pub(in crate::cluster) fn hear_limits(gateway: &Gateway, part: &LimitsPart) {
+pub(in crate::cluster) fn apply_limits(gateway: &Gateway, part: &LimitsPart) {
     // A hub passes on what it hears: of hubs to those that report to it, of others to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
     for told in part.limits.iter().filter_map(AnnouncedLimit::known) {
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -59,7 +59,7 @@
                     gateway.hear_rests(&report.daemon.name, &part);
                 }
             }
-            Extension::Limits(part) => hear_limits(gateway, &part),
+            Extension::Limits(part) => apply_limits(gateway, &part),
             Extension::Leaving(part) => hear_leaving(gateway, &part),
             Extension::PermitQuery(ask) => answer_permit_ask(gateway, ask, from),
             Extension::PermitAnswer(answer) => {
