--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -8,7 +8,7 @@
     // A hub passes on what it hears: of hubs to those that report to it, of others to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
     for told in part.limits.iter().filter_map(AnnouncedLimit::known) {
-        gateway.hear_limit(&told, passes_on);
+        gateway.apply_limit(&told, passes_on);
     }
 }
 
@@ -21,7 +21,7 @@
     let Some(limit) = ask.limit.known() else {
         return;
     };
-    gateway.hear_limit(&limit, None);
+    gateway.apply_limit(&limit, None);
     let gateway = gateway.clone();
     // It may have to ask another daemon first: nothing else waits for that.
     tokio::spawn(async move {
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes in what another daemon told of a limit.
-    pub fn hear_limit(&self, told: &KnownLimit, passes_on: Option<bool>) {
+    pub fn apply_limit(&self, told: &KnownLimit, passes_on: Option<bool>) {
         let now_ms = self.steady_ms();
         if self.limits.lock().hear(told, passes_on, now_ms) {
             log_change(&told.upstream, told.rate, "a daemon");
@@ -121,7 +121,7 @@
                     Some(answer) => {
                         let known = answer.limit.as_ref().and_then(AnnouncedLimit::known);
                         if let Some(known) = known {
-                            self.hear_limit(&known, None);
+                            self.apply_limit(&known, None);
                         }
                         let wait_ms = u64::from(answer.wait_ms);
                         answer.is_granted.then_some(()).ok_or(wait_ms)
