--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -56,7 +56,7 @@
         match extension {
             Extension::Rests(part) => {
                 if let Datagram::Report(report) = &packet.datagram {
-                    gateway.hear_rests(&report.daemon.name, &part);
+                    gateway.apply_cooldowns(&report.daemon.name, &part);
                 }
             }
             Extension::Limits(part) => apply_limits(gateway, &part),
--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -65,7 +65,7 @@
     }
 
     /// Takes in what upstreams want of a daemon that this one places for.
-    pub fn hear_rests(&self, daemon: &str, part: &CooldownsPart) {
+    pub fn apply_cooldowns(&self, daemon: &str, part: &CooldownsPart) {
         let now_ms = self.steady_ms();
         let daemon = BoxId::from(daemon);
         let mut told = self.reported_cooldowns.lock();
