--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -113,7 +113,7 @@
     // A hub passes on what it hears: of hubs to those that report to it, of others to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
     for told in &part.ends {
-        gateway.hear_end(&told.known(), passes_on);
+        gateway.apply_crash(&told.known(), passes_on);
     }
 }
 
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -70,7 +70,7 @@
     }
 
     /// Takes in what another daemon told.
-    pub fn hear_end(&self, told: &KnownCrash, passes_on: Option<bool>) {
+    pub fn apply_crash(&self, told: &KnownCrash, passes_on: Option<bool>) {
         let now_ms = self.steady_ms();
         let mut crashes = self.crashes.lock();
         let was_held = crashes.held_for(told.fingerprint, now_ms).is_some();
@@ -86,7 +86,7 @@
             self.crashes.lock().hear_cleared(record.fingerprint);
         }
         for end in &record.ends {
-            self.hear_end(end, Some(true));
+            self.apply_crash(end, Some(true));
         }
     }
 
