--- a/src/cluster/crashes/quarantine_keeper.rs
+++ b/src/cluster/crashes/quarantine_keeper.rs
@@ -54,7 +54,7 @@
             records.write(&dropped, now_ms()).await?;
             continue;
         }
-        gateway.hear_written(record);
+        gateway.apply_written(record);
     }
     *position = Some(page.next);
     Ok(())
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -81,7 +81,7 @@
     }
 
     /// Takes in what was written down of a request.
-    pub fn hear_written(&self, record: &SuspectRecord) {
+    pub fn apply_written(&self, record: &SuspectRecord) {
         if record.ends.is_empty() {
             self.crashes.lock().hear_cleared(record.fingerprint);
         }
