--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -83,7 +83,7 @@
     /// Takes in what was written down of a request.
     pub fn apply_written(&self, record: &SuspectRecord) {
         if record.ends.is_empty() {
-            self.crashes.lock().hear_cleared(record.fingerprint);
+            self.crashes.lock().apply_cleared(record.fingerprint);
         }
         for end in &record.ends {
             self.apply_crash(end, Some(true));
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -279,7 +279,7 @@
     }
 
     /// Takes in that what was written down of a request is nothing to go by any more.
-    pub fn hear_cleared(&mut self, fingerprint: RequestFingerprint) {
+    pub fn apply_cleared(&mut self, fingerprint: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.clear(0);
         }
