--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -80,7 +80,7 @@
     }
 
     /// Takes in a digest; returns whether it is news.
-    pub(super) fn hear_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
+    pub(super) fn apply_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
         let known = self.hub.as_ref().map(|hub| &hub.digest);
         if known.is_some_and(|k| k.life == digest.life && digest.sequence <= k.sequence) {
             return false;
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -59,13 +59,13 @@
     }
 
     /// Takes in a digest; returns whether it is news.
-    pub fn hear_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
+    pub fn apply_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
         self.now_ms = self.now_ms.max(now_ms);
         if digest.daemon.name == self.own.name {
             return false;
         }
         let (daemon, known) = (digest.daemon.clone(), digest.known.clone());
-        if !self.change(&daemon, |peer| peer.hear_digest(digest, now_ms)) {
+        if !self.change(&daemon, |peer| peer.apply_digest(digest, now_ms)) {
             return false;
         }
         for entry in known {
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -77,7 +77,7 @@
             gateway.apply_rollouts(&digest.rollouts);
             let name = digest.daemon.name.clone();
             let mut peers = gateway.peers.lock();
-            peers.hear_digest(digest, now_ms);
+            peers.apply_digest(digest, now_ms);
             peers.note_level(&name, level);
         }
         Datagram::Quotas(part) => hear_quotas(gateway, &part, now_ms),
--- a/tests/decisions/config_spread.rs
+++ b/tests/decisions/config_spread.rs
@@ -45,7 +45,7 @@
     let tables = ["a", "c"].map(|domain| {
         let mut table = table_in(domain);
         for (name, domain, port, version) in DAEMONS {
-            table.hear_digest(digest(name, domain, port, version), 0);
+            table.apply_digest(digest(name, domain, port, version), 0);
         }
         table
     });
@@ -58,8 +58,8 @@
 #[test]
 fn a_daemon_that_fell_silent_is_not_asked() {
     let mut table = table_in("a");
-    table.hear_digest(digest("n1", "a", 1, 8), 0);
-    table.hear_digest(digest("n2", "a", 2, 8), 2_000);
+    table.apply_digest(digest("n1", "a", 1, 8), 0);
+    table.apply_digest(digest("n2", "a", 2, 8), 2_000);
     table.tick(1, 2_000);
     assert_eq!(ports(&table, 7), [2]);
 }
@@ -92,8 +92,8 @@
 #[test]
 fn one_that_is_named_by_a_daemon_that_is_busy_may_be_asked_at_once() {
     let mut table = table_in("a");
-    table.hear_digest(digest("n1", "a", 1, 8), 0);
-    table.hear_digest(digest("n2", "a", 2, 7), 0);
+    table.apply_digest(digest("n1", "a", 1, 8), 0);
+    table.apply_digest(digest("n2", "a", 2, 7), 0);
     table.hear_config(([10, 0, 0, 1], 2).into(), 8);
     assert_eq!(ports(&table, 7), [1, 2]);
     // Also one that doesn't talk to this daemon.
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -77,7 +77,7 @@
         let before = table.looked_at();
         assert!(table.hear_report(&report(9, 2), 1_100));
         let digest = digest_of("n7", 1);
-        assert!(table.hear_digest(digest, 1_100));
+        assert!(table.apply_digest(digest, 1_100));
         assert_eq!(table.looked_at(), before, "{daemons}");
     }
 }
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -114,7 +114,7 @@
         let now_ms = self.now_ms;
         match message {
             Message::Digest(digest) => {
-                self.daemons[own].table.hear_digest(digest, now_ms);
+                self.daemons[own].table.apply_digest(digest, now_ms);
             }
             Message::Report(report) => {
                 self.daemons[own].table.hear_report(&report, now_ms);
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -20,9 +20,9 @@
 #[test]
 fn a_hub_is_silent_after_some_of_its_own_periods_and_its_part_stays_its_own() {
     let mut peers = PeerTable::new(entry("own", "a", 1));
-    assert!(peers.hear_digest(digest_of("n", 1), 1_000));
+    assert!(peers.apply_digest(digest_of("n", 1), 1_000));
     assert!(
-        !peers.hear_digest(digest_of("n", 1), 1_100),
+        !peers.apply_digest(digest_of("n", 1), 1_100),
         "the same one again"
     );
     let quotas = QuotasPart {
@@ -57,7 +57,7 @@
     let mut peers = PeerTable::new(entry("own", "a", 1));
     let mut digest = digest_of("n", 1);
     digest.every_ms = 3_750;
-    peers.hear_digest(digest, 1_000);
+    peers.apply_digest(digest, 1_000);
     peers.tick(1, 8_000);
     assert_eq!(peers.live_addresses(), [address(7)]);
 }
@@ -67,7 +67,7 @@
     let mut peers = PeerTable::new(entry("own", "a", 1));
     let mut digest = digest_of("n", 1);
     digest.leaning = 50;
-    peers.hear_digest(digest, 1_000);
+    peers.apply_digest(digest, 1_000);
     let quotas = QuotasPart {
         name: "n".into(),
         life: 1,
@@ -90,11 +90,11 @@
     let mut far = PeerTable::new(entry("far", "b", 2));
     let mut digest = digest_of("n", 1);
     digest.leaning = 50;
-    far.hear_digest(digest, 1_000);
+    far.apply_digest(digest, 1_000);
     far.hear_quotas(&quotas, 1_000);
     let mut next = Digest::new(entry("next", "a", 3), 1, 1);
     (next.leaning, next.every_ms) = (40, 250);
-    far.hear_digest(next, 1_800);
+    far.apply_digest(next, 1_800);
     far.tick(1, 1_900);
     assert_eq!(others(&far), None);
 }
@@ -168,7 +168,7 @@
         };
         self.tables[to].hear_report(&report, self.now_ms);
         let answer = self.digest(to, &domain);
-        self.tables[from].hear_digest(answer, self.now_ms);
+        self.tables[from].apply_digest(answer, self.now_ms);
     }
 
     /// Lets each daemon tell what it has to.
@@ -189,7 +189,7 @@
                 to.extend((0..SEEDS).map(address));
                 for to in to.into_iter().map(Self::index) {
                     if to != from && !self.down.contains(&to) {
-                        self.tables[to].hear_digest(digest.clone(), self.now_ms);
+                        self.tables[to].apply_digest(digest.clone(), self.now_ms);
                     }
                 }
             } else {
@@ -392,12 +392,12 @@
     let mut digest = digest_of("n", 1);
     digest.duty_daemons = told;
     let mut other = PeerTable::new(entry("other", "b", 2));
-    assert!(other.hear_digest(digest.clone(), 1_000));
+    assert!(other.apply_digest(digest.clone(), 1_000));
     assert!(other.has_duty_holder());
     assert_eq!(other.duty_daemons().get(&holder), Some(&true));
     // One that hears that it holds them itself goes by what it knows.
     let mut own = PeerTable::new(entry("m", "a", 9));
-    assert!(own.hear_digest(digest, 1_000));
+    assert!(own.apply_digest(digest, 1_000));
     assert!(!own.has_duty_holder());
     // It gives them back.
     assert!(hub.hear_report(&report_of("m", 9, 2, false), 1_500));
@@ -425,7 +425,7 @@
         let mut digest = digest_of("n", 1);
         digest.status.is_hub = true;
         digest.leaning = 3;
-        peers.hear_digest(digest, 1_000);
+        peers.apply_digest(digest, 1_000);
         peers.tick(1, 1_000);
         assert_eq!(peers.daemons(), 4);
         let mut number = 0;
@@ -434,7 +434,7 @@
             if number > lost {
                 let mut digest = digest_of("n", 1 + number);
                 digest.status.is_hub = false;
-                peers.hear_digest(digest, 1_000 + 250 * number);
+                peers.apply_digest(digest, 1_000 + 250 * number);
             }
         }
         assert_eq!(number, 4);
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -363,7 +363,7 @@
         }
         let mut digest = Digest::new(entry(hub, domain, n), 1, 1);
         digest.every_ms = 250;
-        table.hear_digest(digest, 1_000);
+        table.apply_digest(digest, 1_000);
         table.note_level(hub, *level);
     }
     table.tick(1, 1_100);
@@ -433,6 +433,6 @@
     );
     let mut digest = Digest::new(entry("a2", "a", 0), 2, 1);
     digest.every_ms = 250;
-    table.hear_digest(digest, 1_200);
+    table.apply_digest(digest, 1_200);
     assert_eq!(table.permit_issuer(1, "a", false), PermitIssuer::Nobody);
 }
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -189,7 +189,7 @@
 #[test]
 fn each_account_is_as_old_as_it_was_told() {
     let mut peers = PeerTable::new(entry("own", "a", 1));
-    peers.hear_digest(digest_of("n", 1), 1_000);
+    peers.apply_digest(digest_of("n", 1), 1_000);
     let mut part = QuotasPart {
         name: "n".into(),
         life: 1,
--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -72,7 +72,7 @@
     let mut table = PeerTable::new(entry("own", "a", 0));
     let mut digest = digest_of("hub", 1);
     digest.known = vec![entry("new", "a", 1)];
-    table.hear_digest(digest, 0);
+    table.apply_digest(digest, 0);
     assert!(table.live_addresses().contains(&new));
     let mut forms = FeedForms::default();
     assert!(forms.asks_updates(new, table.level_at(new)), "told of");
