--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -48,7 +48,7 @@
 
 fn hear_all(table: &mut PeerTable, daemons: usize, sequence: u64) {
     for n in 1..daemons {
-        table.hear_report(&report(n, sequence), 1);
+        table.apply_report(&report(n, sequence), 1);
     }
 }
 
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -69,7 +69,7 @@
 
 impl MemberTable {
     /// Takes in a report; returns what is new.
-    pub fn hear_report(&mut self, report: &Report, now_ms: u64) -> ReportChanges {
+    pub fn apply_report(&mut self, report: &Report, now_ms: u64) -> ReportChanges {
         let member = self.member(&report.daemon.name, report.life, now_ms);
         member.leans = report.leans_on_you;
         if !member.leans {
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -106,7 +106,7 @@
     }
 
     /// Takes in a report; returns whether it is news.
-    pub(super) fn hear_report(&mut self, report: &Report, now_ms: u64) -> bool {
+    pub(super) fn apply_report(&mut self, report: &Report, now_ms: u64) -> bool {
         if self.life == report.life && report.sequence <= self.report_sequence {
             return false;
         }
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -78,9 +78,9 @@
     }
 
     /// Takes in a report; returns whether it is news.
-    pub fn hear_report(&mut self, report: &Report, now_ms: u64) -> bool {
+    pub fn apply_report(&mut self, report: &Report, now_ms: u64) -> bool {
         self.now_ms = self.now_ms.max(now_ms);
-        self.change(&report.daemon, |peer| peer.hear_report(report, now_ms))
+        self.change(&report.daemon, |peer| peer.apply_report(report, now_ms))
     }
 
     /// Takes in what a hub tells of quotas; returns whether it is news.
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -88,7 +88,7 @@
             }
         }
         Datagram::Report(report) => {
-            hear_report(gateway, &report, now_ms).await;
+            apply_report(gateway, &report, now_ms).await;
             gateway.peers.lock().note_level(&report.daemon.name, level);
         }
         Datagram::AdmissionQuery(ask) => answer_ask(gateway, ask, from).await,
@@ -127,13 +127,13 @@
     quotas.hear(&part.name, part.life, &notices, is_younger, now_ms);
 }
 
-async fn hear_report(gateway: &Gateway, report: &Report, now_ms: u64) {
+async fn apply_report(gateway: &Gateway, report: &Report, now_ms: u64) {
     if report.daemon.name == gateway.settings.node.name.as_str()
-        || !gateway.peers.lock().hear_report(report, now_ms)
+        || !gateway.peers.lock().apply_report(report, now_ms)
     {
         return;
     }
-    let news = gateway.members.lock().hear_report(report, now_ms);
+    let news = gateway.members.lock().apply_report(report, now_ms);
     for (account, units) in &news.alone {
         gateway.quotas.lock().note_admitted(account, *units);
     }
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -35,7 +35,7 @@
 fn seed_of(daemons: usize) -> PeerTable {
     let mut table = PeerTable::new(entry("n0", &domain(0), 0));
     for n in 1..daemons {
-        table.hear_report(&report(n, 1), 1_000);
+        table.apply_report(&report(n, 1), 1_000);
     }
     table.tick(1, 1_000);
     table
@@ -75,7 +75,7 @@
     for daemons in SIZES {
         let mut table = seed_of(daemons);
         let before = table.looked_at();
-        assert!(table.hear_report(&report(9, 2), 1_100));
+        assert!(table.apply_report(&report(9, 2), 1_100));
         let digest = digest_of("n7", 1);
         assert!(table.apply_digest(digest, 1_100));
         assert_eq!(table.looked_at(), before, "{daemons}");
@@ -85,7 +85,7 @@
 #[test]
 fn daemons_that_fell_silent_are_not_looked_at_again_and_again() {
     let mut table = seed_of(2_000);
-    table.hear_report(&report(9, 2), 10_000);
+    table.apply_report(&report(9, 2), 10_000);
     table.tick(1, 10_000);
     let is_hub = looked_at(&table, |t| t.is_hub());
     assert!(is_hub <= MOST_OF_DOMAIN, "{is_hub}");
@@ -101,14 +101,14 @@
     let mut moved = report(8, 2);
     moved.daemon.domain = "elsewhere".into();
     moved.daemon.address = address(500);
-    assert!(table.hear_report(&moved, 1_100));
+    assert!(table.apply_report(&moved, 1_100));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let there = table.named_for("elsewhere", &mut rng);
     assert_eq!(there[0].address, address(500));
     let mut leaving = moved.clone();
     leaving.sequence = 3;
     leaving.status.is_leaving = true;
-    assert!(table.hear_report(&leaving, 1_200));
+    assert!(table.apply_report(&leaving, 1_200));
     let there = table.named_for("elsewhere", &mut rng);
     assert!(there.iter().all(|entry| entry.domain != "elsewhere"));
     assert!(
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -117,7 +117,7 @@
                 self.daemons[own].table.apply_digest(digest, now_ms);
             }
             Message::Report(report) => {
-                self.daemons[own].table.hear_report(&report, now_ms);
+                self.daemons[own].table.apply_report(&report, now_ms);
                 let mut answer = self.digest(own, &report.daemon.domain);
                 answer.every_ms = REPORT_MS as u32;
                 self.send(report.daemon.address, Message::Digest(answer));
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -166,7 +166,7 @@
             alone: Vec::new(),
             alone_batch: 0,
         };
-        self.tables[to].hear_report(&report, self.now_ms);
+        self.tables[to].apply_report(&report, self.now_ms);
         let answer = self.digest(to, &domain);
         self.tables[from].apply_digest(answer, self.now_ms);
     }
@@ -382,7 +382,7 @@
 #[test]
 fn a_holder_of_the_duties_that_is_no_hub_is_told_of_and_told_usage() {
     let mut hub = PeerTable::new(entry("hub", "a", 1));
-    assert!(hub.hear_report(&report_of("m", 9, 1, true), 1_000));
+    assert!(hub.apply_report(&report_of("m", 9, 1, true), 1_000));
     let holder = (address(9), 5);
     assert!(hub.has_duty_holder());
     assert_eq!(hub.duty_daemons().get(&holder), Some(&true));
@@ -400,7 +400,7 @@
     assert!(own.apply_digest(digest, 1_000));
     assert!(!own.has_duty_holder());
     // It gives them back.
-    assert!(hub.hear_report(&report_of("m", 9, 2, false), 1_500));
+    assert!(hub.apply_report(&report_of("m", 9, 2, false), 1_500));
     assert!(!hub.has_duty_holder());
     assert!(hub.duty_daemons().is_empty());
 }
@@ -408,7 +408,7 @@
 #[test]
 fn a_holder_that_fell_silent_is_no_longer_told_of() {
     let mut hub = PeerTable::new(entry("hub", "a", 1));
-    hub.hear_report(&report_of("m", 9, 1, true), 1_000);
+    hub.apply_report(&report_of("m", 9, 1, true), 1_000);
     hub.tick(1, 4_000);
     assert!(!hub.has_duty_holder());
     assert!(hub.reporting_duty_holders().is_empty());
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -32,9 +32,9 @@
         let upstream = format!("u{n}");
         (n, MemberEvent::Unreachable { upstream })
     };
-    let news = members.hear_report(&report(1, &[event(1)], 1), 0);
+    let news = members.apply_report(&report(1, &[event(1)], 1), 0);
     assert_eq!((news.events.len(), news.alone.len()), (1, 1));
-    let news = members.hear_report(&report(2, &[event(1), event(2)], 1), 100);
+    let news = members.apply_report(&report(2, &[event(1), event(2)], 1), 100);
     assert_eq!(news.events, [event(2).1]);
     assert!(news.alone.is_empty());
     assert_eq!(members.leaning(), 2);
@@ -129,7 +129,7 @@
 fn a_daemon_is_told_of_the_accounts_that_it_uses_and_by_turns_of_the_others() {
     for accounts in [40, 333, 2_000] {
         let mut members = MemberTable::default();
-        members.hear_report(&report(1, &[], 0), 0);
+        members.apply_report(&report(1, &[], 0), 0);
         for used in [5, 17, 30] {
             let mut asked = ask(used);
             asked.name = "m".into();
@@ -160,7 +160,7 @@
 #[test]
 fn a_daemon_that_uses_many_accounts_is_told_of_all_of_them() {
     let mut members = MemberTable::default();
-    members.hear_report(&report(1, &[], 0), 0);
+    members.apply_report(&report(1, &[], 0), 0);
     for used in 0..100 {
         let mut asked = ask(used);
         asked.name = "m".into();
