--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -135,7 +135,7 @@
 
     /// Takes in what it tells of quotas; returns whether it is news. Parts of
     /// one telling have the same number.
-    pub(super) fn hear_quotas(&mut self, part: &QuotasPart, now_ms: u64) -> bool {
+    pub(super) fn apply_quotas(&mut self, part: &QuotasPart, now_ms: u64) -> bool {
         let life = self.life;
         let Some(hub) = self.hub.as_mut().filter(|_| part.life == life) else {
             return false;
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -84,9 +84,9 @@
     }
 
     /// Takes in what a hub tells of quotas; returns whether it is news.
-    pub fn hear_quotas(&mut self, part: &QuotasPart, now_ms: u64) -> bool {
+    pub fn apply_quotas(&mut self, part: &QuotasPart, now_ms: u64) -> bool {
         let peer = self.peers.get_mut(part.name.as_str());
-        peer.is_some_and(|p| p.hear_quotas(part, now_ms))
+        peer.is_some_and(|p| p.apply_quotas(part, now_ms))
     }
 
     /// Takes in what a hub has at upstreams; returns whether it is one.
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -80,7 +80,7 @@
             peers.apply_digest(digest, now_ms);
             peers.note_level(&name, level);
         }
-        Datagram::Quotas(part) => hear_quotas(gateway, &part, now_ms),
+        Datagram::Quotas(part) => apply_quotas(gateway, &part, now_ms),
         Datagram::Loads(part) => {
             let is_hub = gateway.peers.lock().hear_loads(&part, now_ms);
             if !is_hub {
@@ -117,8 +117,8 @@
     }
 }
 
-fn hear_quotas(gateway: &Gateway, part: &QuotasPart, now_ms: u64) {
-    if !gateway.peers.lock().hear_quotas(part, now_ms) {
+fn apply_quotas(gateway: &Gateway, part: &QuotasPart, now_ms: u64) {
+    if !gateway.peers.lock().apply_quotas(part, now_ms) {
         return;
     }
     let is_younger = part.age_ms <= gateway.hub_age_ms() + SAME_AGE_MS;
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -32,7 +32,7 @@
         age_ms: 0,
         quotas: vec![told_account(1)],
     };
-    assert!(peers.hear_quotas(&quotas, 1_000));
+    assert!(peers.apply_quotas(&quotas, 1_000));
     assert!(peers.hear_loads(&loads_part(1, 0, 1, &["u1"]), 1_000));
     let silent = |peers: &PeerTable| peers.quota_daemons().values().flatten().any(|d| d.silent);
     let loads = |peers: &PeerTable| {
@@ -75,7 +75,7 @@
         age_ms: 0,
         quotas: vec![told_account(1)],
     };
-    peers.hear_quotas(&quotas, 1_000);
+    peers.apply_quotas(&quotas, 1_000);
     let others = |peers: &PeerTable| {
         peers
             .quota_daemons()
@@ -91,7 +91,7 @@
     let mut digest = digest_of("n", 1);
     digest.leaning = 50;
     far.apply_digest(digest, 1_000);
-    far.hear_quotas(&quotas, 1_000);
+    far.apply_quotas(&quotas, 1_000);
     let mut next = Digest::new(entry("next", "a", 3), 1, 1);
     (next.leaning, next.every_ms) = (40, 250);
     far.apply_digest(next, 1_800);
