--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes in what a daemon has at upstreams.
-    pub fn hear_loads(&mut self, part: LoadsPart, now_ms: u64) {
+    pub fn apply_loads(&mut self, part: LoadsPart, now_ms: u64) {
         let member = self.member(&part.name, part.life, now_ms);
         if member.loads.hear(part) {
             member.loads_ms = now_ms;
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes in what a hub has at upstreams; returns whether it is one.
-    pub fn hear_loads(&mut self, part: &LoadsPart, now_ms: u64) -> bool {
+    pub fn apply_loads(&mut self, part: &LoadsPart, now_ms: u64) -> bool {
         let peer = self.peers.get_mut(part.name.as_str());
         let hub = peer
             .filter(|p| p.as_hub().is_some())
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -82,9 +82,9 @@
         }
         Datagram::Quotas(part) => apply_quotas(gateway, &part, now_ms),
         Datagram::Loads(part) => {
-            let is_hub = gateway.peers.lock().hear_loads(&part, now_ms);
+            let is_hub = gateway.peers.lock().apply_loads(&part, now_ms);
             if !is_hub {
-                gateway.members.lock().hear_loads(part, now_ms);
+                gateway.members.lock().apply_loads(part, now_ms);
             }
         }
         Datagram::Report(report) => {
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -33,7 +33,7 @@
         quotas: vec![told_account(1)],
     };
     assert!(peers.apply_quotas(&quotas, 1_000));
-    assert!(peers.hear_loads(&loads_part(1, 0, 1, &["u1"]), 1_000));
+    assert!(peers.apply_loads(&loads_part(1, 0, 1, &["u1"]), 1_000));
     let silent = |peers: &PeerTable| peers.quota_daemons().values().flatten().any(|d| d.silent);
     let loads = |peers: &PeerTable| {
         let mut count = 0;
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -80,9 +80,9 @@
         sums.get("u1").copied()
     };
     assert_eq!(waiting(&members), Some((1, 700)));
-    members.hear_loads(loads_part(4, 0, 1, &["u1"]), 20);
+    members.apply_loads(loads_part(4, 0, 1, &["u1"]), 20);
     assert_eq!(waiting(&members), Some((31, 1_200)), "not counted in yet");
-    members.hear_loads(loads_part(5, 0, 1, &["u1"]), 40);
+    members.apply_loads(loads_part(5, 0, 1, &["u1"]), 40);
     assert_eq!(waiting(&members), Some((30, 500)));
 }
 
