--- a/src/cluster/leaving/leaving_announcer.rs
+++ b/src/cluster/leaving/leaving_announcer.rs
@@ -48,7 +48,7 @@
 }
 
 /// Takes in what another daemon told of upstreams that leave.
-pub(in crate::cluster) fn hear_leaving(gateway: &Arc<Gateway>, part: &LeavingPart) {
+pub(in crate::cluster) fn apply_leaving(gateway: &Arc<Gateway>, part: &LeavingPart) {
     // A hub passes on what it hears: of hubs to those that report to it, of others to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
     for name in &part.upstreams {
