--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -97,7 +97,7 @@
                 gateway.hub_client.hear(answer, has_permit);
             }
         }
-        Datagram::Crashes(part) => hear_crashes(gateway, &part),
+        Datagram::Crashes(part) => apply_crashes(gateway, &part),
         Datagram::Versions(part) => gateway.version_count_table.lock().hear(part),
         Datagram::Usage(part) => hear_usage(gateway, &part, from, now_ms).await,
         Datagram::UsageAck(heard) => {
@@ -109,7 +109,7 @@
     }
 }
 
-fn hear_crashes(gateway: &Gateway, part: &CrashesPart) {
+fn apply_crashes(gateway: &Gateway, part: &CrashesPart) {
     // A hub passes on what it hears: of hubs to those that report to it, of others to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
     for told in &part.ends {
