--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -99,7 +99,7 @@
         }
         Datagram::Crashes(part) => apply_crashes(gateway, &part),
         Datagram::Versions(part) => gateway.version_count_table.lock().hear(part),
-        Datagram::Usage(part) => hear_usage(gateway, &part, from, now_ms).await,
+        Datagram::Usage(part) => apply_usage(gateway, &part, from, now_ms).await,
         Datagram::UsageAck(heard) => {
             let mut tellers = gateway.usage_announcers.lock();
             if let Some(teller) = tellers.get_mut(&heard.life) {
@@ -183,7 +183,7 @@
     }
 }
 
-async fn hear_usage(gateway: &Gateway, part: &UsagePart, from: SocketAddr, now_ms: u64) {
+async fn apply_usage(gateway: &Gateway, part: &UsagePart, from: SocketAddr, now_ms: u64) {
     let counts = part.counts.iter();
     let counts = counts.map(|(name, n)| (name.as_str().into(), u64::from(*n)));
     let told = [(part.window, counts.collect())];
