--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -15,7 +15,7 @@
     let socket = Arc::new(socket);
     gateway.set_datagram_socket(socket.clone());
     tokio::join!(
-        hear_datagrams(socket, gateway.clone()),
+        receive_datagrams(socket, gateway.clone()),
         tell_digests(gateway.clone()),
         tell_reports(gateway.clone()),
         tell_usage(gateway.clone()),
@@ -26,7 +26,7 @@
     );
 }
 
-async fn hear_datagrams(socket: Arc<UdpSocket>, gateway: Arc<Gateway>) {
+async fn receive_datagrams(socket: Arc<UdpSocket>, gateway: Arc<Gateway>) {
     let mut buf = vec![0; 2 * MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buf).await {
