--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -158,7 +158,7 @@
     }
 
     /// Takes in a hub's answer.
-    pub fn hear(&self, answer: Answer, has_permit: bool) {
+    pub fn apply(&self, answer: Answer, has_permit: bool) {
         let state = self.state.lock();
         if let Some(tx) = state.waiting.get(&answer.id) {
             let verdict = answer.verdict;
--- a/src/cluster/hubs/loads_part.rs
+++ b/src/cluster/hubs/loads_part.rs
@@ -56,7 +56,7 @@
 
 impl ReceivedLoads {
     /// Takes in a part; returns whether a newer whole is known by it.
-    pub fn hear(&mut self, part: LoadsPart) -> bool {
+    pub fn apply(&mut self, part: LoadsPart) -> bool {
         if part.life != self.life {
             *self = Self {
                 life: part.life,
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -92,7 +92,7 @@
     /// Takes in what a daemon has at upstreams.
     pub fn apply_loads(&mut self, part: LoadsPart, now_ms: u64) {
         let member = self.member(&part.name, part.life, now_ms);
-        if member.loads.hear(part) {
+        if member.loads.apply(part) {
             member.loads_ms = now_ms;
             let counted = member.loads.counted;
             member.booked.retain(|b| b.ask > counted);
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -93,7 +93,7 @@
     }
 
     /// Takes in an answer.
-    pub fn hear(&self, answer: PermitAnswer) {
+    pub fn apply(&self, answer: PermitAnswer) {
         let waiting = self.state.lock().waiting.remove(&answer.id);
         if let Some(tx) = waiting {
             // One that no longer waits has sent its request elsewhere.
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -98,7 +98,7 @@
         let Some(hub) = hub else {
             return false;
         };
-        if hub.loads.hear(part.clone()) {
+        if hub.loads.apply(part.clone()) {
             hub.loads_ms = now_ms;
             self.loads.take();
         }
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -64,7 +64,7 @@
             Extension::PermitQuery(ask) => answer_permit_ask(gateway, ask, from),
             Extension::PermitAnswer(answer) => {
                 if answer.life == gateway.incarnation {
-                    gateway.permit_client.hear(answer);
+                    gateway.permit_client.apply(answer);
                 }
             }
             Extension::Level(_) | Extension::HasPermit => {}
@@ -94,16 +94,16 @@
         Datagram::AdmissionQuery(ask) => answer_ask(gateway, ask, from).await,
         Datagram::Answer(answer) => {
             if answer.life == gateway.incarnation {
-                gateway.hub_client.hear(answer, has_permit);
+                gateway.hub_client.apply(answer, has_permit);
             }
         }
         Datagram::Crashes(part) => apply_crashes(gateway, &part),
-        Datagram::Versions(part) => gateway.version_count_table.lock().hear(part),
+        Datagram::Versions(part) => gateway.version_count_table.lock().apply(part),
         Datagram::Usage(part) => apply_usage(gateway, &part, from, now_ms).await,
         Datagram::UsageAck(heard) => {
             let mut tellers = gateway.usage_announcers.lock();
             if let Some(teller) = tellers.get_mut(&heard.life) {
-                teller.hear(from, heard);
+                teller.apply(from, heard);
             }
         }
     }
@@ -124,7 +124,7 @@
     let is_younger = part.age_ms <= gateway.hub_age_ms() + SAME_AGE_MS;
     let notices: Vec<_> = part.quotas.iter().map(AnnouncedAccount::notice).collect();
     let mut quotas = gateway.quotas.lock();
-    quotas.hear(&part.name, part.life, &notices, is_younger, now_ms);
+    quotas.apply(&part.name, part.life, &notices, is_younger, now_ms);
 }
 
 async fn apply_report(gateway: &Gateway, report: &Report, now_ms: u64) {
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -85,7 +85,7 @@
     }
 
     /// Takes in that a holder has heard a part.
-    pub fn hear(&mut self, from: SocketAddr, heard: UsageAck) {
+    pub fn apply(&mut self, from: SocketAddr, heard: UsageAck) {
         let Some(view) = self.holders.get_mut(&(from, heard.holder_life)) else {
             return;
         };
--- a/src/cluster/versions/versions_announcer.rs
+++ b/src/cluster/versions/versions_announcer.rs
@@ -18,7 +18,7 @@
                 let datagram = Datagram::Versions(part.clone());
                 gateway.send_datagram(&datagram, *listener).await;
             }
-            gateway.version_count_table.lock().hear(part);
+            gateway.version_count_table.lock().apply(part);
         }
         let open = open_orders(&gateway);
         let is_open = |service: &str, order| open.iter().any(|(s, o)| s == service && *o == order);
--- a/src/cluster/versions/versions_part.rs
+++ b/src/cluster/versions/versions_part.rs
@@ -37,7 +37,7 @@
 
 impl VersionCountTable {
     /// Takes in what a daemon told.
-    pub fn hear(&mut self, part: VersionsPart) {
+    pub fn apply(&mut self, part: VersionsPart) {
         let key = (part.service.clone(), part.name);
         let heard = self.heard.entry(key).or_default();
         if heard.life != part.life || heard.order != part.order {
--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -26,7 +26,7 @@
         let now_ms = self.steady_ms();
         self.rests.lock().note(id, rest, now_ms);
         let own = &self.settings.node.name;
-        self.reported_cooldowns.lock().hear(own, id, rest, now_ms);
+        self.reported_cooldowns.lock().apply(own, id, rest, now_ms);
         self.report_early.notify_one();
     }
 
@@ -71,7 +71,7 @@
         let mut told = self.reported_cooldowns.lock();
         for rest in &part.rests {
             let id = UpstreamId::from(rest.upstream.as_str());
-            told.hear(&daemon, &id, rest.left(), now_ms);
+            told.apply(&daemon, &id, rest.left(), now_ms);
         }
     }
 
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -74,7 +74,7 @@
         let now_ms = self.steady_ms();
         let mut crashes = self.crashes.lock();
         let was_held = crashes.held_for(told.fingerprint, now_ms).is_some();
-        crashes.hear(told, passes_on, now_ms);
+        crashes.apply(told, passes_on, now_ms);
         let is_held = crashes.held_for(told.fingerprint, now_ms).is_some();
         drop(crashes);
         log_if_held(told.fingerprint, was_held, is_held);
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -51,7 +51,7 @@
     /// Takes in what another daemon told of a limit.
     pub fn apply_limit(&self, told: &KnownLimit, passes_on: Option<bool>) {
         let now_ms = self.steady_ms();
-        if self.limits.lock().hear(told, passes_on, now_ms) {
+        if self.limits.lock().apply(told, passes_on, now_ms) {
             log_change(&told.upstream, told.rate, "a daemon");
         }
     }
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -22,7 +22,7 @@
     pub fn apply_rollouts(&self, told: &[Rollout]) {
         let now_ms = self.steady_ms();
         for rollout in told {
-            if self.rollouts.lock().hear(rollout, now_ms) {
+            if self.rollouts.lock().apply(rollout, now_ms) {
                 log::info!(
                     target: "rollout",
                     "heard. service={} target={} state={} share={} order={} fence={} step={}",
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -117,13 +117,13 @@
             version,
             age_ms: now_ms.saturating_sub(at_ms),
         };
-        self.hear(&told, Some(true), now_ms)
+        self.apply(&told, Some(true), now_ms)
     }
 
     /// Takes in what another daemon told; `passes_on` says whether this one tells other
     /// hubs (true), only those that report to it (false), or nobody. Returns whether it is
     /// news.
-    pub fn hear(&mut self, told: &KnownLimit, passes_on: Option<bool>, now_ms: u64) -> bool {
+    pub fn apply(&mut self, told: &KnownLimit, passes_on: Option<bool>, now_ms: u64) -> bool {
         let tellings = passes_on.map_or(0, |_| TELLINGS);
         let tells_hubs = passes_on == Some(true);
         let at_ms = now_ms.saturating_sub(told.age_ms);
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -119,7 +119,7 @@
     /// Takes in what another daemon told; `passes_on` says whether this one tells other
     /// hubs (true), only those that report to it (false), or nobody. Returns whether it is
     /// news.
-    pub fn hear(&mut self, told: &KnownCrash, passes_on: Option<bool>, now_ms: u64) -> bool {
+    pub fn apply(&mut self, told: &KnownCrash, passes_on: Option<bool>, now_ms: u64) -> bool {
         let at_ms = now_ms.saturating_sub(told.age_ms);
         if now_ms >= at_ms + self.kept_ms() {
             return false;
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -173,7 +173,7 @@
     /// gives back what was charged for it beyond that while it was silent.
     /// `is_younger` says that it has not run for longer than this one: all that
     /// it let in was let in meanwhile.
-    pub fn hear(&mut self, node: &str, incarnation: u64, total: f64, is_younger: bool) {
+    pub fn apply(&mut self, node: &str, incarnation: u64, total: f64, is_younger: bool) {
         let first = !self.others.contains_key(node);
         let other = self.others.entry(node.to_string()).or_default();
         let news = match other.incarnation == incarnation {
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -74,7 +74,7 @@
 
     /// Takes in what another daemon tells; `is_younger` says that it has not
     /// run for longer than this one.
-    pub fn hear(
+    pub fn apply(
         &mut self,
         node: &str,
         incarnation: u64,
@@ -84,7 +84,7 @@
     ) {
         for notice in notices {
             if let Some(account) = self.accounts.get_mut(&notice.account) {
-                account.hear(node, incarnation, notice.admitted, is_younger);
+                account.apply(node, incarnation, notice.admitted, is_younger);
                 if !is_younger {
                     account.learn_level(notice.level, now_ms);
                 }
--- a/src/policy/rests/reported_cooldowns.rs
+++ b/src/policy/rests/reported_cooldowns.rs
@@ -17,7 +17,7 @@
 
 impl ReportedCooldowns {
     /// Takes in how much rest an upstream still wants of a daemon.
-    pub fn hear(&mut self, daemon: &BoxId, id: &UpstreamId, left: Duration, now_ms: u64) {
+    pub fn apply(&mut self, daemon: &BoxId, id: &UpstreamId, left: Duration, now_ms: u64) {
         let cooldowns = self.by_daemon.entry(daemon.clone()).or_default();
         cooldowns.note(id, left, now_ms);
     }
--- a/src/rollouts/rollout_table.rs
+++ b/src/rollouts/rollout_table.rs
@@ -48,7 +48,7 @@
 
 impl RolloutTable {
     /// Takes in what was said of a roll-out; returns whether it is news.
-    pub fn hear(&mut self, rollout: &Rollout, now_ms: u64) -> bool {
+    pub fn apply(&mut self, rollout: &Rollout, now_ms: u64) -> bool {
         let said_ms = now_ms.saturating_sub(u64::from(rollout.age_ms));
         match self.known.get_mut(&rollout.service) {
             Some(known) if rollout.rank() < known.rollout.rank() => false,
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -68,13 +68,13 @@
 #[test]
 fn loads_change_once_all_of_their_parts_are_there() {
     let mut told = ReceivedLoads::default();
-    assert!(told.hear(loads_part(1, 0, 1, &["u1", "u2"])));
-    assert!(!told.hear(loads_part(2, 1, 2, &["u4"])));
+    assert!(told.apply(loads_part(1, 0, 1, &["u1", "u2"])));
+    assert!(!told.apply(loads_part(2, 1, 2, &["u4"])));
     assert_eq!(told.loads.len(), 2, "the last whole counts");
-    assert!(told.hear(loads_part(2, 0, 2, &["u3"])));
+    assert!(told.apply(loads_part(2, 0, 2, &["u3"])));
     let ids: HashSet<&str> = told.loads.iter().map(|(id, ..)| id.as_str()).collect();
     assert_eq!(ids, HashSet::from(["u3", "u4"]));
-    assert!(!told.hear(loads_part(1, 0, 1, &["u1"])), "an older one");
+    assert!(!told.apply(loads_part(1, 0, 1, &["u1"])), "an older one");
 }
 
 fn told_limit(n: usize) -> AnnouncedLimit {
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -110,7 +110,7 @@
         digest
     }
 
-    fn hear(&mut self, own: usize, message: Message) {
+    fn apply(&mut self, own: usize, message: Message) {
         let now_ms = self.now_ms;
         match message {
             Message::Digest(digest) => {
@@ -177,7 +177,7 @@
     fn run(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             for (to, message) in std::mem::take(&mut self.on_their_way) {
-                self.hear(to, message);
+                self.apply(to, message);
             }
             for own in 0..self.daemons.len() {
                 if self.now_ms >= self.daemons[own].lag_ms {
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -192,23 +192,26 @@
 fn of_what_daemons_tell_the_newest_counts() {
     let mut quota_table = LimitTable::default();
     assert!(
-        !quota_table.hear(&told(None, 4), None, 5_000),
+        !quota_table.apply(&told(None, 4), None, 5_000),
         "nothing was known of any"
     );
-    assert!(quota_table.hear(&told(Some(2.0), 5), None, 5_000));
-    assert!(!quota_table.hear(&told(Some(1.0), 4), None, 5_000), "older");
+    assert!(quota_table.apply(&told(Some(2.0), 5), None, 5_000));
+    assert!(
+        !quota_table.apply(&told(Some(1.0), 4), None, 5_000),
+        "older"
+    );
     assert_eq!(quota_table.rate(&u("u")), Some(rate(2.0)));
-    assert!(quota_table.hear(&told(None, 6), None, 5_000));
+    assert!(quota_table.apply(&told(None, 6), None, 5_000));
     assert!(
-        !quota_table.hear(&told(Some(2.0), 5), None, 5_000),
+        !quota_table.apply(&told(Some(2.0), 5), None, 5_000),
         "told again"
     );
     assert_eq!(quota_table.rate(&u("u")), None);
     assert!(
-        quota_table.hear(&told(Some(3.0), 6), None, 5_000),
+        quota_table.apply(&told(Some(3.0), 6), None, 5_000),
         "both at once: the lower"
     );
-    assert!(!quota_table.hear(&told(Some(4.0), 6), None, 5_000));
+    assert!(!quota_table.apply(&told(Some(4.0), 6), None, 5_000));
     // The next answer counts, whatever it says.
     assert!(quota_table.note_answer(&u("u"), named(9.0), 5_000, 5_100));
     assert_eq!(quota_table.known(&u("u"), 5_100).unwrap().version, 7);
@@ -221,24 +224,24 @@
     let mut quota_table = book_of(1.0);
     let word = quota_table.known(&u("u"), 0).unwrap();
     assert!(quota_table.note_answer(&u("u"), NamedLimit::Absent, 50, 100));
-    assert!(!quota_table.hear(&word, Some(true), 5_000));
+    assert!(!quota_table.apply(&word, Some(true), 5_000));
     assert_eq!(quota_table.rate(&u("u")), None);
 }
 
 #[test]
 fn who_hears_something_older_tells_what_is_newer() {
     let mut quota_table = LimitTable::default();
-    quota_table.hear(&told(Some(2.0), 5), None, 5_000);
+    quota_table.apply(&told(Some(2.0), 5), None, 5_000);
     assert!(
         quota_table.to_tell(9, 5_000).hubs.is_empty(),
         "it passes nothing on"
     );
-    quota_table.hear(&told(Some(2.0), 4), None, 5_000);
+    quota_table.apply(&told(Some(2.0), 4), None, 5_000);
     assert!(
         quota_table.to_tell(9, 5_000).hubs.is_empty(),
         "they say the same"
     );
-    quota_table.hear(&told(Some(7.0), 4), None, 5_000);
+    quota_table.apply(&told(Some(7.0), 4), None, 5_000);
     assert_eq!(quota_table.to_tell(9, 5_000).hubs, [told(Some(2.0), 5)]);
 }
 
@@ -248,7 +251,7 @@
     let tellings = (0..9).filter(|_| !quota_table.to_tell(9, 0).hubs.is_empty());
     assert_eq!(tellings.count(), 4);
     let mut hub = LimitTable::default();
-    hub.hear(&told(Some(1.0), 1), Some(false), 0);
+    hub.apply(&told(Some(1.0), 1), Some(false), 0);
     let news = hub.to_tell(9, 0);
     assert_eq!((news.hubs.len(), news.members.len()), (0, 1));
 }
@@ -306,7 +309,7 @@
             on_the_way.shuffle(&mut rng);
             // Their ages have grown on the way; daemons don't know by how much.
             for (to, known, _) in on_the_way.extract_if(.., |(.., due)| *due <= now_ms) {
-                books[to].hear(&known, Some(true), now_ms);
+                books[to].apply(&known, Some(true), now_ms);
             }
         }
         let rates: HashSet<_> = books
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -65,7 +65,7 @@
         ran_ms: 90,
         is_cleared: false,
     };
-    assert!(!crash_table.hear(&told, None, 2_500));
+    assert!(!crash_table.apply(&told, None, 2_500));
     for at_ms in [6_000, 11_000] {
         assert_eq!(crash_table.held_for(poison, at_ms), None);
         assert!(crash_table.note_end(poison, &upstream(0), 0, at_ms));
@@ -136,7 +136,7 @@
     let cleared = here.to_tell(24, 300).hubs;
     assert!(cleared.iter().all(|end| end.is_cleared));
     for end in cleared.iter().chain(&ends) {
-        there.hear(end, None, 400);
+        there.apply(end, None, 400);
     }
     assert!(there.held(400).is_empty());
     // What happens later counts.
@@ -188,7 +188,7 @@
         assert_eq!(here.to_write(9, n)[0].ends.len() as u64, n + 1);
     }
     for end in here.to_tell(24, 3).hubs {
-        there.hear(&end, Some(true), 3);
+        there.apply(&end, Some(true), 3);
     }
     assert!(there.held_for(poison, 3).is_some());
     assert!(there.to_write(9, 3).is_empty(), "it saw none of them");
@@ -235,7 +235,7 @@
                 let mut end = mailbox.0.remove(&key).unwrap();
                 // What a datagram takes on its way is not in the age that it tells.
                 end.age_ms = end.age_ms.saturating_sub(rng.random_range(0..50));
-                crash_table.hear(&end, None, now_ms);
+                crash_table.apply(&end, None, now_ms);
             }
         }
         let up: Vec<u64> = (0..UPSTREAMS)
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -114,7 +114,7 @@
                     continue;
                 }
                 heard.1 = notices.clone();
-                self.books[to].hear(&node, life, &notices, is_younger, now_ms);
+                self.books[to].apply(&node, life, &notices, is_younger, now_ms);
             }
         }
     }
@@ -411,12 +411,12 @@
             replaced: false,
         }]
     };
-    account.hear("b", 1, 0.0, false);
+    account.apply("b", 1, 0.0, false);
     account.tick(50_000.0, &others(2_000, false), &limit, 2_000);
     assert_eq!(account.level(), 100_000.0, "the bucket is full");
     account.tick(50_000.0, &others(2_000, true), &limit, 5_000);
     assert!(account.level() < 0.0, "charged: {}", account.level());
-    account.hear("b", 1, 0.0, false);
+    account.apply("b", 1, 0.0, false);
     account.tick(50_000.0, &others(5_000, false), &limit, 5_001);
     assert_eq!(account.level(), 100_000.0, "it had let nothing in");
 }
--- a/tests/decisions/rests.rs
+++ b/tests/decisions/rests.rs
@@ -73,14 +73,14 @@
 fn one_daemon_that_is_asked_for_rest_keeps_all_away() {
     let (one, other) = (BoxId::from("one"), BoxId::from("other"));
     let mut told = ReportedCooldowns::default();
-    told.hear(&one, &id("a"), seconds(3.0), 0);
-    told.hear(&one, &id("a"), seconds(2.0), 100);
+    told.apply(&one, &id("a"), seconds(3.0), 0);
+    told.apply(&one, &id("a"), seconds(2.0), 100);
     assert!(told.asked_of_many(200).is_empty());
-    told.hear(&other, &id("a"), seconds(1.0), 200);
+    told.apply(&other, &id("a"), seconds(1.0), 200);
     assert_eq!(told.asked_of_many(300), [id("a")]);
     // Over for one of the two.
     assert!(told.asked_of_many(1_200).is_empty());
-    told.hear(&other, &id("a"), seconds(9.0), 1_200);
+    told.apply(&other, &id("a"), seconds(9.0), 1_200);
     assert_eq!(told.asked_of_many(1_300), [id("a")]);
     told.retain(|_| true, 5_000);
     assert!(told.asked_of_many(1_300).is_empty(), "forgotten");
--- a/tests/decisions/rollouts.rs
+++ b/tests/decisions/rollouts.rs
@@ -253,7 +253,7 @@
         for now_ms in 0..12 {
             let index = rng.random_range(0..words.len());
             newest = newest.max(index);
-            table.hear(&words[index], now_ms);
+            table.apply(&words[index], now_ms);
             assert_eq!(table.get("s").unwrap().rank(), words[newest].rank());
         }
     }
@@ -263,7 +263,7 @@
 fn a_daemon_never_sends_more_than_its_share_to_a_version() {
     for share in [0.05, 0.1, 0.25] {
         let mut table = RolloutTable::default();
-        table.hear(&rollout(5, 1, 1, share, RolloutState::InProgress), 0);
+        table.apply(&rollout(5, 1, 1, share, RolloutState::InProgress), 0);
         let mut sent = 0;
         for n in 1..=1_000_u32 {
             let allowed = table.allow("s", false, 100);
@@ -277,7 +277,7 @@
 #[test]
 fn a_daemon_that_hears_nothing_sends_nothing_to_a_version_that_is_not_proved() {
     let mut table = RolloutTable::default();
-    table.hear(&rollout(5, 1, 1, 0.1, RolloutState::InProgress), 0);
+    table.apply(&rollout(5, 1, 1, 0.1, RolloutState::InProgress), 0);
     let to_target = |table: &mut RolloutTable, now_ms| {
         let allowed = (0..100).map(|_| table.allow("s", false, now_ms));
         allowed.filter(|a| *a == AllowedVersions::Target).count()
@@ -287,15 +287,15 @@
     // An echo of old words is no news of the leader.
     let mut echo = rollout(5, 1, 1, 0.1, RolloutState::InProgress);
     echo.age_ms = 3_500;
-    table.hear(&echo, 4_000);
+    table.apply(&echo, 4_000);
     assert_eq!(to_target(&mut table, 4_000), 0);
     echo.age_ms = 100;
-    table.hear(&echo, 5_000);
+    table.apply(&echo, 5_000);
     assert!(to_target(&mut table, 5_000) > 0);
-    table.hear(&rollout(5, 1, 2, 0.0, RolloutState::RolledBack), 5_000);
+    table.apply(&rollout(5, 1, 2, 0.0, RolloutState::RolledBack), 5_000);
     assert_eq!(table.allow("s", false, 5_000), AllowedVersions::OnlyOthers);
     let completed = rollout(5, 1, 3, 1.0, RolloutState::Completed);
-    table.hear(&completed, 5_000);
+    table.apply(&completed, 5_000);
     assert_eq!(table.allow("s", false, 34_000), AllowedVersions::Target);
     assert_eq!(table.allow("s", false, 36_000), AllowedVersions::Any);
 }
@@ -303,7 +303,7 @@
 #[test]
 fn what_the_new_version_failed_goes_to_another() {
     let mut table = RolloutTable::default();
-    table.hear(&rollout(5, 1, 1, 1.0, RolloutState::InProgress), 0);
+    table.apply(&rollout(5, 1, 1, 1.0, RolloutState::InProgress), 0);
     assert_eq!(table.allow("s", true, 10), AllowedVersions::Others);
     assert_eq!(table.allow("s", false, 10), AllowedVersions::Target);
 }
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -35,7 +35,7 @@
                 let counts = counts.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
                 holder.merge(&name, 1, &[(part.window, counts.collect())]);
                 holder.note_whole(&name, part.whole_before, 1_000);
-                teller.hear(
+                teller.apply(
                     address(0),
                     UsageAck {
                         holder_life: 99,
@@ -63,7 +63,7 @@
         number: parts[0].number,
     };
     let parts = teller.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
-    teller.hear(address(0), heard(&parts, 5));
+    teller.apply(address(0), heard(&parts, 5));
     let again = teller.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
     assert!(again.is_empty(), "it has heard all: {again:?}");
     let parts = teller.parts(("n", 1), (address(1), 6), &own.newest(8), 7);
@@ -97,7 +97,7 @@
             let told = part.counts.iter();
             let told = told.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
             second_holder.merge(&part.name, part.life, &[(part.window, told.collect())]);
-            teller.hear(
+            teller.apply(
                 address(1),
                 UsageAck {
                     holder_life: 6,
@@ -129,7 +129,7 @@
                 life: 1,
                 number: part.number,
             };
-            teller.hear(address(0), heard);
+            teller.apply(address(0), heard);
             told.extend(part.counts);
         }
     }
