--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -22,7 +22,7 @@
         reader.replace(listing.collect(), position, None);
         let whole = reader.news_since(None);
         let known = whole.told;
-        follower.apply_news(whole);
+        follower.apply_update(whole);
         let read_ms = timed(|| {
             for n in 0..leaving {
                 reader.upsert(upstream(n, position + u64::from(n), true));
@@ -36,7 +36,7 @@
         let packed_ms = timed(|| {
             packed = pack_upstreams(&news.upstreams, &news.gone).expect("packed");
         });
-        let applied_ms = timed(|| follower.apply_news(news));
+        let applied_ms = timed(|| follower.apply_update(news));
         let service = ServiceName::from("s");
         let listed_ms = timed(|| {
             black_box(follower.ready_list(&service));
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -223,7 +223,7 @@
         self.gateway
             .change_directory(|directory, _| match heard.directory {
                 HeardDirectory::Changes(changes) => directory.apply(changes),
-                HeardDirectory::News(news) => directory.apply_news(news),
+                HeardDirectory::News(news) => directory.apply_update(news),
             });
         if let Some(age_ms) = heard.source_age_ms {
             self.gateway.note_relayed(age_ms);
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -345,7 +345,7 @@
 
     /// Takes in news of the daemon that is followed, as of its position. What is known from
     /// elsewhere and should have been told by then is gone, too.
-    pub fn apply_news(&mut self, news: DirectoryUpdate) {
+    pub fn apply_update(&mut self, news: DirectoryUpdate) {
         let position = news.told.position;
         if position == 0 {
             let told = news.upstreams.into_iter();
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -241,7 +241,7 @@
         let whole = theirs.news_since(None);
         assert!(whole.is_whole);
         let mut known = whole.told;
-        own.apply_news(whole);
+        own.apply_update(whole);
         for n in 0..fleet {
             theirs.upsert(upstream(n, position));
             position += 1;
@@ -254,7 +254,7 @@
             "of {fleet}"
         );
         known = news.told;
-        own.apply_news(news);
+        own.apply_update(news);
         let mut leaving = upstream(3, position);
         leaving.draining = true;
         theirs.upsert(leaving);
@@ -266,7 +266,7 @@
             (1, 1),
             "of {fleet}"
         );
-        own.apply_news(news);
+        own.apply_update(news);
         assert!(!own.is_ready(&upstream(3, 0).id));
         assert!(own.get(&upstream(4, 0).id).is_none());
         assert_eq!(own.known(), fleet as usize - 1);
@@ -283,11 +283,11 @@
     let mut own = UpstreamDirectory::default();
     let whole = theirs.news_since(None);
     let known = whole.told;
-    own.apply_news(whole);
+    own.apply_update(whole);
     own.remove(upstream(0, 0).id.as_str(), 5);
     own.read_to(6);
     theirs.replace(vec![upstream(0, 6)], 8, None);
-    own.apply_news(theirs.news_since(Some(known)));
+    own.apply_update(theirs.news_since(Some(known)));
     assert!(own.is_ready(&upstream(0, 0).id), "it is back");
 }
 
@@ -355,7 +355,7 @@
             let news = readers[other].news_since(known[own]);
             known[own] = Some(news.told);
             count += news.upstreams.len();
-            readers[own].apply_news(news);
+            readers[own].apply_update(news);
         }
         for reader in &mut readers {
             late.iter().for_each(|u| {
@@ -410,7 +410,7 @@
     // Those that follow it learn it, whatever they heard of the entry.
     let mut follower = UpstreamDirectory::default();
     follower.replace(vec![upstream(1, 20), upstream(2, 21)], 22, None);
-    follower.apply_news(own.news_since(None));
+    follower.apply_update(own.news_since(None));
     assert!(!follower.is_ready(&id));
 }
 
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -184,7 +184,7 @@
             }
             Some((from, HeartbeatPayload::New(news))) => {
                 daemon.known = Some((from, news.told));
-                daemon.directory.apply_news(news);
+                daemon.directory.apply_update(news);
             }
         }
     }
