--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -20,7 +20,7 @@
         let position = u64::from(upstreams) + 1;
         let listing = (0..upstreams).map(|n| upstream(n, u64::from(n) + 1, false));
         reader.replace(listing.collect(), position, None);
-        let whole = reader.news_since(None);
+        let whole = reader.update_since(None);
         let known = whole.told;
         follower.apply_update(whole);
         let read_ms = timed(|| {
@@ -30,7 +30,7 @@
             reader.read_to(position + u64::from(leaving));
         });
         let mut news = None;
-        let told_ms = timed(|| news = Some(reader.news_since(Some(known))));
+        let told_ms = timed(|| news = Some(reader.update_since(Some(known))));
         let news = news.expect("told");
         let mut packed = Default::default();
         let packed_ms = timed(|| {
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -140,7 +140,7 @@
         if let Some(packed) = self.packed.lock().get(told.revision, since) {
             return Ok((told, is_whole, packed));
         }
-        let news = self.gateway.directory.read().news_since(known);
+        let news = self.gateway.directory.read().update_since(known);
         let packed = pack_upstreams(&news.upstreams, &news.gone)?;
         let since = known.filter(|_| !news.is_whole).map(|k| k.revision);
         let mut kept = self.packed.lock();
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -309,7 +309,7 @@
 
     /// Returns what has changed since it was told last; everything, if that can't be
     /// told one by one.
-    pub fn news_since(&self, last: Option<DirectoryCursor>) -> DirectoryUpdate {
+    pub fn update_since(&self, last: Option<DirectoryCursor>) -> DirectoryUpdate {
         let (upstreams, gone) = match last.filter(|_| !self.is_told_whole(last)) {
             None => (self.all().map(|u| self.present(u)).collect(), Vec::new()),
             Some(last) => {
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -238,7 +238,7 @@
         let mut position = u64::from(fleet) + 1;
         theirs.replace(listing, position, None);
         let mut own = UpstreamDirectory::default();
-        let whole = theirs.news_since(None);
+        let whole = theirs.update_since(None);
         assert!(whole.is_whole);
         let mut known = whole.told;
         own.apply_update(whole);
@@ -247,7 +247,7 @@
             position += 1;
             theirs.read_to(position);
         }
-        let news = theirs.news_since(Some(known));
+        let news = theirs.update_since(Some(known));
         assert_eq!(
             (news.upstreams.len(), news.gone.len()),
             (0, 0),
@@ -260,7 +260,7 @@
         theirs.upsert(leaving);
         theirs.remove(upstream(4, 0).id.as_str(), position + 1);
         theirs.read_to(position + 2);
-        let news = theirs.news_since(Some(known));
+        let news = theirs.update_since(Some(known));
         assert_eq!(
             (news.upstreams.len(), news.gone.len()),
             (1, 1),
@@ -281,13 +281,13 @@
     let mut theirs = UpstreamDirectory::default();
     theirs.replace(vec![upstream(0, 1)], 2, None);
     let mut own = UpstreamDirectory::default();
-    let whole = theirs.news_since(None);
+    let whole = theirs.update_since(None);
     let known = whole.told;
     own.apply_update(whole);
     own.remove(upstream(0, 0).id.as_str(), 5);
     own.read_to(6);
     theirs.replace(vec![upstream(0, 6)], 8, None);
-    own.apply_update(theirs.news_since(Some(known)));
+    own.apply_update(theirs.update_since(Some(known)));
     assert!(own.is_ready(&upstream(0, 0).id), "it is back");
 }
 
@@ -297,7 +297,7 @@
     let mut theirs = UpstreamDirectory::default();
     let listing = (0..2_000).map(|n| upstream(n, u64::from(n) + 1)).collect();
     theirs.replace(listing, 2_001, None);
-    let news = theirs.news_since(None);
+    let news = theirs.update_since(None);
     let packed = pack_upstreams(&news.upstreams, &news.gone).unwrap();
     assert!(packed.len() < 40 * news.upstreams.len(), "{}", packed.len());
     let by_offsets = encode(&theirs.changes_since(None)).unwrap();
@@ -352,7 +352,7 @@
                 readers[own].read_to(position);
             }
             let other = (own + 1) % READERS_OF_ALL;
-            let news = readers[other].news_since(known[own]);
+            let news = readers[other].update_since(known[own]);
             known[own] = Some(news.told);
             count += news.upstreams.len();
             readers[own].apply_update(news);
@@ -410,7 +410,7 @@
     // Those that follow it learn it, whatever they heard of the entry.
     let mut follower = UpstreamDirectory::default();
     follower.replace(vec![upstream(1, 20), upstream(2, 21)], 22, None);
-    follower.apply_update(own.news_since(None));
+    follower.apply_update(own.update_since(None));
     assert!(!follower.is_ready(&id));
 }
 
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -169,7 +169,7 @@
         let theirs = &self.daemons[other].directory;
         let news = match self.daemons[own].is_landed || self.daemons[other].is_landed {
             true => HeartbeatPayload::Landed(theirs.changes_since(known)),
-            false => HeartbeatPayload::New(theirs.news_since(known)),
+            false => HeartbeatPayload::New(theirs.update_since(known)),
         };
         self.daemons[own].news = Some((other, news));
     }
