--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -125,7 +125,7 @@
     fn try_admit(&self, terms: &AccountTerms, cost: f64, start_part: f64) -> Result<(), QuotaWait> {
         let mut quotas = self.quotas.lock();
         let admitted = quotas.admit(terms, cost, start_part, self.steady_ms());
-        if quotas.should_tell(terms) {
+        if quotas.should_announce(terms) {
             self.tell_early.notify_one();
         }
         admitted
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -164,7 +164,7 @@
     }
 
     /// Returns whether others should hear now of what was let in.
-    pub fn should_tell(&self, burst: f64) -> bool {
+    pub fn should_announce(&self, burst: f64) -> bool {
         let is_low = self.level < burst * LOW_LEVEL;
         self.is_turn_awaited || (is_low && self.since_tick > burst * UNHEARD_BURST)
     }
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -114,9 +114,9 @@
     }
 
     /// Returns whether others should hear now of what was let in.
-    pub fn should_tell(&self, terms: &AccountTerms) -> bool {
+    pub fn should_announce(&self, terms: &AccountTerms) -> bool {
         let account = self.accounts.get(&terms.name);
-        terms.rate_per_s > 0.0 && account.is_some_and(|a| a.should_tell(terms.burst))
+        terms.rate_per_s > 0.0 && account.is_some_and(|a| a.should_announce(terms.burst))
     }
 
     /// Brings the accounts up to date and returns what to tell others.
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -366,11 +366,14 @@
         replaced: false,
     };
     account.tick(10_000.0, std::slice::from_ref(&other), &limit, 5_000);
-    assert!(!account.should_tell(limit.burst));
+    assert!(!account.should_announce(limit.burst));
     let wait = account.admit(30_000.0, &limit, 5_001).unwrap_err();
     assert_eq!(wait, QuotaWait::OutOfTurn, "larger than its part");
     assert!((100..=300).contains(&wait.retry_after_ms()));
-    assert!(account.should_tell(limit.burst), "others should hear soon");
+    assert!(
+        account.should_announce(limit.burst),
+        "others should hear soon"
+    );
     // What it left unused of its parts lets a larger request in, once.
     for now_ms in [5_250, 5_500] {
         account.tick(10_000.0, std::slice::from_ref(&other), &limit, now_ms);
