--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -37,7 +37,7 @@
         return;
     }
     let now_ms = gateway.steady_ms();
-    let told = gateway.crashes.lock().to_tell(MOST_TOLD, now_ms);
+    let told = gateway.crashes.lock().to_announce(MOST_TOLD, now_ms);
     let is_hub = gateway.is_hub();
     send_ends(gateway, &told.hubs, is_hub, &hubs).await;
     send_ends(gateway, &told.members, is_hub, &members).await;
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -28,7 +28,7 @@
         if gateway.tick_peers() {
             let told = tell_hubs(&gateway, &mut quota_announcer, sequence).await;
             listeners.note_told(told);
-        } else if let Some(told) = listeners.to_tell() {
+        } else if let Some(told) = listeners.to_announce() {
             let digest = own_digest(&gateway, gateway.domain().as_str(), MEMBERS_EVERY_MS);
             send_all(&gateway, &[digest_packet(digest)], told).await;
         }
--- a/src/cluster/hubs/event_log.rs
+++ b/src/cluster/hubs/event_log.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns the events to tell next, with their numbers.
-    pub fn to_tell(&mut self, most: usize) -> Vec<(u64, MemberEvent)> {
+    pub fn to_announce(&mut self, most: usize) -> Vec<(u64, MemberEvent)> {
         let mut told = Vec::new();
         for (number, times, event) in self.waiting.iter_mut().take(most) {
             *times += 1;
--- a/src/cluster/hubs/former_listeners.rs
+++ b/src/cluster/hubs/former_listeners.rs
@@ -20,7 +20,7 @@
     }
 
     /// Returns whom to tell now that it no longer is a hub.
-    pub fn to_tell(&mut self) -> Option<&BTreeSet<SocketAddr>> {
+    pub fn to_announce(&mut self) -> Option<&BTreeSet<SocketAddr>> {
         self.left = self.left.checked_sub(1)?;
         (!self.addresses.is_empty()).then_some(&self.addresses)
     }
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -122,12 +122,12 @@
     report.leans_on_you = true;
     report.wants_all = wants_all;
     report.wants_digest |= wants_all;
-    (report.alone, report.alone_batch) = gateway.standalone_quotas.lock().to_tell(hub);
+    (report.alone, report.alone_batch) = gateway.standalone_quotas.lock().to_announce(hub);
     let events = match report.alone.is_empty() {
         true => MAX_EVENTS,
         false => MAX_EVENTS / 2,
     };
-    report.events = gateway.events.lock().to_tell(events);
+    report.events = gateway.events.lock().to_announce(events);
     let mut packet = report_packet(report);
     if let Some(rests) = gateway.rests_to_tell() {
         packet = packet.with(Extension::Rests(rests));
--- a/src/cluster/leaving/leaving_announcer.rs
+++ b/src/cluster/leaving/leaving_announcer.rs
@@ -19,7 +19,7 @@
             continue;
         }
         let (hubs, members) = gateway.hubs_and_members();
-        let told = gateway.leaving_queue.lock().to_tell(MOST_TOLD);
+        let told = gateway.leaving_queue.lock().to_announce(MOST_TOLD);
         let is_hub = gateway.is_hub();
         send_leaving(&gateway, &told.hubs, is_hub, &hubs).await;
         send_leaving(&gateway, &told.members, is_hub, &members).await;
--- a/src/cluster/leaving/leaving_queue.rs
+++ b/src/cluster/leaving/leaving_queue.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the news to tell next, at most some: first those that were told least.
-    pub fn to_tell(&mut self, most: usize) -> LeavingToAnnounce {
+    pub fn to_announce(&mut self, most: usize) -> LeavingToAnnounce {
         let mut told = LeavingToAnnounce::default();
         let mut due: Vec<_> = self.due.iter_mut().collect();
         due.sort_by_key(|(_, telling)| std::cmp::Reverse(telling.left));
--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns what to tell a hub, and its number; 0 if there is nothing.
-    pub fn to_tell(&mut self, hub: SocketAddr) -> (Vec<(String, f64)>, u64) {
+    pub fn to_announce(&mut self, hub: SocketAddr) -> (Vec<(String, f64)>, u64) {
         let is_done = self.batch.is_empty() || self.told >= TOLD_TIMES;
         if is_done {
             let next = self.untold.keys().take(MAX_TOLD_ACCOUNTS).cloned();
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -209,7 +209,7 @@
     }
 
     /// Returns the news to tell next, at most some.
-    pub fn to_tell(&mut self, most: usize, now_ms: u64) -> LimitsToAnnounce {
+    pub fn to_announce(&mut self, most: usize, now_ms: u64) -> LimitsToAnnounce {
         let mut told = LimitsToAnnounce::default();
         let due = self.upstreams.iter_mut().filter(|(_, e)| e.tellings > 0);
         for (id, entry) in due.take(most) {
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -204,7 +204,7 @@
 
     /// Returns what to tell next, at most some ends: first of requests under which most
     /// upstreams ended.
-    pub fn to_tell(&mut self, most: usize, now_ms: u64) -> CrashesToAnnounce {
+    pub fn to_announce(&mut self, most: usize, now_ms: u64) -> CrashesToAnnounce {
         let mut due: Vec<(usize, u64, RequestFingerprint)> = self
             .suspects
             .iter()
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -316,7 +316,7 @@
                 units += 100.0;
             }
             if now_ms % 500 == 0 {
-                standalone.to_tell(address(1));
+                standalone.to_announce(address(1));
             }
         }
         units
@@ -348,7 +348,7 @@
             let_in += 100.0;
         }
         // A hub that doesn't answer is told all the same.
-        standalone.to_tell(address(1));
+        standalone.to_announce(address(1));
     }
     let part = limit.rate * 10.0 / DAEMONS as f64;
     assert!(let_in <= part && let_in >= 0.9 * part, "{let_in} of {part}");
@@ -429,7 +429,7 @@
         peers.tick(1, 1_000);
         assert_eq!(peers.daemons(), 4);
         let mut number = 0;
-        while listeners.to_tell().is_some() {
+        while listeners.to_announce().is_some() {
             number += 1;
             if number > lost {
                 let mut digest = digest_of("n", 1 + number);
@@ -440,6 +440,6 @@
         assert_eq!(number, 4);
         peers.tick(1, 2_100);
         assert_eq!(peers.daemons(), 1, "{lost} lost");
-        assert!(listeners.to_tell().is_none());
+        assert!(listeners.to_announce().is_none());
     }
 }
--- a/tests/decisions/leaving.rs
+++ b/tests/decisions/leaving.rs
@@ -20,10 +20,10 @@
             hubs: vec![id("a")],
             members: vec![id("a"), id("b")],
         };
-        assert_eq!(news.to_tell(9), told);
+        assert_eq!(news.to_announce(9), told);
     }
     assert!(news.is_empty());
-    assert_eq!(news.to_tell(9), LeavingToAnnounce::default());
+    assert_eq!(news.to_announce(9), LeavingToAnnounce::default());
 }
 
 #[test]
@@ -34,7 +34,7 @@
     }
     let mut told = Vec::new();
     while !news.is_empty() {
-        let next = news.to_tell(24).hubs;
+        let next = news.to_announce(24).hubs;
         assert!(next.len() <= 24);
         told.extend(next);
     }
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -233,26 +233,26 @@
     let mut quota_table = LimitTable::default();
     quota_table.apply(&told(Some(2.0), 5), None, 5_000);
     assert!(
-        quota_table.to_tell(9, 5_000).hubs.is_empty(),
+        quota_table.to_announce(9, 5_000).hubs.is_empty(),
         "it passes nothing on"
     );
     quota_table.apply(&told(Some(2.0), 4), None, 5_000);
     assert!(
-        quota_table.to_tell(9, 5_000).hubs.is_empty(),
+        quota_table.to_announce(9, 5_000).hubs.is_empty(),
         "they say the same"
     );
     quota_table.apply(&told(Some(7.0), 4), None, 5_000);
-    assert_eq!(quota_table.to_tell(9, 5_000).hubs, [told(Some(2.0), 5)]);
+    assert_eq!(quota_table.to_announce(9, 5_000).hubs, [told(Some(2.0), 5)]);
 }
 
 #[test]
 fn news_are_told_some_times_and_passed_on_as_far_as_they_have_to() {
     let mut quota_table = book_of(1.0);
-    let tellings = (0..9).filter(|_| !quota_table.to_tell(9, 0).hubs.is_empty());
+    let tellings = (0..9).filter(|_| !quota_table.to_announce(9, 0).hubs.is_empty());
     assert_eq!(tellings.count(), 4);
     let mut hub = LimitTable::default();
     hub.apply(&told(Some(1.0), 1), Some(false), 0);
-    let news = hub.to_tell(9, 0);
+    let news = hub.to_announce(9, 0);
     assert_eq!((news.hubs.len(), news.members.len()), (0, 1));
 }
 
@@ -294,7 +294,7 @@
             }
             for (from, quota_table) in books.iter_mut().enumerate() {
                 for known in quota_table
-                    .to_tell(9, now_ms)
+                    .to_announce(9, now_ms)
                     .hubs
                     .into_iter()
                     .chain(quota_table.in_force(now_ms))
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -114,8 +114,8 @@
     }
     let mut units = 0;
     for sequence in 1..=40 {
-        let mut report = report(sequence, &log.to_tell(12), 0);
-        (report.alone, report.alone_batch) = standalone.to_tell(address(1));
+        let mut report = report(sequence, &log.to_announce(12), 0);
+        (report.alone, report.alone_batch) = standalone.to_announce(address(1));
         units += report.alone.len();
         let bytes = Datagram::Report(report).encode();
         assert!(bytes.is_ok(), "{bytes:?}");
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -129,11 +129,11 @@
     for n in 0..3 {
         here.note_end(often, &upstream(n), 0, n * 100);
     }
-    let ends = here.to_tell(24, 300).hubs;
+    let ends = here.to_announce(24, 300).hubs;
     assert!(here.note_whole(often));
     assert!(!here.note_whole(often), "no news");
     assert!(here.held(300).is_empty());
-    let cleared = here.to_tell(24, 300).hubs;
+    let cleared = here.to_announce(24, 300).hubs;
     assert!(cleared.iter().all(|end| end.is_cleared));
     for end in cleared.iter().chain(&ends) {
         there.apply(end, None, 400);
@@ -171,7 +171,7 @@
         crash_table.note_end(request(&n.to_string()), &upstream(n % 300), 0, n);
     }
     assert_eq!(crash_table.len(), 512);
-    let told = crash_table.to_tell(24, 20_000);
+    let told = crash_table.to_announce(24, 20_000);
     assert_eq!(told.hubs.len(), 24);
     assert_eq!(told.hubs[0].fingerprint, poison);
     crash_table.note_end(poison, &upstream(400), 0, 20_000);
@@ -187,7 +187,7 @@
         here.note_end(poison, &upstream(n), 0, n);
         assert_eq!(here.to_write(9, n)[0].ends.len() as u64, n + 1);
     }
-    for end in here.to_tell(24, 3).hubs {
+    for end in here.to_announce(24, 3).hubs {
         there.apply(&end, Some(true), 3);
     }
     assert!(there.held_for(poison, 3).is_some());
@@ -299,7 +299,7 @@
             back_ms[at as usize] = now_ms + rng.random_range(1_500..6_000);
         }
         for (from, teller) in books.iter_mut().enumerate() {
-            for end in teller.to_tell(24, now_ms).hubs {
+            for end in teller.to_announce(24, now_ms).hubs {
                 for to in (0..DAEMONS).filter(|to| *to != from) {
                     if rng.random_bool(0.1) {
                         continue;
