--- a/src/cluster/leaving/leaving_queue.rs
+++ b/src/cluster/leaving/leaving_queue.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 struct Telling {
     left: u8,
-    tells_hubs: bool,
+    announces_to_hubs: bool,
 }
 
 /// Upstreams that leave, to tell.
@@ -28,9 +28,15 @@
 impl LeavingQueue {
     /// Notes an upstream to tell others of: the daemons that report to this one, and hubs,
     /// unless a hub told it.
-    pub fn note(&mut self, id: UpstreamId, tells_hubs: bool) {
+    pub fn note(&mut self, id: UpstreamId, announces_to_hubs: bool) {
         let left = TELLINGS;
-        self.due.insert(id, Telling { left, tells_hubs });
+        self.due.insert(
+            id,
+            Telling {
+                left,
+                announces_to_hubs,
+            },
+        );
     }
 
     /// Returns the news to tell next, at most some: first those that were told least.
@@ -40,7 +46,7 @@
         due.sort_by_key(|(_, telling)| std::cmp::Reverse(telling.left));
         for (id, telling) in due.into_iter().take(most) {
             telling.left -= 1;
-            if telling.tells_hubs {
+            if telling.announces_to_hubs {
                 told.hubs.push(id.clone());
             }
             told.members.push(id.clone());
--- a/src/gateway/upstream_words.rs
+++ b/src/gateway/upstream_words.rs
@@ -47,8 +47,10 @@
         if !is_news {
             return;
         }
-        if let Some(tells_hubs) = passes_on {
-            self.leaving_queue.lock().note(id.clone(), tells_hubs);
+        if let Some(announces_to_hubs) = passes_on {
+            self.leaving_queue
+                .lock()
+                .note(id.clone(), announces_to_hubs);
         }
         if self.directory.read().is_left_until_its_end(id) {
             tokio::spawn(watch_for_end(self.clone(), id.clone()));
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -30,7 +30,7 @@
     /// Until when there is no permit, as far as is known.
     used_up_until_ms: u64,
     tellings: u8,
-    tells_hubs: bool,
+    announces_to_hubs: bool,
 }
 
 /// The limits that upstreams name, by what this daemon heard and others told, and the
@@ -125,7 +125,7 @@
     /// news.
     pub fn apply(&mut self, told: &KnownLimit, passes_on: Option<bool>, now_ms: u64) -> bool {
         let tellings = passes_on.map_or(0, |_| TELLINGS);
-        let tells_hubs = passes_on == Some(true);
+        let announces_to_hubs = passes_on == Some(true);
         let at_ms = now_ms.saturating_sub(told.age_ms);
         let Some(entry) = self.upstreams.get_mut(&told.upstream) else {
             if told.rate.is_none() || self.upstreams.len() >= MAX_UPSTREAMS {
@@ -139,7 +139,7 @@
                 in_line: 0,
                 used_up_until_ms: 0,
                 tellings,
-                tells_hubs,
+                announces_to_hubs,
             };
             self.upstreams.insert(told.upstream.clone(), entry);
             return true;
@@ -147,11 +147,11 @@
         let is_other = told.rate != entry.rate;
         if !told.supersedes(entry.version, entry.rate) {
             if is_other {
-                (entry.tellings, entry.tells_hubs) = (TELLINGS, true);
+                (entry.tellings, entry.announces_to_hubs) = (TELLINGS, true);
             }
             return false;
         }
-        (entry.tellings, entry.tells_hubs) = (tellings, tells_hubs);
+        (entry.tellings, entry.announces_to_hubs) = (tellings, announces_to_hubs);
         entry.version = told.version;
         match is_other {
             true => entry.change(told.rate, at_ms, now_ms),
@@ -215,7 +215,7 @@
         for (id, entry) in due.take(most) {
             entry.tellings -= 1;
             let known = entry.known(id, now_ms);
-            if entry.tells_hubs {
+            if entry.announces_to_hubs {
                 told.hubs.push(known.clone());
             }
             told.members.push(known);
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -111,7 +111,7 @@
             is_cleared: false,
             is_own: true,
             tellings: TELLINGS,
-            tells_hubs: true,
+            announces_to_hubs: true,
         });
         true
     }
@@ -125,7 +125,7 @@
             return false;
         }
         let tellings = passes_on.map_or(0, |_| TELLINGS);
-        let tells_hubs = passes_on == Some(true);
+        let announces_to_hubs = passes_on == Some(true);
         let suspect = self.suspect(told.fingerprint);
         let is_same = |end: &&mut UpstreamEnd| end.is_same(&told.upstream, at_ms, TOLD_APART_MS);
         if let Some(known) = suspect.ends.iter_mut().find(is_same) {
@@ -133,7 +133,7 @@
             if is_news {
                 known.is_cleared = true;
                 known.tellings = tellings;
-                known.tells_hubs = tells_hubs;
+                known.announces_to_hubs = announces_to_hubs;
             }
             return is_news;
         }
@@ -144,7 +144,7 @@
             is_cleared: told.is_cleared,
             is_own: false,
             tellings,
-            tells_hubs,
+            announces_to_hubs,
         });
         true
     }
@@ -223,7 +223,7 @@
                 }
                 end.tellings -= 1;
                 let known = known_end(fingerprint, end, now_ms);
-                if end.tells_hubs {
+                if end.announces_to_hubs {
                     told.hubs.push(known.clone());
                 }
                 told.members.push(known);
--- a/src/policy/quarantine/suspect.rs
+++ b/src/policy/quarantine/suspect.rs
@@ -18,7 +18,7 @@
     /// How often it is still told.
     pub tellings: u8,
     /// Whether other hubs are told, too.
-    pub tells_hubs: bool,
+    pub announces_to_hubs: bool,
 }
 
 impl UpstreamEnd {
@@ -68,7 +68,7 @@
         let open = self.ends.iter_mut().filter(|end| !end.is_cleared);
         open.map(|end| {
             end.is_cleared = true;
-            end.tells_hubs = true;
+            end.announces_to_hubs = true;
             end.tellings = tellings;
         })
         .count()
