--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -33,7 +33,7 @@
             send_all(&gateway, &[digest_packet(digest)], told).await;
         }
         // Sooner, if an account at its limit was let in more than others know.
-        let early = gateway.tell_early.notified();
+        let early = gateway.announce_early.notified();
         let every = Duration::from_millis(gateway.peers.lock().digest_every_ms());
         let _ = tokio::time::timeout(every - DIGEST_PAUSE, early).await;
         tokio::time::sleep(DIGEST_PAUSE).await;
--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -126,7 +126,7 @@
         let mut quotas = self.quotas.lock();
         let admitted = quotas.admit(terms, cost, start_part, self.steady_ms());
         if quotas.should_announce(terms) {
-            self.tell_early.notify_one();
+            self.announce_early.notify_one();
         }
         admitted
     }
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -100,7 +100,7 @@
     /// What daemons told of answers during roll-outs.
     pub version_count_table: Mutex<VersionCountTable>,
     /// Wakes the task that tells other daemons about this one.
-    pub tell_early: Notify,
+    pub announce_early: Notify,
     /// Whether clients are taken.
     pub phase: watch::Sender<GatewayPhase>,
     /// The number of the last message to other daemons.
@@ -183,7 +183,7 @@
             rollouts: Mutex::default(),
             outcomes: Mutex::default(),
             version_count_table: Mutex::default(),
-            tell_early: Notify::new(),
+            announce_early: Notify::new(),
             phase: watch::Sender::new(GatewayPhase::Starting),
             last_sequence: AtomicU64::new(0),
             hub_since_ms: Mutex::default(),
--- a/src/gateway/phase_state.rs
+++ b/src/gateway/phase_state.rs
@@ -26,7 +26,7 @@
         let began = (self.steady_ms(), StopTimes::new(stop_ms));
         let (_, times) = self.stop.get_or_init(|| began);
         self.phase.send_replace(GatewayPhase::Stopping);
-        self.tell_early.notify_one();
+        self.announce_early.notify_one();
         *times
     }
 
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -34,7 +34,7 @@
                     rollout.fence,
                     rollout.step
                 );
-                self.tell_early.notify_one();
+                self.announce_early.notify_one();
                 self.news.send_modify(|n| *n += 1);
             }
         }
