--- a/src/cluster/limits/limit_announcer.rs
+++ b/src/cluster/limits/limit_announcer.rs
@@ -16,7 +16,7 @@
 const HUBS_TOLD: usize = 3;
 
 /// Tells other daemons of limits that upstreams name.
-pub(in crate::cluster) async fn tell_limits(gateway: Arc<Gateway>) {
+pub(in crate::cluster) async fn announce_limits(gateway: Arc<Gateway>) {
     for turn in 1_u64.. {
         tokio::time::sleep(TELL_EVERY).await;
         if gateway.tick_limits() == 0 {
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -21,7 +21,7 @@
         tell_usage(gateway.clone()),
         tell_versions(gateway.clone()),
         tell_crashes(gateway.clone()),
-        tell_limits(gateway.clone()),
+        announce_limits(gateway.clone()),
         tell_leaving(gateway)
     );
 }
