--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -19,7 +19,7 @@
 pub(in crate::cluster) const MEMBERS_EVERY_MS: u64 = 600;
 
 /// Tells the other hubs about this daemon for as long as it is a hub.
-pub(in crate::cluster) async fn tell_digests(gateway: Arc<Gateway>) {
+pub(in crate::cluster) async fn announce_digests(gateway: Arc<Gateway>) {
     let mut sequence = 0;
     let mut listeners = FormerListeners::default();
     let mut quota_announcer = QuotaAnnouncer::default();
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -16,7 +16,7 @@
     gateway.set_datagram_socket(socket.clone());
     tokio::join!(
         receive_datagrams(socket, gateway.clone()),
-        tell_digests(gateway.clone()),
+        announce_digests(gateway.clone()),
         tell_reports(gateway.clone()),
         tell_usage(gateway.clone()),
         tell_versions(gateway.clone()),
