--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -22,7 +22,7 @@
 
 /// Reports to the hubs of the failure domain for as long as this daemon isn't
 /// one itself, and to its seeds until it hears any.
-pub(in crate::cluster) async fn tell_reports(gateway: Arc<Gateway>) {
+pub(in crate::cluster) async fn announce_reports(gateway: Arc<Gateway>) {
     let mut reporter = Reporter {
         seed_backoff: SeedBackoff::new(gateway.draw()),
         hears_hubs: false,
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -17,7 +17,7 @@
     tokio::join!(
         receive_datagrams(socket, gateway.clone()),
         announce_digests(gateway.clone()),
-        tell_reports(gateway.clone()),
+        announce_reports(gateway.clone()),
         tell_usage(gateway.clone()),
         tell_versions(gateway.clone()),
         tell_crashes(gateway.clone()),
