--- a/src/cluster/leaving/leaving_announcer.rs
+++ b/src/cluster/leaving/leaving_announcer.rs
@@ -12,7 +12,7 @@
 /// Tells other daemons of upstreams whose answers say that they leave. Each answer tells one
 /// daemon; without this the others send on for as long as the source says nothing, and what
 /// they send meets the upstream's end.
-pub(in crate::cluster) async fn tell_leaving(gateway: Arc<Gateway>) {
+pub(in crate::cluster) async fn announce_leaving(gateway: Arc<Gateway>) {
     loop {
         tokio::time::sleep(TELL_EVERY).await;
         if gateway.leaving_queue.lock().is_empty() {
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -22,7 +22,7 @@
         tell_versions(gateway.clone()),
         tell_crashes(gateway.clone()),
         announce_limits(gateway.clone()),
-        tell_leaving(gateway)
+        announce_leaving(gateway)
     );
 }
 
