--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -18,7 +18,7 @@
         receive_datagrams(socket, gateway.clone()),
         announce_digests(gateway.clone()),
         announce_reports(gateway.clone()),
-        tell_usage(gateway.clone()),
+        announce_usage(gateway.clone()),
         tell_versions(gateway.clone()),
         tell_crashes(gateway.clone()),
         announce_limits(gateway.clone()),
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -117,7 +117,7 @@
 
 /// Tells those that are told usage what they have not heard, as long as the daemon
 /// runs.
-pub(in crate::cluster) async fn tell_usage(gateway: Arc<Gateway>) {
+pub(in crate::cluster) async fn announce_usage(gateway: Arc<Gateway>) {
     if !gateway.settings.duties.usage {
         return;
     }
