--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -133,7 +133,7 @@
 /// Tells the last counts of a daemon that stops until they are heard. One that is told
 /// and says nothing for some rounds may be gone; then it is enough that another has
 /// heard all.
-pub async fn tell_last_usage(gateway: &Gateway, patience: Duration) {
+pub async fn announce_last_usage(gateway: &Gateway, patience: Duration) {
     if !gateway.settings.duties.usage || gateway.daemons() < 2 {
         return;
     }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -103,7 +103,7 @@
             tokio::time::sleep(STOP_POLL).await;
         }
         let left = end.saturating_sub(began.elapsed());
-        cluster::tell_last_usage(&self.gateway, left.min(LAST_USAGE_PATIENCE)).await;
+        cluster::announce_last_usage(&self.gateway, left.min(LAST_USAGE_PATIENCE)).await;
         log::info!(
             target: "gateway",
             "stopped. requests={} connections={} after_ms={}",
