--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -17,7 +17,7 @@
 const HUBS_TOLD: usize = 3;
 
 /// Tells other daemons of upstreams that end under requests.
-pub(in crate::cluster) async fn tell_crashes(gateway: Arc<Gateway>) {
+pub(in crate::cluster) async fn announce_crashes(gateway: Arc<Gateway>) {
     for turn in 1_u64.. {
         tokio::time::sleep(TELL_EVERY).await;
         gateway.tick_crashes();
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -20,7 +20,7 @@
         announce_reports(gateway.clone()),
         announce_usage(gateway.clone()),
         tell_versions(gateway.clone()),
-        tell_crashes(gateway.clone()),
+        announce_crashes(gateway.clone()),
         announce_limits(gateway.clone()),
         announce_leaving(gateway)
     );
