--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -19,7 +19,7 @@
         announce_digests(gateway.clone()),
         announce_reports(gateway.clone()),
         announce_usage(gateway.clone()),
-        tell_versions(gateway.clone()),
+        announce_versions(gateway.clone()),
         announce_crashes(gateway.clone()),
         announce_limits(gateway.clone()),
         announce_leaving(gateway)
--- a/src/cluster/versions/versions_announcer.rs
+++ b/src/cluster/versions/versions_announcer.rs
@@ -9,7 +9,7 @@
 
 /// Tells the leader of roll-outs, and those ready to take its place, what answers this
 /// daemon saw.
-pub(in crate::cluster) async fn tell_versions(gateway: Arc<Gateway>) {
+pub(in crate::cluster) async fn announce_versions(gateway: Arc<Gateway>) {
     loop {
         tokio::time::sleep(VERSIONS_EVERY).await;
         let listeners = duty_addresses(&gateway);
