--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -129,7 +129,7 @@
     };
     report.events = gateway.events.lock().to_announce(events);
     let mut packet = report_packet(report);
-    if let Some(rests) = gateway.rests_to_tell() {
+    if let Some(rests) = gateway.cooldowns_to_announce() {
         packet = packet.with(Extension::Rests(rests));
     }
     gateway.send_packet(&packet, hub).await;
--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -52,7 +52,7 @@
 
     /// Returns what to tell the hub that places for this daemon; nothing, if no upstream
     /// wants rest.
-    pub fn rests_to_tell(&self) -> Option<CooldownsPart> {
+    pub fn cooldowns_to_announce(&self) -> Option<CooldownsPart> {
         let now_ms = self.steady_ms();
         let told: Vec<AnnouncedCooldown> = {
             let rests = self.rests.lock();
