--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -112,7 +112,7 @@
         tell_in_force(gateway, &BTreeSet::from([to])).await;
     }
     if report.wants_all && report.leans_on_you {
-        let all = gateway.told_quotas();
+        let all = gateway.announced_quotas();
         let told = gateway.members.lock().quotas_for(&report.daemon.name, all);
         for part in quotas_parts(gateway, told, gateway.next_sequence(), 0) {
             gateway.send_datagram(&part, to).await;
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -162,7 +162,7 @@
     }
 
     /// Returns what was told last of the quotas.
-    pub fn told_quotas(&self) -> Vec<AnnouncedAccount> {
+    pub fn announced_quotas(&self) -> Vec<AnnouncedAccount> {
         let quotas = self.quotas.lock();
         quotas
             .last_notices()
