--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -60,7 +60,7 @@
 
     /// Returns what this daemon was told of an account's quota by the hub that
     /// told it last.
-    pub fn told_quota(&self, account: &ClientAccount) -> Option<ReceivedQuota> {
+    pub fn received_quota(&self, account: &ClientAccount) -> Option<ReceivedQuota> {
         let hubs = self.told_hubs().filter_map(|p| p.as_hub());
         let told = hubs.filter_map(|hub| hub.quotas.get(account));
         let (told, at_ms) = told.max_by_key(|(_, at_ms)| *at_ms)?;
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -93,7 +93,7 @@
     fn admit_alone(&self, account: &AccountTerms, cost: f64) -> Result<(), Duration> {
         let now_ms = self.steady_ms();
         let limit = self.quotas.lock().limit_of(account);
-        let told = self.peers.lock().told_quota(&account.name);
+        let told = self.peers.lock().received_quota(&account.name);
         let daemons = self.daemons();
         let mut standalone = self.standalone_quotas.lock();
         match standalone.admit(&account.name, cost, told, daemons, &limit, now_ms) {
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -201,6 +201,6 @@
     part.sequence = 2;
     part.quotas = vec![told_account(2)];
     assert!(peers.apply_quotas(&part, 9_000));
-    let told_at = |account: &str| peers.told_quota(&account.into()).unwrap().at_ms;
+    let told_at = |account: &str| peers.received_quota(&account.into()).unwrap().at_ms;
     assert_eq!((told_at("tenant-1"), told_at("tenant-2")), (1_000, 9_000));
 }
