--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -120,7 +120,7 @@
             config_version,
             config,
             config_position,
-            rollouts: gateway.told_rollouts(),
+            rollouts: gateway.announced_rollouts(),
             told,
             is_whole,
             packed,
@@ -159,7 +159,7 @@
             config,
             config_position,
             changes: gateway.directory.read().changes_since(self.known(ask)),
-            rollouts: gateway.told_rollouts(),
+            rollouts: gateway.announced_rollouts(),
         })
     }
 }
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -143,7 +143,7 @@
     digest.reading = speeds
         .map(|(service, s)| (service.to_string(), s.ms_per_token as f32, s.comparisons))
         .collect();
-    digest.rollouts = gateway.told_rollouts();
+    digest.rollouts = gateway.announced_rollouts();
     digest.known = gateway.named_daemons(domain);
     digest
 }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -170,7 +170,7 @@
     metrics::gauge!(LEANING).set(f64::from(leaning));
     let age_ms = gateway.members.lock().oldest_loads_ms(gateway.steady_ms());
     metrics::gauge!(LOADS_AGE).set(age_ms as f64 / 1_000.0);
-    for rollout in gateway.told_rollouts() {
+    for rollout in gateway.announced_rollouts() {
         let labels = [("service", rollout.service), ("version", rollout.target)];
         metrics::gauge!(ROLLOUT_SHARE, &labels).set(f64::from(rollout.share));
     }
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -41,7 +41,7 @@
     }
 
     /// Returns what to tell other daemons of roll-outs.
-    pub fn told_rollouts(&self) -> Vec<Rollout> {
+    pub fn announced_rollouts(&self) -> Vec<Rollout> {
         self.rollouts.lock().told(self.steady_ms())
     }
 
