--- a/src/cluster/membership/peer_duties.rs
+++ b/src/cluster/membership/peer_duties.rs
@@ -9,7 +9,7 @@
     /// Returns how many live hubs of all failure domains rank ahead of this
     /// daemon.
     pub fn hubs_ahead(&self) -> usize {
-        let hubs = self.told_hubs().filter(|p| p.is_live(self.now_ms));
+        let hubs = self.known_hubs().filter(|p| p.is_live(self.now_ms));
         hubs.filter(|p| p.rank > self.own_rank).count()
     }
 
--- a/src/cluster/membership/peer_loads.rs
+++ b/src/cluster/membership/peer_loads.rs
@@ -27,7 +27,7 @@
     /// the same hubs return the same one.
     pub fn permit_issuer(&self, upstream: u64, domain: &str, own_issues: bool) -> PermitIssuer {
         let key = |rank: DaemonRank, at: &str| (at == domain, home_rank(rank.drawn(), upstream));
-        let others = self.told_hubs();
+        let others = self.known_hubs();
         let others = others.filter(|p| p.issues_permits(self.now_ms));
         let others = others.map(|p| {
             let issuer = PermitIssuer::Other(p.entry.address);
@@ -41,7 +41,7 @@
     /// Returns how many requests hubs, and those that ask them, have at an upstream whose
     /// builds know of no limits.
     pub fn unaware_at(&self, id: &UpstreamId) -> u32 {
-        let hubs = self.told_hubs();
+        let hubs = self.known_hubs();
         let hubs = hubs.filter(|p| p.level < LIMITS_LEVEL && p.has_fresh_loads(self.now_ms));
         let loads = hubs.filter_map(|p| p.as_hub()).flat_map(|h| &h.loads.loads);
         let there = loads.filter(|(at, ..)| at == id);
@@ -51,7 +51,7 @@
     /// Returns how many other hubs' loads count, and how old they are in sum, in
     /// milliseconds.
     pub fn loads_ages(&self) -> (u64, u64) {
-        let fresh = self.told_hubs();
+        let fresh = self.known_hubs();
         let fresh = fresh.filter(|p| p.has_fresh_loads(self.now_ms));
         let ages = fresh.filter_map(|p| p.as_hub());
         let ages = ages.map(|hub| self.now_ms.saturating_sub(hub.loads_ms));
@@ -64,7 +64,7 @@
         let mut cached = self.loads.borrow_mut();
         let told = cached.get_or_insert_with(|| {
             let mut told = LoadSums::default();
-            let fresh = self.told_hubs();
+            let fresh = self.known_hubs();
             let fresh = fresh.filter(|p| p.has_fresh_loads(self.now_ms));
             for hub in fresh.filter_map(|p| p.as_hub()) {
                 for (id, active, tokens) in &hub.loads.loads {
--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -61,7 +61,7 @@
     /// Returns what this daemon was told of an account's quota by the hub that
     /// told it last.
     pub fn received_quota(&self, account: &ClientAccount) -> Option<ReceivedQuota> {
-        let hubs = self.told_hubs().filter_map(|p| p.as_hub());
+        let hubs = self.known_hubs().filter_map(|p| p.as_hub());
         let told = hubs.filter_map(|hub| hub.quotas.get(account));
         let (told, at_ms) = told.max_by_key(|(_, at_ms)| *at_ms)?;
         Some(ReceivedQuota {
@@ -82,7 +82,7 @@
     /// The same for any other hub of its failure domain.
     fn is_replaced_there(&self, peer: &Peer) -> bool {
         peer.is_late(self.now_ms)
-            && self.told_hubs().any(|other| {
+            && self.known_hubs().any(|other| {
                 other.entry.domain == peer.entry.domain
                     && other.is_live(self.now_ms)
                     && !other.is_late(self.now_ms)
@@ -92,7 +92,7 @@
 
     /// Hubs whose part of the quotas is their own.
     pub(super) fn reserved(&self) -> impl Iterator<Item = &Peer> {
-        let heard = self.told_hubs().filter(|p| {
+        let heard = self.known_hubs().filter(|p| {
             p.last_seen_ms
                 .is_some_and(|heard| self.now_ms < heard + RESERVED_MS)
         });
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -160,7 +160,7 @@
     }
 
     /// Returns those that said last that they are hubs.
-    pub(super) fn told_hubs(&self) -> impl Iterator<Item = &Peer> {
+    pub(super) fn known_hubs(&self) -> impl Iterator<Item = &Peer> {
         self.named(self.index.hubs())
     }
 
@@ -199,7 +199,7 @@
     /// Returns those that are hubs by their place, and those that said that they are.
     fn hubs_anywhere(&self) -> impl Iterator<Item = &Peer> {
         let placed = self.index.domains().flat_map(|d| self.hubs_of(d));
-        placed.chain(self.told_hubs())
+        placed.chain(self.known_hubs())
     }
 
     /// Returns where a hub's digests go to: to the hubs of all failure domains,
@@ -279,7 +279,7 @@
     }
 
     pub(super) fn live_hubs(&self) -> impl Iterator<Item = &Digest> {
-        let live = self.told_hubs().filter(|p| p.is_live(self.now_ms));
+        let live = self.known_hubs().filter(|p| p.is_live(self.now_ms));
         live.filter_map(|p| p.as_hub().map(|hub| &hub.digest))
     }
 }
