--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -255,7 +255,7 @@
             let readiness = UsageReadiness {
                 age_ms,
                 delay_ms,
-                is_whole: self.is_told_whole(*window),
+                is_whole: self.is_usage_complete(*window),
                 held_ms,
             };
             readiness.is_due() && !self.reported.contains(window)
@@ -266,7 +266,7 @@
     }
 
     /// Returns whether all daemons have told what they counted in a window.
-    fn is_told_whole(&self, window: u64) -> bool {
+    fn is_usage_complete(&self, window: u64) -> bool {
         let expected_ms = 2_000 * self.gateway.settings.duties.usage_window_s;
         let since_ms = self.gateway.steady_ms().saturating_sub(expected_ms);
         let (told, all_whole) = self.gateway.usage.lock().told_whole(window, since_ms);
@@ -285,7 +285,7 @@
             target: "duties",
             "usage reported. window={window} requests={} is_whole={} daemons={}",
             counts.values().sum::<u64>(),
-            self.is_told_whole(window),
+            self.is_usage_complete(window),
             self.gateway.daemons()
         );
         self.reported.insert(window);
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -134,7 +134,7 @@
     ) -> Result<(DirectoryCursor, bool, Bytes), FeedError> {
         let (told, is_whole) = {
             let directory = self.gateway.directory.read();
-            (directory.told(), directory.is_told_whole(known))
+            (directory.told(), directory.is_usage_complete(known))
         };
         let since = known.filter(|_| !is_whole).map(|k| k.revision);
         if let Some(packed) = self.packed.lock().get(told.revision, since) {
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -310,7 +310,7 @@
     /// Returns what has changed since it was told last; everything, if that can't be
     /// told one by one.
     pub fn update_since(&self, last: Option<DirectoryCursor>) -> DirectoryUpdate {
-        let (upstreams, gone) = match last.filter(|_| !self.is_told_whole(last)) {
+        let (upstreams, gone) = match last.filter(|_| !self.is_usage_complete(last)) {
             None => (self.all().map(|u| self.present(u)).collect(), Vec::new()),
             Some(last) => {
                 let changed = self.changed.since(last.revision);
@@ -324,14 +324,14 @@
         };
         DirectoryUpdate {
             told: self.told(),
-            is_whole: self.is_told_whole(last),
+            is_whole: self.is_usage_complete(last),
             upstreams,
             gone,
         }
     }
 
     /// Returns whether what has changed since it was told last can't be told one by one.
-    pub fn is_told_whole(&self, last: Option<DirectoryCursor>) -> bool {
+    pub fn is_usage_complete(&self, last: Option<DirectoryCursor>) -> bool {
         !last.is_some_and(|t| t.position > 0 && self.has_all_since(t.revision))
     }
 
