--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -269,7 +269,11 @@
     fn is_usage_complete(&self, window: u64) -> bool {
         let expected_ms = 2_000 * self.gateway.settings.duties.usage_window_s;
         let since_ms = self.gateway.steady_ms().saturating_sub(expected_ms);
-        let (told, all_whole) = self.gateway.usage.lock().told_whole(window, since_ms);
+        let (told, all_whole) = self
+            .gateway
+            .usage
+            .lock()
+            .usage_complete_from(window, since_ms);
         all_whole && told + 1 >= self.gateway.daemons()
     }
 
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -98,7 +98,7 @@
 
     /// Returns how many daemons told counts since a time, and whether all of
     /// them have told the whole of a window.
-    pub fn told_whole(&self, window: u64, since_ms: u64) -> (usize, bool) {
+    pub fn usage_complete_from(&self, window: u64, since_ms: u64) -> (usize, bool) {
         let late = self
             .tellers
             .values()
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -48,8 +48,12 @@
     }
     let total: u64 = holder.total(7).values().sum();
     assert_eq!(total, true_total);
-    assert_eq!(holder.told_whole(8, 0), (300, true));
-    assert_eq!(holder.told_whole(9, 0), (300, false), "it is not over");
+    assert_eq!(holder.usage_complete_from(8, 0), (300, true));
+    assert_eq!(
+        holder.usage_complete_from(9, 0),
+        (300, false),
+        "it is not over"
+    );
 }
 
 #[test]
