--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -192,8 +192,8 @@
         let mut usage = gateway.usage.lock();
         usage.merge(&part.name, part.life, &told);
         usage.record_contact(&part.name, part.life, now_ms);
-        if part.whole_before > 0 {
-            usage.note_whole(&part.name, part.whole_before, now_ms);
+        if part.complete_before > 0 {
+            usage.note_whole(&part.name, part.complete_before, now_ms);
         }
     }
     let heard = UsageAck {
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -58,13 +58,13 @@
             .map(|(window, counts)| (*window, view.lacking(*window, counts)))
             .filter(|(_, counts)| !counts.is_empty())
             .collect();
-        let whole_before = lacking.iter().map(|(w, _)| *w).min().unwrap_or(window);
-        let whole_before = whole_before.min(window);
+        let complete_before = lacking.iter().map(|(w, _)| *w).min().unwrap_or(window);
+        let complete_before = complete_before.min(window);
         let mut split: Vec<(u64, AnnouncedCounts)> = Vec::new();
         for (window, counts) in lacking {
             split.extend(in_parts(counts).into_iter().map(|part| (window, part)));
         }
-        if split.is_empty() && whole_before > view.heard_whole_before {
+        if split.is_empty() && complete_before > view.heard_whole_before {
             split.push((window, Vec::new()));
         }
         let mut parts = Vec::new();
@@ -74,7 +74,7 @@
                 name: daemon.0.to_string(),
                 life: daemon.1,
                 number: self.last_number,
-                whole_before,
+                complete_before,
                 window,
                 counts,
             };
@@ -92,7 +92,7 @@
         let Some(part) = view.sent.remove(&heard.number) else {
             return;
         };
-        view.heard_whole_before = view.heard_whole_before.max(part.whole_before);
+        view.heard_whole_before = view.heard_whole_before.max(part.complete_before);
         if part.counts.is_empty() {
             // Kept, windows without counts would push out those that have some, which
             // would be told for ever.
--- a/src/cluster/usage/usage_part.rs
+++ b/src/cluster/usage/usage_part.rs
@@ -15,7 +15,7 @@
     pub number: u64,
     /// All windows before this one are over, and the holder has heard all of
     /// them; 0 where another daemon passes on what it has heard.
-    pub whole_before: u64,
+    pub complete_before: u64,
     /// A window.
     pub window: u64,
     /// Its counts, or a part of them.
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -188,7 +188,7 @@
         name: "edge-1".into(),
         life: 5,
         number: 8,
-        whole_before: 353_445_119,
+        complete_before: 353_445_119,
         window: 353_445_120,
         counts: vec![("t".into(), 412)],
     };
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -34,7 +34,7 @@
                 let counts = part.counts.iter();
                 let counts = counts.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
                 holder.merge(&name, 1, &[(part.window, counts.collect())]);
-                holder.note_whole(&name, part.whole_before, 1_000);
+                holder.note_whole(&name, part.complete_before, 1_000);
                 teller.apply(
                     address(0),
                     UsageAck {
@@ -95,7 +95,7 @@
         let parts = teller.parts(daemon, (address(1), 6), &heard.windows, 0);
         for part in parts {
             assert_eq!(
-                part.whole_before, 0,
+                part.complete_before, 0,
                 "only a daemon itself says what is whole"
             );
             let told = part.counts.iter();
