--- a/src/cluster/hubs/ask.rs
+++ b/src/cluster/hubs/ask.rs
@@ -26,7 +26,7 @@
     /// Units.
     pub cost: f64,
     /// How long the request may be held for its turn, in milliseconds.
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
 }
 
 /// What has to be known of a request to place it.
--- a/src/cluster/hubs/ask_answers.rs
+++ b/src/cluster/hubs/ask_answers.rs
@@ -66,7 +66,7 @@
         let Some(account) = accounts.find(|t| t.name.as_str() == quota.account) else {
             return HubDecision::Unknown;
         };
-        let patience = Duration::from_millis(u64::from(quota.patience_ms));
+        let patience = Duration::from_millis(u64::from(quota.max_wait_ms));
         if let Err(wait) = gateway.admit(account, quota.cost, patience).await {
             gateway.log_refusal(account, quota.cost, wait, &ask.request);
             return HubDecision::Refused {
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -82,8 +82,8 @@
             quota,
             place,
         };
-        let patience_ms = ask.quota.as_ref().map_or(0, |q| q.patience_ms);
-        let hold = Duration::from_millis(u64::from(patience_ms)) + HOLD_GRACE;
+        let max_wait_ms = ask.quota.as_ref().map_or(0, |q| q.max_wait_ms);
+        let hold = Duration::from_millis(u64::from(max_wait_ms)) + HOLD_GRACE;
         let datagram = Datagram::AdmissionQuery(ask);
         for hub in hubs {
             match self.ask_hub(gateway, hub, &datagram, &mut answers).await {
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -87,8 +87,8 @@
         state.last_id += 1;
         let id = state.last_id;
         state.waiting.insert(id, tx);
-        let patience_ms = contact.timeout_ms() * PATIENCE_FACTOR;
-        let patience = Duration::from_secs_f64(patience_ms / 1_000.0);
+        let max_wait_ms = contact.timeout_ms() * PATIENCE_FACTOR;
+        let patience = Duration::from_secs_f64(max_wait_ms / 1_000.0);
         Some((OpenAsk { desk: self, id }, rx, patience))
     }
 
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -69,7 +69,7 @@
         let quota = limited.map(|account| QuotaQuery {
             account: account.name.to_string(),
             cost,
-            patience_ms: patience.as_millis() as u32,
+            max_wait_ms: patience.as_millis() as u32,
         });
         let place = self.asked_place(context, &[]);
         let request = context.id_text();
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -119,7 +119,7 @@
         quota: Some(QuotaQuery {
             account: "t".into(),
             cost: 1_460.0,
-            patience_ms: 120,
+            max_wait_ms: 120,
         }),
         place: PlacementQuery {
             service: "llm".into(),
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -136,7 +136,7 @@
             asked.quota = Some(QuotaQuery {
                 account: format!("tenant-{used}"),
                 cost: 1.0,
-                patience_ms: 0,
+                max_wait_ms: 0,
             });
             members.known_answer(&asked, 0);
         }
@@ -167,7 +167,7 @@
         asked.quota = Some(QuotaQuery {
             account: format!("tenant-{used}"),
             cost: 1.0,
-            patience_ms: 0,
+            max_wait_ms: 0,
         });
         members.known_answer(&asked, 0);
     }
--- a/tests/gateway/store_support.rs
+++ b/tests/gateway/store_support.rs
@@ -82,14 +82,14 @@
     name: &'static str,
     store: &Store,
     seeds: &[&GatewayDaemon],
-    patience_ms: u64,
+    max_wait_ms: u64,
 ) -> GatewayDaemon {
     let address = store.address();
     let settings = DaemonSettings {
         name,
         source: format!("kind = \"platform\"\nstore = \"{address}\"\ncloud = \"{address}\""),
         more: format!(
-            "seeds_patience_ms = {patience_ms}\n[duties]\nusage = true\nscaling = true\nlease_ms = 1500\nusage_window_s = 1\nusage_delay_s = 4\n"
+            "seeds_patience_ms = {max_wait_ms}\n[duties]\nusage = true\nscaling = true\nlease_ms = 1500\nusage_window_s = 1\nusage_delay_s = 4\n"
         ),
         seeds: seeds.iter().map(|d| d.peers).collect(),
         stdout: Stdio::null(),
