--- a/src/app/answer_reader.rs
+++ b/src/app/answer_reader.rs
@@ -123,8 +123,8 @@
 
     fn is_over(&self, lost_since: u64) -> bool {
         let now = now_ms();
-        let patience = self.world.settings.peers.silence_ms * 2 + LOST_AFTER_MS;
-        now >= self.deadline_ms || now.saturating_sub(lost_since) > patience
+        let max_wait = self.world.settings.peers.silence_ms * 2 + LOST_AFTER_MS;
+        now >= self.deadline_ms || now.saturating_sub(lost_since) > max_wait
     }
 
     async fn read_here(&mut self) -> Way {
--- a/src/app/claim_desk.rs
+++ b/src/app/claim_desk.rs
@@ -150,10 +150,10 @@
 pub async fn claim(world: &World, key: &ClaimKey) -> ClaimEnd {
     let me = world.me.clone();
     let (mut claimant, record) = Claimant::start(key.clone(), Uuid::new_v4(), me);
-    let patience = tokio::time::sleep(CLAIM_PATIENCE);
+    let max_wait = tokio::time::sleep(CLAIM_PATIENCE);
     let settled = tokio::select! {
         settled = settle(world, &mut claimant, key, &record) => settled,
-        () = patience => false,
+        () = max_wait => false,
     };
     if settled {
         match claimant.state() {
--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -221,10 +221,10 @@
         let opened_ms = now_ms();
         let mut owners = self.cell.watch_owner();
         let first = Duration::from_millis(u64::from(self.spec.terms.first_token_ms) * 10);
-        let mut patience = FIRST_STALL + first;
+        let mut max_wait = FIRST_STALL + first;
         let expiry = tokio::time::sleep(Duration::from_millis(self.left_ms()));
         tokio::pin!(expiry);
-        let stall = tokio::time::sleep(patience);
+        let stall = tokio::time::sleep(max_wait);
         tokio::pin!(stall);
         let mut heard = Instant::now();
         loop {
@@ -233,7 +233,7 @@
                     Some(Ok(frame)) => {
                         heard = Instant::now();
                         if self.take(place, attempt, frame, opened_ms) {
-                            patience = STALL;
+                            max_wait = STALL;
                         }
                         if self.splice.is_whole() {
                             return AttemptEnd::Whole;
@@ -256,10 +256,10 @@
                 () = &mut expiry => return AttemptEnd::Expired,
                 () = &mut stall => {
                     // The timer is set again when it fires, not with every frame.
-                    if heard.elapsed() >= patience {
+                    if heard.elapsed() >= max_wait {
                         return AttemptEnd::Lost;
                     }
-                    stall.as_mut().reset(heard + patience);
+                    stall.as_mut().reset(heard + max_wait);
                 }
             }
         }
--- a/src/cluster/hubs/ask_answers.rs
+++ b/src/cluster/hubs/ask_answers.rs
@@ -66,8 +66,8 @@
         let Some(account) = accounts.find(|t| t.name.as_str() == quota.account) else {
             return HubDecision::Unknown;
         };
-        let patience = Duration::from_millis(u64::from(quota.max_wait_ms));
-        if let Err(wait) = gateway.admit(account, quota.cost, patience).await {
+        let max_wait = Duration::from_millis(u64::from(quota.max_wait_ms));
+        if let Err(wait) = gateway.admit(account, quota.cost, max_wait).await {
             gateway.log_refusal(account, quota.cost, wait, &ask.request);
             return HubDecision::Refused {
                 wait_ms: wait.as_millis() as u64,
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -50,7 +50,7 @@
         limit: AnnouncedLimit,
         is_passed_on: bool,
     ) -> Option<PermitAnswer> {
-        let (open, answer, patience) = self.open(issuer, gateway.steady_ms())?;
+        let (open, answer, max_wait) = self.open(issuer, gateway.steady_ms())?;
         let asked_at = BootInstant::now();
         let ask = Extension::PermitQuery(PermitQuery {
             life: gateway.incarnation,
@@ -59,7 +59,7 @@
             limit,
         });
         gateway.send_packet(&ask.into(), issuer).await;
-        let answer = tokio::time::timeout(patience, answer).await;
+        let answer = tokio::time::timeout(max_wait, answer).await;
         let answer = answer.ok().and_then(Result::ok);
         let mut state = self.state.lock();
         let contact = state.daemons.entry(issuer).or_default();
@@ -88,8 +88,8 @@
         let id = state.last_id;
         state.waiting.insert(id, tx);
         let max_wait_ms = contact.timeout_ms() * PATIENCE_FACTOR;
-        let patience = Duration::from_secs_f64(max_wait_ms / 1_000.0);
-        Some((OpenAsk { desk: self, id }, rx, patience))
+        let max_wait = Duration::from_secs_f64(max_wait_ms / 1_000.0);
+        Some((OpenAsk { desk: self, id }, rx, max_wait))
     }
 
     /// Takes in an answer.
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -133,7 +133,7 @@
 /// Tells the last counts of a daemon that stops until they are heard. One that is told
 /// and says nothing for some rounds may be gone; then it is enough that another has
 /// heard all.
-pub async fn announce_last_usage(gateway: &Gateway, patience: Duration) {
+pub async fn announce_last_usage(gateway: &Gateway, max_wait: Duration) {
     if !gateway.settings.duties.usage || gateway.daemons() < 2 {
         return;
     }
@@ -153,11 +153,11 @@
             tokio::time::sleep(LAST_USAGE_EVERY).await;
         }
     };
-    if tokio::time::timeout(patience, told).await.is_err() {
+    if tokio::time::timeout(max_wait, told).await.is_err() {
         log::warn!(
             target: "duties",
             "the last counts were not heard. patience_ms={}",
-            patience.as_millis()
+            max_wait.as_millis()
         );
     }
 }
--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -68,7 +68,7 @@
     }
 
     /// Lets a client account's request in. One that would be let in soon is held for as
-    /// long as `patience`, rather than sent back.
+    /// long as `max_wait`, rather than sent back.
     ///
     /// # Errors
     ///
@@ -77,13 +77,13 @@
         &self,
         terms: &AccountTerms,
         cost: f64,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<(), Duration> {
-        let patience = match self.settings.mechanisms.held_requests {
-            true => patience,
+        let max_wait = match self.settings.mechanisms.held_requests {
+            true => max_wait,
             false => Duration::ZERO,
         };
-        let until = BootInstant::now() + patience;
+        let until = BootInstant::now() + max_wait;
         let start_part = 1.0 / self.daemons() as f64;
         self.quotas
             .lock()
--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -86,8 +86,8 @@
     if last || !context.route.is_repeatable() {
         return whole.await;
     }
-    let patience = (context.target_latency() * SLOW_FACTOR).max(MIN_PATIENCE);
-    let answer = timeout(patience, whole).await;
+    let max_wait = (context.target_latency() * SLOW_FACTOR).max(MIN_PATIENCE);
+    let answer = timeout(max_wait, whole).await;
     answer.unwrap_or_else(|_| Err(SendFailure::MayHaveRun("no answer in time".into())))
 }
 
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -144,7 +144,7 @@
             STOPPING_RETRY_AFTER,
         )));
     }
-    let patience = patience(gateway, &service, &route);
+    let max_wait = max_wait(gateway, &service, &route);
     let context = RequestContext {
         placed: parking_lot::Mutex::default(),
         sent_at: parking_lot::Mutex::default(),
@@ -166,7 +166,7 @@
     if let Some(hold) = gateway.held_for(&context) {
         return Err(refuse_held(&context, hold));
     }
-    admit(gateway, &context, terms.as_deref(), patience).await?;
+    admit(gateway, &context, terms.as_deref(), max_wait).await?;
     Ok(context)
 }
 
@@ -187,7 +187,7 @@
 
 /// Returns for how long a request may be held so that its answer is still likely
 /// to be in time, by how long answers of its service take.
-fn patience(gateway: &Gateway, service: &ServiceName, route: &Route) -> Duration {
+fn max_wait(gateway: &Gateway, service: &ServiceName, route: &Route) -> Duration {
     let times = gateway.engine_times(service);
     let answer_ms = match route.kind {
         RouteKind::Streaming => times.first_event_ms,
@@ -278,9 +278,9 @@
     limits: &ClientLimits,
     body: RequestBody,
 ) -> Result<Bytes, Box<Response<AnswerBody>>> {
-    let patience = Duration::from_millis(limits.body_timeout_ms);
+    let max_wait = Duration::from_millis(limits.body_timeout_ms);
     let limited = Limited::new(body, limits.max_body_bytes).collect();
-    match timeout(patience, limited).await {
+    match timeout(max_wait, limited).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
             Err(last(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"))
@@ -294,9 +294,9 @@
     gateway: &Gateway,
     context: &RequestContext,
     account: Option<&AccountTerms>,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Result<(), Box<Response<AnswerBody>>> {
-    let admitted = gateway.let_in(context, account, patience).await;
+    let admitted = gateway.let_in(context, account, max_wait).await;
     admitted.map_err(|wait| {
         if gateway.is_hub()
             && let Some(account) = account
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -51,12 +51,12 @@
         &self,
         context: &RequestContext,
         account: Option<&AccountTerms>,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<(), Duration> {
         let cost = account.map_or(0.0, |a| a.cost(context.prompt.tokens()));
         if self.is_hub() {
             return match account {
-                Some(account) => self.admit(account, cost, patience).await,
+                Some(account) => self.admit(account, cost, max_wait).await,
                 None => Ok(()),
             };
         }
@@ -69,7 +69,7 @@
         let quota = limited.map(|account| QuotaQuery {
             account: account.name.to_string(),
             cost,
-            max_wait_ms: patience.as_millis() as u32,
+            max_wait_ms: max_wait.as_millis() as u32,
         });
         let place = self.asked_place(context, &[]);
         let request = context.id_text();
--- a/standin/src/load/run.rs
+++ b/standin/src/load/run.rs
@@ -75,11 +75,11 @@
         let mut sends = 0;
         let outcome = loop {
             sends += 1;
-            let patience = match self.stream.deadline_ms {
+            let max_wait = match self.stream.deadline_ms {
                 0 => PATIENCE,
                 ms => Duration::from_millis(ms) + Duration::from_secs(2),
             };
-            let answer = tokio::time::timeout(patience, self.send()).await;
+            let answer = tokio::time::timeout(max_wait, self.send()).await;
             let outcome = answer.unwrap_or_else(|_| "lost".to_string());
             if outcome == "whole" || sends > self.stream.caller_retries {
                 break outcome;
