--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -31,9 +31,9 @@
     }
 
     /// Returns whether an upstream wants nothing from this daemon now.
-    pub fn is_resting(&self, id: &UpstreamId) -> bool {
+    pub fn is_in_cooldown(&self, id: &UpstreamId) -> bool {
         let now_ms = self.steady_ms();
-        self.rests.lock().is_resting(id, now_ms)
+        self.rests.lock().is_in_cooldown(id, now_ms)
     }
 
     /// Returns the upstreams that want nothing from this daemon now.
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -139,7 +139,7 @@
         let directory = self.directory.read();
         let upstream = directory.get(&id).filter(|u| !u.draining)?.clone();
         drop(directory);
-        if self.is_resting(&id) {
+        if self.is_in_cooldown(&id) {
             return None;
         }
         Some(Placement {
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -127,7 +127,7 @@
     if !gateway.directory.read().is_ready(&upstream.id) {
         return Err(SendFailure::NotSent("the upstream is leaving".into()));
     }
-    if gateway.is_resting(&upstream.id) {
+    if gateway.is_in_cooldown(&upstream.id) {
         return Err(SendFailure::NotSent("the upstream rests".into()));
     }
     *context.sent_at.lock() = Some(BootInstant::now());
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -34,7 +34,7 @@
     /// Notes how a request ended at an upstream. One that asked for rest said itself until
     /// when it takes none: as a failure, that would keep it out for far longer.
     pub fn note_outcome(&self, upstream: &UpstreamId, failed: bool) {
-        if failed && self.is_resting(upstream) {
+        if failed && self.is_in_cooldown(upstream) {
             return;
         }
         let now_ms = self.steady_ms();
--- a/src/policy/rests/cooldown_table.rs
+++ b/src/policy/rests/cooldown_table.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns whether an upstream wants nothing now.
-    pub fn is_resting(&self, id: &UpstreamId, now_ms: u64) -> bool {
+    pub fn is_in_cooldown(&self, id: &UpstreamId, now_ms: u64) -> bool {
         self.left(id, now_ms).is_some()
     }
 
--- a/tests/decisions/rests.rs
+++ b/tests/decisions/rests.rs
@@ -43,18 +43,18 @@
     cooldowns.note(&id("a"), seconds(3.0), 1_000);
     cooldowns.note(&id("a"), seconds(1.0), 1_500);
     assert_eq!(cooldowns.left(&id("a"), 2_000), Some(seconds(2.0)));
-    assert!(cooldowns.is_resting(&id("a"), 3_999));
-    assert!(!cooldowns.is_resting(&id("a"), 4_000), "it is over");
-    assert!(!cooldowns.is_resting(&id("b"), 2_000));
+    assert!(cooldowns.is_in_cooldown(&id("a"), 3_999));
+    assert!(!cooldowns.is_in_cooldown(&id("a"), 4_000), "it is over");
+    assert!(!cooldowns.is_in_cooldown(&id("b"), 2_000));
 }
 
 #[test]
 fn a_rest_of_no_time_or_of_all_time_overflows() {
     let mut cooldowns = CooldownTable::default();
     cooldowns.note(&id("a"), Duration::ZERO, 1_000);
-    assert!(!cooldowns.is_resting(&id("a"), 1_000));
+    assert!(!cooldowns.is_in_cooldown(&id("a"), 1_000));
     cooldowns.note(&id("b"), Duration::MAX, 1_000);
-    assert!(cooldowns.is_resting(&id("b"), u64::MAX - 1));
+    assert!(cooldowns.is_in_cooldown(&id("b"), u64::MAX - 1));
 }
 
 #[test]
