--- a/benches/placing.rs
+++ b/benches/placing.rs
@@ -72,7 +72,7 @@
         },
         tried: Vec::new(),
         avoided: Vec::new(),
-        resting: Vec::new(),
+        in_cooldown: Vec::new(),
         domain: FailureDomain::from("a"),
         apart_by: None,
     }
--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -37,10 +37,13 @@
     }
 
     /// Returns the upstreams that want nothing from this daemon now.
-    pub(super) fn resting(&self) -> Vec<UpstreamId> {
+    pub(super) fn in_cooldown(&self) -> Vec<UpstreamId> {
         let now_ms = self.steady_ms();
         let rests = self.rests.lock();
-        rests.resting(now_ms).map(|(id, _)| id.clone()).collect()
+        rests
+            .in_cooldown(now_ms)
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
     /// Returns the upstreams that want rest of so many daemons that others leave them alone,
@@ -56,7 +59,7 @@
         let now_ms = self.steady_ms();
         let told: Vec<AnnouncedCooldown> = {
             let rests = self.rests.lock();
-            let told = rests.resting(now_ms);
+            let told = rests.in_cooldown(now_ms);
             told.map(|(id, left)| AnnouncedCooldown::of(id, left))
                 .collect()
         };
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -221,7 +221,7 @@
             prompt: super::Prompt::from_ask(&ask.place),
             tried: typed(&ask.place.tried),
             avoided: typed(&ask.place.avoided),
-            resting: Vec::new(),
+            in_cooldown: Vec::new(),
             domain,
             apart_by: ask.place.apart_by,
         };
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -32,7 +32,7 @@
     pub avoided: Vec<UpstreamId>,
     /// Upstreams that want nothing from its daemon now: none of them, whatever else there
     /// is.
-    pub resting: Vec<UpstreamId>,
+    pub in_cooldown: Vec<UpstreamId>,
     /// The failure domain of its daemon.
     pub domain: FailureDomain,
     /// By what it is placed in place of its prompt, so that it runs apart from others.
@@ -104,10 +104,10 @@
 
     fn asked_place(&self, context: &RequestContext, tried: &[UpstreamId]) -> PlacementQuery {
         let now_ms = self.steady_ms();
-        let resting = self.resting().into_iter();
+        let in_cooldown = self.in_cooldown().into_iter();
         let loads = self.loads.lock();
         let out_of_reach = loads.iter().filter(|(_, load)| load.is_avoided(now_ms));
-        let avoided = resting.chain(out_of_reach.map(|(id, _)| id.clone()));
+        let avoided = in_cooldown.chain(out_of_reach.map(|(id, _)| id.clone()));
         let avoided = avoided.take(MAX_AVOIDED).map(|id| id.to_string());
         let avoided = avoided.collect();
         drop(loads);
@@ -173,7 +173,7 @@
             prompt: context.prompt.clone(),
             tried: tried.to_vec(),
             avoided: Vec::new(),
-            resting: self.resting(),
+            in_cooldown: self.in_cooldown(),
             domain: self.domain().clone(),
             apart_by: self.placed_apart_by(context),
         };
@@ -243,7 +243,7 @@
     fn barred(&self, request: &PlaceRequest, ready: &ReadyUpstreams, denials: usize) -> Vec<bool> {
         let mut barred = self.barred_by_rollout(request, ready).unwrap_or_default();
         let limited = self.barred_by_limits(denials);
-        for id in limited.iter().chain(&request.resting) {
+        for id in limited.iter().chain(&request.in_cooldown) {
             if let Some(index) = ready.index_of(id) {
                 barred.resize(ready.upstreams.len(), false);
                 barred[index] = true;
@@ -282,8 +282,8 @@
         for index in request.tried.iter().filter_map(|id| ready.index_of(id)) {
             candidates[index].tried = true;
         }
-        let resting = self.resting_for_many();
-        let avoided = request.avoided.iter().chain(&resting);
+        let in_cooldown = self.resting_for_many();
+        let avoided = request.avoided.iter().chain(&in_cooldown);
         for index in avoided.filter_map(|id| ready.index_of(id)) {
             candidates[index].avoided = true;
         }
--- a/src/policy/rests/cooldown_table.rs
+++ b/src/policy/rests/cooldown_table.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the upstreams that want nothing now, with how much rest is left.
-    pub fn resting(&self, now_ms: u64) -> impl Iterator<Item = (&UpstreamId, Duration)> {
+    pub fn in_cooldown(&self, now_ms: u64) -> impl Iterator<Item = (&UpstreamId, Duration)> {
         let ids = self.until_ms.keys();
         ids.filter_map(move |id| Some((id, self.left(id, now_ms)?)))
     }
--- a/src/policy/rests/reported_cooldowns.rs
+++ b/src/policy/rests/reported_cooldowns.rs
@@ -27,8 +27,8 @@
     /// turned away.
     pub fn asked_of_many(&self, now_ms: u64) -> Vec<UpstreamId> {
         let mut asked: HashMap<&UpstreamId, usize> = HashMap::new();
-        let resting = self.by_daemon.values().flat_map(|b| b.resting(now_ms));
-        for (id, _) in resting {
+        let in_cooldown = self.by_daemon.values().flat_map(|b| b.in_cooldown(now_ms));
+        for (id, _) in in_cooldown {
             *asked.entry(id).or_default() += 1;
         }
         let many = asked
@@ -41,7 +41,7 @@
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId) -> bool, now_ms: u64) {
         self.by_daemon.retain(|_, cooldowns| {
             cooldowns.retain(&is_known, now_ms);
-            cooldowns.resting(now_ms).next().is_some()
+            cooldowns.in_cooldown(now_ms).next().is_some()
         });
     }
 }
--- a/tests/decisions/rests.rs
+++ b/tests/decisions/rests.rs
@@ -64,7 +64,7 @@
     cooldowns.note(&id("gone"), seconds(9.0), 0);
     cooldowns.note(&id("kept"), seconds(9.0), 0);
     cooldowns.retain(|known| *known != id("gone"), 2_000);
-    let kept: Vec<_> = cooldowns.resting(0).map(|(id, _)| id.clone()).collect();
+    let kept: Vec<_> = cooldowns.in_cooldown(0).map(|(id, _)| id.clone()).collect();
     assert_eq!(kept, [id("kept")]);
 }
 
--- a/tests/gateway/upstreams_in_cooldown.rs
+++ b/tests/gateway/upstreams_in_cooldown.rs
@@ -49,12 +49,12 @@
 #[tokio::test]
 async fn daemons_send_more_to_upstreams_that_asked_them_for_rest() {
     let all = [0, 1, 2, 3, 4];
-    for resting in [2, 6] {
+    for in_cooldown in [2, 6] {
         let world = FileWorld::start(5, 6).await;
-        world.runners[..resting].iter().for_each(turn_away);
+        world.runners[..in_cooldown].iter().for_each(turn_away);
         let told = world.load(&all, 80.0, REST).await;
         check_rests(&world);
-        if resting == 2 {
+        if in_cooldown == 2 {
             let served = told.iter().filter(|t| t.status == StatusCode::OK).count();
             // Each daemon learns it by a refusal, and its budget bounds repeats.
             assert!(
