--- a/src/cluster/hubs/ask_answers.rs
+++ b/src/cluster/hubs/ask_answers.rs
@@ -41,7 +41,7 @@
 
 async fn answer(gateway: &Gateway, ask: &AdmissionQuery, verdict: HubDecision, to: SocketAddr) {
     let now_ms = gateway.steady_ms();
-    gateway.members.lock().note_answer(ask, &verdict, now_ms);
+    gateway.members.lock().record_answer(ask, &verdict, now_ms);
     let answer = Answer {
         id: ask.id,
         life: ask.life,
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -114,7 +114,7 @@
             let wait = self.timeout(hub) * time;
             if let Ok(Some(heard)) = tokio::time::timeout(wait, answers.recv()).await {
                 // The time to an answer is known only if it was asked once.
-                self.note_answer(hub, (time == 1).then(|| asked_at.elapsed()));
+                self.record_answer(hub, (time == 1).then(|| asked_at.elapsed()));
                 return Some(heard);
             }
         }
@@ -177,11 +177,11 @@
         }
     }
 
-    fn note_answer(&self, hub: SocketAddr, after: Option<Duration>) {
+    fn record_answer(&self, hub: SocketAddr, after: Option<Duration>) {
         let mut state = self.state.lock();
         let contact = state.hubs.entry(hub).or_default();
         match after {
-            Some(after) => contact.note_answer(after.as_secs_f64() * 1_000.0),
+            Some(after) => contact.record_answer(after.as_secs_f64() * 1_000.0),
             None => contact.record_contact(),
         }
     }
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -124,7 +124,7 @@
     }
 
     /// Remembers an answer, and counts the request in where it was placed.
-    pub fn note_answer(&mut self, ask: &AdmissionQuery, verdict: &HubDecision, now_ms: u64) {
+    pub fn record_answer(&mut self, ask: &AdmissionQuery, verdict: &HubDecision, now_ms: u64) {
         let member = self.member(&ask.name, ask.life, now_ms);
         if let HubDecision::Placed {
             upstream,
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -64,7 +64,7 @@
         let mut state = self.state.lock();
         let contact = state.daemons.entry(issuer).or_default();
         match answer {
-            Some(_) => contact.note_answer(asked_at.elapsed().as_secs_f64() * 1_000.0),
+            Some(_) => contact.record_answer(asked_at.elapsed().as_secs_f64() * 1_000.0),
             None => {
                 contact.note_silent(gateway.steady_ms());
                 log::info!(target: "limit", "no answer for a permit. daemon={issuer}");
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -83,7 +83,7 @@
                         sent.active.first_event();
                         let time_ms = sent.active.age_ms();
                         self.gateway
-                            .note_answer(&self.context, &sent.upstream, Some(time_ms));
+                            .record_answer(&self.context, &sent.upstream, Some(time_ms));
                     }
                     self.began = true;
                     return Some((head, self.pass_on(step)));
--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -45,7 +45,7 @@
                 let failed = head.status.is_server_error();
                 gateway.note_outcome(&upstream.id, failed);
                 let time_ms = sent.elapsed().as_secs_f64() * 1_000.0;
-                gateway.note_answer(context, upstream, (!failed).then_some(time_ms));
+                gateway.record_answer(context, upstream, (!failed).then_some(time_ms));
                 let retry = failed && context.route.is_repeatable();
                 let failure = SendFailure::MayHaveRun(head.status.to_string());
                 if retry && attempts.may_go_on(gateway, context, &upstream.id, failure) {
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -40,7 +40,7 @@
         }
         let now_ms = self.steady_ms();
         let mut limits = self.limits.lock();
-        let is_news = limits.note_answer(&upstream.id, named, sent_ms, now_ms);
+        let is_news = limits.record_answer(&upstream.id, named, sent_ms, now_ms);
         let rate = limits.rate(&upstream.id);
         drop(limits);
         if is_news {
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -73,7 +73,7 @@
 
     /// Notes an answer for a roll-out; `time_ms` is the time to its head or first event,
     /// none if it failed.
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &self,
         context: &RequestContext,
         upstream: &Upstream,
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -78,7 +78,7 @@
         }
         metrics::counter!(FAILED_SENDS, "run" => failure.kind()).increment(1);
         if !matches!(failure, SendFailure::NotSent(_)) {
-            self.note_answer(context, upstream, None);
+            self.record_answer(context, upstream, None);
         }
         match failure {
             SendFailure::NotSent(_) => {}
--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -22,7 +22,7 @@
 
     /// Notes that the source answered.
     pub fn note_source(&self) {
-        self.source.lock().note_answer(self.steady_ms());
+        self.source.lock().record_answer(self.steady_ms());
     }
 
     /// Notes that a call to the source, begun at `began_ms`, failed.
--- a/src/policy/hubs/contact.rs
+++ b/src/policy/hubs/contact.rs
@@ -29,7 +29,7 @@
 
 impl HubContact {
     /// Notes an answer to a question that was sent once.
-    pub fn note_answer(&mut self, after_ms: f64) {
+    pub fn record_answer(&mut self, after_ms: f64) {
         self.record_contact();
         self.times = Some(match self.times {
             None => (after_ms, after_ms / 2.0),
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -76,7 +76,7 @@
 
     /// Takes in what an answer says whose request was sent at `sent_ms`; returns whether
     /// that is news.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         id: &UpstreamId,
         named: NamedLimit,
--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -19,7 +19,7 @@
 
 impl SourceContact {
     /// Notes that the source answered.
-    pub fn note_answer(&mut self, now_ms: u64) {
+    pub fn record_answer(&mut self, now_ms: u64) {
         self.record_contact(now_ms, now_ms);
         self.failing_since_ms = None;
     }
--- a/src/policy/sources/source_silence.rs
+++ b/src/policy/sources/source_silence.rs
@@ -24,7 +24,7 @@
     }
 
     /// Notes that a call was answered; returns for how many milliseconds none had been.
-    pub fn note_answer(&mut self, now_ms: u64) -> Option<u64> {
+    pub fn record_answer(&mut self, now_ms: u64) -> Option<u64> {
         let since_ms = self.silent_since_ms.take()?;
         self.returns += 1;
         Some(now_ms.saturating_sub(since_ms))
--- a/src/provider/source_monitor.rs
+++ b/src/provider/source_monitor.rs
@@ -48,7 +48,7 @@
         let answer = call.await;
         let now_ms = self.now_ms();
         match &answer {
-            Ok(_) => self.note_answer(now_ms),
+            Ok(_) => self.record_answer(now_ms),
             Err(_) => self.note_failure(began_ms),
         }
         answer
@@ -62,9 +62,9 @@
         });
     }
 
-    fn note_answer(&self, now_ms: u64) {
+    fn record_answer(&self, now_ms: u64) {
         self.silence.send_if_modified(|silence| {
-            let silent_ms = silence.note_answer(now_ms);
+            let silent_ms = silence.record_answer(now_ms);
             if let Some(silent_ms) = silent_ms {
                 log::info!(target: "store", "the source answers again. silent_ms={silent_ms}");
             }
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -260,7 +260,7 @@
 fn a_hub_that_does_not_answer_is_left_alone_for_a_while() {
     let mut contact = HubContact::default();
     assert!(contact.timeout_ms() >= 20.0);
-    (0..20).for_each(|_| contact.note_answer(1.0));
+    (0..20).for_each(|_| contact.record_answer(1.0));
     assert!(contact.timeout_ms() <= 20.0);
     contact.note_silent(1_000);
     assert!(contact.is_avoided(1_100));
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -23,7 +23,7 @@
 /// A book in which an upstream `u` has just named a limit.
 fn book_of(per_s: f64) -> LimitTable {
     let mut quota_table = LimitTable::default();
-    assert!(quota_table.note_answer(&u("u"), named(per_s), 0, 0));
+    assert!(quota_table.record_answer(&u("u"), named(per_s), 0, 0));
     quota_table
 }
 
@@ -145,14 +145,14 @@
         Ok(()),
         "it names none"
     );
-    quota_table.note_answer(&u("u"), named(2.0), 59_900, 60_000);
+    quota_table.record_answer(&u("u"), named(2.0), 59_900, 60_000);
     assert_eq!(
         quota_table.take(&u("u"), PermitShare::ALL, 60_000),
         Err(500)
     );
     // It is raised, and lowered again.
-    quota_table.note_answer(&u("u"), named(100.0), 60_100, 60_200);
-    quota_table.note_answer(&u("u"), named(1.0), 70_100, 70_200);
+    quota_table.record_answer(&u("u"), named(100.0), 60_100, 60_200);
+    quota_table.record_answer(&u("u"), named(1.0), 70_100, 70_200);
     let times = take_all(&mut quota_table, 70_200, 74_200);
     assert!(
         times.len() <= 29,
@@ -164,17 +164,17 @@
 #[test]
 fn an_answer_that_names_none_lifts_only_what_was_named_before_its_request() {
     let mut quota_table = book_of(1.0);
-    quota_table.note_answer(&u("u"), named(1.0), 900, 1_000);
+    quota_table.record_answer(&u("u"), named(1.0), 900, 1_000);
     // Its request was sent before the limit was named last: the answer may have begun then.
-    assert!(!quota_table.note_answer(&u("u"), NamedLimit::Absent, 950, 1_100));
+    assert!(!quota_table.record_answer(&u("u"), NamedLimit::Absent, 950, 1_100));
     assert_eq!(quota_table.rate(&u("u")), Some(rate(1.0)));
-    assert!(!quota_table.note_answer(&u("u"), NamedLimit::Unreadable, 1_200, 1_300));
+    assert!(!quota_table.record_answer(&u("u"), NamedLimit::Unreadable, 1_200, 1_300));
     assert_eq!(quota_table.rate(&u("u")), Some(rate(1.0)));
-    assert!(quota_table.note_answer(&u("u"), NamedLimit::Absent, 1_200, 1_300));
+    assert!(quota_table.record_answer(&u("u"), NamedLimit::Absent, 1_200, 1_300));
     assert_eq!(quota_table.rate(&u("u")), None);
     assert_eq!(quota_table.take(&u("u"), PermitShare::ALL, 1_300), Ok(()));
     // And it may name one again.
-    assert!(quota_table.note_answer(&u("u"), named(0.5), 1_400, 1_500));
+    assert!(quota_table.record_answer(&u("u"), named(0.5), 1_400, 1_500));
     assert_eq!(
         quota_table.take(&u("u"), PermitShare::ALL, 1_500),
         Err(2_000)
@@ -213,7 +213,7 @@
     );
     assert!(!quota_table.apply(&told(Some(4.0), 6), None, 5_000));
     // The next answer counts, whatever it says.
-    assert!(quota_table.note_answer(&u("u"), named(9.0), 5_000, 5_100));
+    assert!(quota_table.record_answer(&u("u"), named(9.0), 5_000, 5_100));
     assert_eq!(quota_table.known(&u("u"), 5_100).unwrap().version, 7);
 }
 
@@ -223,7 +223,7 @@
 fn a_word_that_was_long_on_its_way_is_no_news() {
     let mut quota_table = book_of(1.0);
     let word = quota_table.known(&u("u"), 0).unwrap();
-    assert!(quota_table.note_answer(&u("u"), NamedLimit::Absent, 50, 100));
+    assert!(quota_table.record_answer(&u("u"), NamedLimit::Absent, 50, 100));
     assert!(!quota_table.apply(&word, Some(true), 5_000));
     assert_eq!(quota_table.rate(&u("u")), None);
 }
@@ -265,7 +265,7 @@
         1,
         "for as long as it says so"
     );
-    quota_table.note_answer(&u("u"), NamedLimit::Absent, 3_600_000, 3_600_100);
+    quota_table.record_answer(&u("u"), NamedLimit::Absent, 3_600_000, 3_600_100);
     assert!(quota_table.in_force(3_600_100).is_empty());
     quota_table.tick(3_661_000);
     assert!(quota_table.is_empty());
@@ -289,7 +289,7 @@
                 let named_now =
                     [named(1.0), named(2.0), NamedLimit::Absent][rng.random_range(0..3)];
                 let at = rng.random_range(0..books.len());
-                books[at].note_answer(&u("u"), named_now, now_ms, now_ms);
+                books[at].record_answer(&u("u"), named_now, now_ms, now_ms);
                 last = Some(books[at].rate(&u("u")));
             }
             for (from, quota_table) in books.iter_mut().enumerate() {
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -72,7 +72,7 @@
     };
     let first = members.known_answer(&ask(5), 0);
     assert_eq!(first, None);
-    members.note_answer(&ask(5), &placed, 0);
+    members.record_answer(&ask(5), &placed, 0);
     assert_eq!(members.known_answer(&ask(5), 10), Some(placed));
     let waiting = |members: &MemberTable| {
         let mut sums = LoadSums::default();
--- a/tests/decisions/source_silence.rs
+++ b/tests/decisions/source_silence.rs
@@ -24,9 +24,13 @@
     silence.note_call(2_300);
     assert_eq!(silence.probe_in_ms(2_300), Some(800));
     silence.note_failure(2_300);
-    assert_eq!(silence.note_answer(4_000), Some(3_000));
+    assert_eq!(silence.record_answer(4_000), Some(3_000));
     assert_eq!((silence.is_silent(), silence.returns()), (false, 1));
-    assert_eq!(silence.note_answer(5_000), None, "it answered all the time");
+    assert_eq!(
+        silence.record_answer(5_000),
+        None,
+        "it answered all the time"
+    );
     assert_eq!((silence.probe_in_ms(9_000), silence.returns()), (None, 1));
 }
 
