--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -97,13 +97,13 @@
             () = self.time_to_close() => {
                 if self.activity.lock().requests() == 0 {
                     // It would wait for a first request.
-                    return self.note_end(None);
+                    return self.record_end(None);
                 }
                 connection.as_mut().graceful_shutdown();
                 connection.as_mut().await
             }
         };
-        self.note_end(end.err());
+        self.record_end(end.err());
         self.linger().await;
     }
 
@@ -170,7 +170,7 @@
 
     /// Tells of a connection that ends while bytes of its client stand unread, or
     /// by an error.
-    fn note_end(&self, error: Option<hyper::Error>) {
+    fn record_end(&self, error: Option<hyper::Error>) {
         let unread = self.socket.unread();
         if error.is_none() && unread != Unread::Bytes {
             return;
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -49,7 +49,7 @@
         for (fingerprint, cut_off) in requests {
             let mut crashes = self.crashes.lock();
             let was_held = crashes.held_for(fingerprint, now_ms).is_some();
-            crashes.note_end(fingerprint, upstream, cut_off.ran_ms, cut_off.at_ms);
+            crashes.record_end(fingerprint, upstream, cut_off.ran_ms, cut_off.at_ms);
             let is_held = crashes.held_for(fingerprint, now_ms).is_some();
             drop(crashes);
             log_if_held(fingerprint, was_held, is_held);
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -91,7 +91,7 @@
 
     /// Notes that an upstream ended at `at_ms` under a request that had been there for
     /// `ran_ms`, as this daemon saw; returns whether that is news.
-    pub fn note_end(
+    pub fn record_end(
         &mut self,
         fingerprint: RequestFingerprint,
         upstream: &UpstreamId,
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -47,7 +47,7 @@
     let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
         assert_eq!(crash_table.held_for(poison, n * 2_000), None, "{n}");
-        assert!(crash_table.note_end(poison, &upstream(n), 0, n * 2_000));
+        assert!(crash_table.record_end(poison, &upstream(n), 0, n * 2_000));
     }
     assert_eq!(crash_table.held_for(poison, 4_000), Some(HOLD_MS));
     assert_eq!(crash_table.held_for(request("q"), 4_000), None);
@@ -56,8 +56,8 @@
 #[test]
 fn one_end_counts_once_whoever_saw_it_and_an_upstream_may_end_again() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
-    assert!(crash_table.note_end(poison, &upstream(0), 0, 1_000));
-    assert!(!crash_table.note_end(poison, &upstream(0), 0, 1_300));
+    assert!(crash_table.record_end(poison, &upstream(0), 0, 1_000));
+    assert!(!crash_table.record_end(poison, &upstream(0), 0, 1_300));
     let told = KnownCrash {
         fingerprint: poison,
         upstream: upstream(0),
@@ -68,7 +68,7 @@
     assert!(!crash_table.apply(&told, None, 2_500));
     for at_ms in [6_000, 11_000] {
         assert_eq!(crash_table.held_for(poison, at_ms), None);
-        assert!(crash_table.note_end(poison, &upstream(0), 0, at_ms));
+        assert!(crash_table.record_end(poison, &upstream(0), 0, at_ms));
     }
     assert!(crash_table.held_for(poison, 11_000).is_some());
 }
@@ -77,9 +77,9 @@
 fn requests_that_ran_beside_it_are_not_held_back() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
-        crash_table.note_end(poison, &upstream(n), 0, n * 100);
+        crash_table.record_end(poison, &upstream(n), 0, n * 100);
         for beside in 0..20 {
-            crash_table.note_end(request(&format!("{n}/{beside}")), &upstream(n), 0, n * 100);
+            crash_table.record_end(request(&format!("{n}/{beside}")), &upstream(n), 0, n * 100);
         }
     }
     assert_eq!(crash_table.held(300), vec![poison]);
@@ -90,13 +90,13 @@
 fn upstreams_that_are_lost_together_count_once() {
     let (mut crash_table, often) = (crash_table(), request("often"));
     for n in 0..8 {
-        crash_table.note_end(often, &upstream(n), 30 + n, 1_000 + n);
+        crash_table.record_end(often, &upstream(n), 30 + n, 1_000 + n);
     }
     assert!(crash_table.held(1_010).is_empty());
     // Twice more, one after the other, is no coincidence.
-    crash_table.note_end(often, &upstream(8), 30, 2_000);
+    crash_table.record_end(often, &upstream(8), 30, 2_000);
     assert!(crash_table.held(2_000).is_empty());
-    crash_table.note_end(often, &upstream(9), 30, 3_000);
+    crash_table.record_end(often, &upstream(9), 30, 3_000);
     assert_eq!(crash_table.held(3_000), vec![often]);
 }
 
@@ -104,11 +104,11 @@
 fn one_that_was_beside_it_each_time_is_told_apart_by_the_next_end() {
     let (mut crash_table, poison, beside) = (crash_table(), request("p"), request("i"));
     for n in 0..3 {
-        crash_table.note_end(poison, &upstream(n), 0, n * 100);
-        crash_table.note_end(beside, &upstream(n), 0, n * 100);
+        crash_table.record_end(poison, &upstream(n), 0, n * 100);
+        crash_table.record_end(beside, &upstream(n), 0, n * 100);
     }
     assert!(crash_table.held(300).is_empty(), "not told apart yet");
-    crash_table.note_end(poison, &upstream(3), 0, 400);
+    crash_table.record_end(poison, &upstream(3), 0, 400);
     assert_eq!(crash_table.held(400), vec![poison]);
 }
 
@@ -117,8 +117,8 @@
     let (mut crash_table, one, other) = (crash_table(), request("p"), request("q"));
     for n in 0..5 {
         assert!(crash_table.held(n * 100).is_empty());
-        crash_table.note_end(one, &upstream(n), 0, n * 100);
-        crash_table.note_end(other, &upstream(n), 0, n * 100);
+        crash_table.record_end(one, &upstream(n), 0, n * 100);
+        crash_table.record_end(other, &upstream(n), 0, n * 100);
     }
     assert_eq!(crash_table.held(500).len(), 2);
 }
@@ -127,7 +127,7 @@
 fn a_request_that_is_answered_whole_is_cleared_whatever_is_told_in_which_order() {
     let (mut here, mut there, often) = (crash_table(), crash_table(), request("i"));
     for n in 0..3 {
-        here.note_end(often, &upstream(n), 0, n * 100);
+        here.record_end(often, &upstream(n), 0, n * 100);
     }
     let ends = here.to_announce(24, 300).hubs;
     assert!(here.note_whole(often));
@@ -141,7 +141,7 @@
     assert!(there.held(400).is_empty());
     // What happens later counts.
     for n in 3..6 {
-        there.note_end(often, &upstream(n), 0, n * 1_000);
+        there.record_end(often, &upstream(n), 0, n * 1_000);
     }
     assert_eq!(there.held(6_000), vec![often]);
 }
@@ -150,12 +150,12 @@
 fn after_its_hold_one_more_end_holds_it_back_again() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
-        crash_table.note_end(poison, &upstream(n), 0, n);
+        crash_table.record_end(poison, &upstream(n), 0, n);
     }
     let back_ms = HOLD_MS + 10;
     crash_table.tick(back_ms);
     assert_eq!(crash_table.held_for(poison, back_ms), None);
-    crash_table.note_end(poison, &upstream(3), 0, back_ms);
+    crash_table.record_end(poison, &upstream(3), 0, back_ms);
     assert_eq!(crash_table.held_for(poison, back_ms), Some(HOLD_MS));
     crash_table.tick(back_ms + 2 * HOLD_MS);
     assert!(crash_table.is_empty());
@@ -165,26 +165,26 @@
 fn what_is_kept_and_told_stays_bounded_and_the_most_suspected_come_first() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..2 {
-        crash_table.note_end(poison, &upstream(n), 0, n);
+        crash_table.record_end(poison, &upstream(n), 0, n);
     }
     for n in 0..20_000 {
-        crash_table.note_end(request(&n.to_string()), &upstream(n % 300), 0, n);
+        crash_table.record_end(request(&n.to_string()), &upstream(n % 300), 0, n);
     }
     assert_eq!(crash_table.len(), 512);
     let told = crash_table.to_announce(24, 20_000);
     assert_eq!(told.hubs.len(), 24);
     assert_eq!(told.hubs[0].fingerprint, poison);
-    crash_table.note_end(poison, &upstream(400), 0, 20_000);
+    crash_table.record_end(poison, &upstream(400), 0, 20_000);
     assert_eq!(crash_table.held(20_000), vec![poison]);
 }
 
 #[test]
 fn what_is_to_be_written_is_written_by_those_that_saw_it_and_dropped_when_cleared() {
     let (mut here, mut there, poison) = (crash_table(), crash_table(), request("p"));
-    here.note_end(poison, &upstream(0), 0, 0);
+    here.record_end(poison, &upstream(0), 0, 0);
     assert!(here.to_write(9, 0).is_empty(), "one end is no pattern");
     for n in 1..3 {
-        here.note_end(poison, &upstream(n), 0, n);
+        here.record_end(poison, &upstream(n), 0, n);
         assert_eq!(here.to_write(9, n)[0].ends.len() as u64, n + 1);
     }
     for end in here.to_announce(24, 3).hubs {
@@ -264,7 +264,7 @@
             if ends[n] == 3 {
                 third_ms[n] = Some(now_ms);
             }
-            books[daemon].note_end(*poison, &upstream(*at), 50, now_ms);
+            books[daemon].record_end(*poison, &upstream(*at), 50, now_ms);
             ended.push(*at);
         }
         for again in 0..2 {
@@ -286,7 +286,7 @@
         under_way.retain(|(innocent, at, daemon, began_ms, until_ms)| {
             if ended.contains(at) {
                 let ran_ms = now_ms - began_ms;
-                books[*daemon].note_end(*innocent, &upstream(*at), ran_ms, now_ms);
+                books[*daemon].record_end(*innocent, &upstream(*at), ran_ms, now_ms);
                 return false;
             }
             if now_ms >= *until_ms {
