--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -193,7 +193,7 @@
         usage.merge(&part.name, part.life, &told);
         usage.record_contact(&part.name, part.life, now_ms);
         if part.complete_before > 0 {
-            usage.note_whole(&part.name, part.complete_before, now_ms);
+            usage.record_complete(&part.name, part.complete_before, now_ms);
         }
     }
     let heard = UsageAck {
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -60,7 +60,10 @@
     /// upstream that is full or late answers with a failure, too, and lives.
     pub(super) fn note_whole_answer(&self, context: &RequestContext, status: StatusCode) {
         let mut crashes = self.crashes.lock();
-        if status.is_success() && !crashes.is_empty() && crashes.note_whole(context.fingerprint()) {
+        if status.is_success()
+            && !crashes.is_empty()
+            && crashes.record_complete(context.fingerprint())
+        {
             log::info!(
                 target: "crash",
                 "a request is cleared: it was answered whole. fingerprint={}",
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -260,7 +260,7 @@
                         .note_whole_answer(&self.context, sent.answer.head.status);
                     let time_ms = sent.active.age_ms();
                     self.gateway
-                        .note_whole(&self.context, &sent.upstream, time_ms);
+                        .record_complete(&self.context, &sent.upstream, time_ms);
                     let failed = sent.answer.head.status.is_server_error();
                     self.gateway.note_outcome(&sent.upstream.id, failed);
                 }
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -84,7 +84,12 @@
     }
 
     /// Notes the whole time of a stream for a roll-out.
-    pub(super) fn note_whole(&self, context: &RequestContext, upstream: &Upstream, time_ms: f64) {
+    pub(super) fn record_complete(
+        &self,
+        context: &RequestContext,
+        upstream: &Upstream,
+        time_ms: f64,
+    ) {
         let route = name_hash(&context.route.name) as u32 ^ WHOLE_TIMES;
         self.note_version(context, upstream, route, Some(time_ms));
     }
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -91,7 +91,7 @@
     }
 
     /// Notes before which window a daemon has told all that it counted.
-    pub fn note_whole(&mut self, node: &str, complete_before: u64, now_ms: u64) {
+    pub fn record_complete(&mut self, node: &str, complete_before: u64, now_ms: u64) {
         let teller = self.tellers.entry(node.to_string()).or_default();
         *teller = (complete_before.max(teller.0), now_ms);
     }
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -150,7 +150,7 @@
     }
 
     /// Notes that a request was answered whole; returns whether that is news.
-    pub fn note_whole(&mut self, fingerprint: RequestFingerprint) -> bool {
+    pub fn record_complete(&mut self, fingerprint: RequestFingerprint) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
         suspect.is_some_and(|suspect| suspect.clear(TELLINGS))
     }
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -130,8 +130,8 @@
         here.record_end(often, &upstream(n), 0, n * 100);
     }
     let ends = here.to_announce(24, 300).hubs;
-    assert!(here.note_whole(often));
-    assert!(!here.note_whole(often), "no news");
+    assert!(here.record_complete(often));
+    assert!(!here.record_complete(often), "no news");
     assert!(here.held(300).is_empty());
     let cleared = here.to_announce(24, 300).hubs;
     assert!(cleared.iter().all(|end| end.is_cleared));
@@ -196,7 +196,7 @@
     assert_eq!(due[0].ends.len(), 3);
     here.note_written(&due[0]);
     assert!(here.to_write(9, 3).is_empty());
-    here.note_whole(poison);
+    here.record_complete(poison);
     assert!(here.to_write(9, 3)[0].ends.is_empty());
 }
 
@@ -290,7 +290,7 @@
                 return false;
             }
             if now_ms >= *until_ms {
-                books[*daemon].note_whole(*innocent);
+                books[*daemon].record_complete(*innocent);
                 return false;
             }
             true
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -34,7 +34,7 @@
                 let counts = part.counts.iter();
                 let counts = counts.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
                 holder.merge(&name, 1, &[(part.window, counts.collect())]);
-                holder.note_whole(&name, part.complete_before, 1_000);
+                holder.record_complete(&name, part.complete_before, 1_000);
                 teller.apply(
                     address(0),
                     UsageAck {
