--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -52,7 +52,7 @@
 
 impl StandaloneQuotas {
     /// Notes what a request asks for.
-    pub fn note_demand(&mut self, account: &ClientAccount, cost: f64, now_ms: u64) {
+    pub fn record_demand(&mut self, account: &ClientAccount, cost: f64, now_ms: u64) {
         let standalone = self.accounts.entry(account.clone()).or_default();
         standalone.demand.note(cost, now_ms);
     }
--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes work that is sent to a service: prompt tokens to read.
-    pub(super) fn note_demand(&self, service: &ServiceName, work: u64) {
+    pub(super) fn record_demand(&self, service: &ServiceName, work: u64) {
         let now_ms = self.steady_ms();
         let mut demand = self.demand.lock();
         let meter = demand.entry(service.clone()).or_default();
@@ -87,7 +87,7 @@
         let start_part = 1.0 / self.daemons() as f64;
         self.quotas
             .lock()
-            .note_demand(terms, cost, start_part, self.steady_ms());
+            .record_demand(terms, cost, start_part, self.steady_ms());
         loop {
             let Err(wait) = self.try_admit(terms, cost, start_part) else {
                 return Ok(());
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -64,7 +64,7 @@
         if let Some(account) = limited {
             let now_ms = self.steady_ms();
             let mut standalone = self.standalone_quotas.lock();
-            standalone.note_demand(&account.name, cost, now_ms);
+            standalone.record_demand(&account.name, cost, now_ms);
         }
         let quota = limited.map(|account| QuotaQuery {
             account: account.name.to_string(),
@@ -208,7 +208,7 @@
             // What finds no upstream is demand, too.
             let unread = chosen.map(|index| candidates[index].unread_tokens);
             let all_tokens = request.prompt.tokens();
-            self.note_demand(&request.service, unread.or(all_tokens).unwrap_or(0));
+            self.record_demand(&request.service, unread.or(all_tokens).unwrap_or(0));
         }
         let chosen = chosen?;
         let Candidate {
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -290,7 +290,7 @@
     }
 
     /// Notes what a request asks for, once, whether it is let in or not.
-    pub fn note_demand(&mut self, cost: f64, now_ms: u64) {
+    pub fn record_demand(&mut self, cost: f64, now_ms: u64) {
         self.demand = self.demand(now_ms) + cost * 1_000.0 / DEMAND_WINDOW_MS;
         self.demand_ms = now_ms;
     }
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -44,10 +44,10 @@
 
     /// Notes what a client account's request asks for; `start_part` is the part of the
     /// rate that a daemon has before it knows others.
-    pub fn note_demand(&mut self, terms: &AccountTerms, cost: f64, start_part: f64, now_ms: u64) {
+    pub fn record_demand(&mut self, terms: &AccountTerms, cost: f64, start_part: f64, now_ms: u64) {
         if terms.rate_per_s > 0.0 {
             let account = self.account(terms, start_part, now_ms);
-            account.note_demand(cost, now_ms);
+            account.record_demand(cost, now_ms);
         }
     }
 
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -311,7 +311,7 @@
     let let_in = |standalone: &mut StandaloneQuotas, told_ms: u64, until_ms: u64| {
         let mut units = 0.0;
         for now_ms in (told_ms..until_ms).step_by(100) {
-            standalone.note_demand(&account, 100.0, now_ms);
+            standalone.record_demand(&account, 100.0, now_ms);
             if standalone.admit(&account, 100.0, Some(told(told_ms)), 8, &limit, now_ms) {
                 units += 100.0;
             }
@@ -343,7 +343,7 @@
     let mut standalone = StandaloneQuotas::default();
     let mut let_in = 0.0;
     for now_ms in (0..=10_000).step_by(500) {
-        standalone.note_demand(&account, 100.0, now_ms);
+        standalone.record_demand(&account, 100.0, now_ms);
         if standalone.admit(&account, 100.0, None, DAEMONS, &limit, now_ms) {
             let_in += 100.0;
         }
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -101,7 +101,7 @@
     };
     for account in 0..300 {
         let account = ClientAccount::from(format!("tenant-{account}").as_str());
-        standalone.note_demand(&account, 1e3, 0);
+        standalone.record_demand(&account, 1e3, 0);
         assert!(standalone.admit(&account, 123.4, Some(told), 1, &limit, 0));
     }
     let mut log = EventLog::default();
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -156,7 +156,7 @@
             left -= cost;
             let start_part = 1.0 / daemons as f64;
             let at_ms = now_ms + self.rng.random_range(0..TICK_MS);
-            self.books[at].note_demand(&self.terms, cost, start_part, at_ms);
+            self.books[at].record_demand(&self.terms, cost, start_part, at_ms);
             match self.books[at].admit(&self.terms, cost, start_part, at_ms) {
                 Ok(()) => self.admitted.push((at_ms, cost)),
                 Err(_) => self.refused += cost,
