--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -71,7 +71,7 @@
             CallEnd::Failed(e) => e,
         };
         may_have_run |= !e.is_not_run();
-        note_failure(world, &place, &e);
+        record_failure(world, &place, &e);
         exclude.insert(place.id.clone());
         let immediate = placement(&spec.policy).retry_style() == RetryStyle::Immediate;
         if immediate || e.is_not_connected() {
@@ -109,7 +109,7 @@
             CallEnd::Answer(ending) => return finish(world, cell, ending, &score),
             CallEnd::Failed(e) => e,
         };
-        note_failure(world, &place, &e);
+        record_failure(world, &place, &e);
         if !e.is_not_run() {
             let failure = Failure::new(Outcome::MayHaveRun, e.to_string(), 0);
             return finish(world, cell, Ending::Failed(failure), &score);
@@ -285,7 +285,7 @@
         .is_some()
 }
 
-fn note_failure(world: &World, place: &Place, e: &EngineError) {
+fn record_failure(world: &World, place: &Place, e: &EngineError) {
     if e.is_not_connected() {
         avoid(world, place);
     } else {
--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -27,7 +27,7 @@
 
     /// Notes that a call to the source, begun at `began_ms`, failed.
     pub fn note_source_failure(&self, began_ms: u64) {
-        self.source.lock().note_failure(began_ms);
+        self.source.lock().record_failure(began_ms);
     }
 
     /// Notes what another daemon heard of the source some time ago.
--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -37,7 +37,7 @@
     }
 
     /// Notes that a call to the source, begun at `began_ms`, failed.
-    pub fn note_failure(&mut self, began_ms: u64) {
+    pub fn record_failure(&mut self, began_ms: u64) {
         self.failing_since_ms.get_or_insert(began_ms);
     }
 
--- a/src/policy/sources/source_silence.rs
+++ b/src/policy/sources/source_silence.rs
@@ -19,7 +19,7 @@
     }
 
     /// Notes that a call that began at `began_ms` got no answer.
-    pub fn note_failure(&mut self, began_ms: u64) {
+    pub fn record_failure(&mut self, began_ms: u64) {
         self.silent_since_ms.get_or_insert(began_ms);
     }
 
--- a/src/provider/source_monitor.rs
+++ b/src/provider/source_monitor.rs
@@ -49,15 +49,15 @@
         let now_ms = self.now_ms();
         match &answer {
             Ok(_) => self.record_answer(now_ms),
-            Err(_) => self.note_failure(began_ms),
+            Err(_) => self.record_failure(began_ms),
         }
         answer
     }
 
-    fn note_failure(&self, began_ms: u64) {
+    fn record_failure(&self, began_ms: u64) {
         self.silence.send_if_modified(|silence| {
             let was_silent = silence.is_silent();
-            silence.note_failure(began_ms);
+            silence.record_failure(began_ms);
             !was_silent
         });
     }
--- a/tests/decisions/source_silence.rs
+++ b/tests/decisions/source_silence.rs
@@ -16,14 +16,14 @@
         None,
         "nothing tells of a silence"
     );
-    silence.note_failure(1_000);
+    silence.record_failure(1_000);
     assert!(silence.is_silent());
     // One a time, whoever made the last one.
     assert_eq!(silence.probe_in_ms(1_300), Some(500));
     assert_eq!(silence.probe_in_ms(2_300), Some(0));
     silence.note_call(2_300);
     assert_eq!(silence.probe_in_ms(2_300), Some(800));
-    silence.note_failure(2_300);
+    silence.record_failure(2_300);
     assert_eq!(silence.record_answer(4_000), Some(3_000));
     assert_eq!((silence.is_silent(), silence.returns()), (false, 1));
     assert_eq!(
--- a/tests/decisions/sources.rs
+++ b/tests/decisions/sources.rs
@@ -163,11 +163,11 @@
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
     assert_eq!(contact.lapsed_until_ms(1_000), None, "no outage yet");
-    contact.note_failure(1_500);
+    contact.record_failure(1_500);
     contact.record_answer(2_000);
     assert_eq!(contact.lapsed_until_ms(2_000), None, "one lost call");
-    contact.note_failure(3_000);
-    contact.note_failure(5_000);
+    contact.record_failure(3_000);
+    contact.record_failure(5_000);
     assert!(contact.is_cut(5_000));
     contact.record_answer(6_000);
     assert!(contact.lapsed_until_ms(6_500).is_some());
@@ -179,7 +179,7 @@
 fn a_daemon_that_alone_was_cut_off_takes_removals_for_lapses() {
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
-    contact.note_failure(1_500);
+    contact.record_failure(1_500);
     for now_ms in (2_000..13_000).step_by(700) {
         // Others go on hearing it, and say so a while later.
         contact.note_relayed(now_ms - 600, now_ms);
@@ -194,7 +194,7 @@
 fn what_lapsed_while_the_source_was_away_for_all_is_gone_at_once_where_another_heard_it_first() {
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
-    contact.note_failure(1_500);
+    contact.record_failure(1_500);
     contact.note_relayed(1_400, 1_900);
     contact.note_relayed(13_000, 13_100);
     contact.record_answer(13_300);
