--- a/src/cluster/leaving/leaving_announcer.rs
+++ b/src/cluster/leaving/leaving_announcer.rs
@@ -52,6 +52,6 @@
     // A hub passes on what it hears: of hubs to those that report to it, of others to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
     for name in &part.upstreams {
-        gateway.note_leaving(&UpstreamId::from(name.as_str()), passes_on);
+        gateway.mark_leaving(&UpstreamId::from(name.as_str()), passes_on);
     }
 }
--- a/src/gateway/upstream_words.rs
+++ b/src/gateway/upstream_words.rs
@@ -25,7 +25,7 @@
                 context.id_text(),
                 upstream.id
             );
-            self.note_leaving(&upstream.id, Some(true));
+            self.mark_leaving(&upstream.id, Some(true));
         }
         if head.status == StatusCode::SERVICE_UNAVAILABLE {
             self.read_rest(context, upstream, &head.headers);
@@ -34,7 +34,7 @@
 
     /// Notes that an upstream says that it leaves: it gets no new work. `passes_on` says
     /// whether others are told, and then whether hubs are, too.
-    pub fn note_leaving(self: &Arc<Self>, id: &UpstreamId, passes_on: Option<bool>) {
+    pub fn mark_leaving(self: &Arc<Self>, id: &UpstreamId, passes_on: Option<bool>) {
         // The usual case: each of its answers says so.
         let directory = self.directory.read();
         let is_known = directory.get(id).is_some_and(|known| known.draining);
@@ -43,7 +43,7 @@
             return;
         }
         let mut is_news = false;
-        self.change_directory(|directory, _| is_news = directory.note_leaving(id));
+        self.change_directory(|directory, _| is_news = directory.mark_leaving(id));
         if !is_news {
             return;
         }
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -129,7 +129,7 @@
     /// Takes in that an upstream itself says that it leaves; returns whether that was not
     /// known. Its entry may say otherwise for as long as it stands there: the source may be
     /// away, or may not have taken the word.
-    pub fn note_leaving(&mut self, id: &UpstreamId) -> bool {
+    pub fn mark_leaving(&mut self, id: &UpstreamId) -> bool {
         let Some(known) = self.get(id).cloned() else {
             self.gone.note_left(id);
             return false;
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -401,8 +401,8 @@
     let id = upstream(1, 0).id;
     let mut own = UpstreamDirectory::default();
     own.replace(vec![upstream(1, 3), upstream(2, 4)], 6, None);
-    assert!(own.note_leaving(&id));
-    assert!(!own.note_leaving(&id), "it is known");
+    assert!(own.mark_leaving(&id));
+    assert!(!own.mark_leaving(&id), "it is known");
     own.upsert(upstream(1, 7));
     own.replace(vec![upstream(1, 9), upstream(2, 8)], 12, None);
     assert!(!own.is_ready(&id));
@@ -420,7 +420,7 @@
     let mut directory = UpstreamDirectory::default();
     directory.replace(vec![upstream(1, 3)], 6, None);
     directory.remove(id.as_str(), 8);
-    assert!(!directory.note_leaving(&id), "it is gone");
+    assert!(!directory.mark_leaving(&id), "it is gone");
     directory.upsert(upstream(1, 9));
     assert!(!directory.is_ready(&id));
 }
@@ -430,7 +430,7 @@
     let id = upstream(1, 0).id;
     let mut directory = UpstreamDirectory::default();
     directory.replace_own(vec![upstream(1, 0)]);
-    assert!(directory.note_leaving(&id));
+    assert!(directory.mark_leaving(&id));
     directory.replace_own(vec![upstream(1, 0)]);
     assert!(!directory.is_ready(&id), "the file is only read again");
     directory.replace_own(Vec::new());
@@ -448,7 +448,7 @@
     let id = upstream(1, 0).id;
     let mut directory = UpstreamDirectory::default();
     directory.replace_own(vec![upstream(1, 0)]);
-    directory.note_leaving(&id);
+    directory.mark_leaving(&id);
     assert!(directory.is_left_until_its_end(&id));
     directory.note_ended(&id);
     assert!(directory.is_ready(&id));
@@ -456,7 +456,7 @@
     // Where lives are told apart, the end of one is no new one.
     let mut shared = UpstreamDirectory::default();
     shared.replace(vec![upstream(1, 3)], 6, None);
-    shared.note_leaving(&id);
+    shared.mark_leaving(&id);
     shared.note_ended(&id);
     assert!(!shared.is_ready(&id));
 }
