--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -159,7 +159,7 @@
             let is_missed = members.is_missed_by_others(name, &id, now_ms);
             drop(members);
             if is_missed {
-                gateway.loads.lock().entry(&id).note_unreachable(now_ms);
+                gateway.loads.lock().entry(&id).record_unreachable(now_ms);
             }
         }
         MemberEvent::Misdirected { upstream } => {
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -291,7 +291,7 @@
             .loads
             .lock()
             .entry(&upstream.id)
-            .note_unreachable(now_ms);
+            .record_unreachable(now_ms);
         Err(SendFailure::MayHaveRun("the upstream is silent".into()))
     }
 
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -22,13 +22,13 @@
         self.loads
             .lock()
             .entry(&upstream.id)
-            .note_unreachable(now_ms);
+            .record_unreachable(now_ms);
         self.note_event(|| MemberEvent::Unreachable {
             upstream: upstream.id.to_string(),
         });
         self.domain_reach
             .lock()
-            .note_unreachable(&upstream.domain, &upstream.id, now_ms);
+            .record_unreachable(&upstream.domain, &upstream.id, now_ms);
     }
 
     /// Notes how a request ended at an upstream. One that asked for rest said itself until
--- a/src/policy/placement/domain_reach.rs
+++ b/src/policy/placement/domain_reach.rs
@@ -27,7 +27,12 @@
 
 impl DomainReach {
     /// Notes that an upstream of a domain could not be reached.
-    pub fn note_unreachable(&mut self, domain: &FailureDomain, upstream: &UpstreamId, now_ms: u64) {
+    pub fn record_unreachable(
+        &mut self,
+        domain: &FailureDomain,
+        upstream: &UpstreamId,
+        now_ms: u64,
+    ) {
         let reach = self.domains.entry(domain.clone()).or_default();
         reach.unreachable.insert(upstream.clone());
         let is_known_cut = reach.backoff_ms > 0;
--- a/src/upstreams/upstream_load.rs
+++ b/src/upstreams/upstream_load.rs
@@ -32,7 +32,7 @@
 
 impl UpstreamLoad {
     /// Notes that it could not be reached or fell silent.
-    pub fn note_unreachable(&mut self, now_ms: u64) {
+    pub fn record_unreachable(&mut self, now_ms: u64) {
         if now_ms < self.avoid_until_ms {
             return;
         }
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -271,7 +271,7 @@
 #[test]
 fn an_unreachable_upstream_is_left_alone_and_then_gets_one_request_at_a_time() {
     let mut load = UpstreamLoad::default();
-    load.note_unreachable(1_000);
+    load.record_unreachable(1_000);
     assert!(load.is_avoided(1_100));
     assert!(!load.is_avoided(1_500));
     load.active = 1;
@@ -371,14 +371,14 @@
     let domain = FailureDomain::from("far");
     let id = |n: u32| UpstreamId::from(n.to_string().as_str());
     for _ in 0..5 {
-        reach.note_unreachable(&domain, &id(0), 100);
+        reach.record_unreachable(&domain, &id(0), 100);
     }
     assert!(!reach.is_avoided(&domain, 100), "one upstream may be dead");
-    reach.note_unreachable(&domain, &id(1), 200);
-    reach.note_unreachable(&domain, &id(2), 300);
+    reach.record_unreachable(&domain, &id(1), 200);
+    reach.record_unreachable(&domain, &id(2), 300);
     assert!(reach.is_avoided(&domain, 400));
     assert!(!reach.is_avoided(&domain, 900), "tried again");
-    reach.note_unreachable(&domain, &id(3), 900);
+    reach.record_unreachable(&domain, &id(3), 900);
     assert!(reach.is_avoided(&domain, 1_700), "for longer now");
     reach.note_reached(&domain);
     assert!(!reach.is_avoided(&domain, 1_700));
