--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -226,7 +226,7 @@
                 HeardDirectory::News(news) => directory.apply_update(news),
             });
         if let Some(age_ms) = heard.source_age_ms {
-            self.gateway.note_relayed(age_ms);
+            self.gateway.record_relayed(age_ms);
         }
         self.gateway.check_ready();
     }
--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -31,10 +31,10 @@
     }
 
     /// Notes what another daemon heard of the source some time ago.
-    pub fn note_relayed(&self, age_ms: u64) {
+    pub fn record_relayed(&self, age_ms: u64) {
         let now_ms = self.steady_ms();
         let last_seen_ms = now_ms.saturating_sub(age_ms);
-        self.source.lock().note_relayed(last_seen_ms, now_ms);
+        self.source.lock().record_relayed(last_seen_ms, now_ms);
     }
 
     /// Returns whether calls to the source have been failing for a while.
--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -42,7 +42,7 @@
     }
 
     /// Notes when the source told something to a daemon that this one asks.
-    pub fn note_relayed(&mut self, last_seen_ms: u64, now_ms: u64) {
+    pub fn record_relayed(&mut self, last_seen_ms: u64, now_ms: u64) {
         self.record_contact(last_seen_ms, now_ms);
     }
 
--- a/tests/decisions/sources.rs
+++ b/tests/decisions/sources.rs
@@ -182,7 +182,7 @@
     contact.record_failure(1_500);
     for now_ms in (2_000..13_000).step_by(700) {
         // Others go on hearing it, and say so a while later.
-        contact.note_relayed(now_ms - 600, now_ms);
+        contact.record_relayed(now_ms - 600, now_ms);
     }
     assert!(contact.is_cut(13_000));
     contact.record_answer(13_000);
@@ -195,8 +195,8 @@
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
     contact.record_failure(1_500);
-    contact.note_relayed(1_400, 1_900);
-    contact.note_relayed(13_000, 13_100);
+    contact.record_relayed(1_400, 1_900);
+    contact.record_relayed(13_000, 13_100);
     contact.record_answer(13_300);
     assert!(contact.lapsed_until_ms(13_400).is_some());
 }
@@ -208,6 +208,6 @@
     contact.record_answer(1_000);
     contact.record_answer(9_000);
     assert_eq!(contact.lapsed_until_ms(9_100), None);
-    contact.note_relayed(20_000, 20_100);
+    contact.record_relayed(20_000, 20_100);
     assert_eq!(contact.lapsed_until_ms(20_200), None);
 }
