--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -151,7 +151,7 @@
         MemberEvent::Ended { upstream, failed } => {
             let id = UpstreamId::from(upstream.as_str());
             let mut loads = gateway.loads.lock();
-            loads.entry(&id).note_outcome(failed, now_ms);
+            loads.entry(&id).record_outcome(failed, now_ms);
         }
         MemberEvent::Unreachable { upstream } => {
             let id = UpstreamId::from(upstream.as_str());
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -262,7 +262,7 @@
                     self.gateway
                         .record_complete(&self.context, &sent.upstream, time_ms);
                     let failed = sent.answer.head.status.is_server_error();
-                    self.gateway.note_outcome(&sent.upstream.id, failed);
+                    self.gateway.record_outcome(&sent.upstream.id, failed);
                 }
                 Bytes::new()
             }
--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -43,7 +43,7 @@
         let failure = match send_in_time(gateway, context, &placement, attempts).await {
             Ok((head, body)) => {
                 let failed = head.status.is_server_error();
-                gateway.note_outcome(&upstream.id, failed);
+                gateway.record_outcome(&upstream.id, failed);
                 let time_ms = sent.elapsed().as_secs_f64() * 1_000.0;
                 gateway.record_answer(context, upstream, (!failed).then_some(time_ms));
                 let retry = failed && context.route.is_repeatable();
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -33,7 +33,7 @@
 
     /// Notes how a request ended at an upstream. One that asked for rest said itself until
     /// when it takes none: as a failure, that would keep it out for far longer.
-    pub fn note_outcome(&self, upstream: &UpstreamId, failed: bool) {
+    pub fn record_outcome(&self, upstream: &UpstreamId, failed: bool) {
         if failed && self.is_in_cooldown(upstream) {
             return;
         }
@@ -41,7 +41,7 @@
         self.loads
             .lock()
             .entry(upstream)
-            .note_outcome(failed, now_ms);
+            .record_outcome(failed, now_ms);
         self.note_event(|| MemberEvent::Ended {
             upstream: upstream.to_string(),
             failed,
@@ -84,7 +84,7 @@
             SendFailure::NotSent(_) => {}
             SendFailure::Misdirected => self.note_misdirected(&upstream.id),
             SendFailure::Refused(_) | SendFailure::MayHaveRun(_) | SendFailure::CutOff(_) => {
-                self.note_outcome(&upstream.id, true);
+                self.record_outcome(&upstream.id, true);
             }
         }
         log::warn!(
--- a/src/upstreams/upstream_load.rs
+++ b/src/upstreams/upstream_load.rs
@@ -55,7 +55,7 @@
     }
 
     /// Notes how a request there ended.
-    pub fn note_outcome(&mut self, failed: bool, now_ms: u64) {
+    pub fn record_outcome(&mut self, failed: bool, now_ms: u64) {
         let rate = self.failure_rate(now_ms);
         let outcome = if failed { 1.0 } else { 0.0 };
         self.failure_rate = rate + FAILURE_WEIGHT * (outcome - rate);
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -257,7 +257,7 @@
 fn a_upstream_that_fails_requests_gets_fewer() {
     let mut load = UpstreamLoad::default();
     for _ in 0..10 {
-        load.note_outcome(true, 100);
+        load.record_outcome(true, 100);
     }
     assert!(load.failure_rate(100) > 0.8);
     assert!(load.failure_rate(20_000) < 0.05, "it gets another chance");
