--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -94,7 +94,7 @@
                     }
                 }
                 Some(heard) => return Some(heard),
-                None => self.note_silent(hub, gateway),
+                None => self.record_silent(hub, gateway),
             }
         }
         None
@@ -186,12 +186,12 @@
         }
     }
 
-    fn note_silent(&self, hub: SocketAddr, gateway: &Gateway) {
+    fn record_silent(&self, hub: SocketAddr, gateway: &Gateway) {
         log::info!(target: "hubs", "a hub does not answer. hub={hub}");
         metrics::counter!(SILENT_HUBS).increment(1);
         let mut state = self.state.lock();
         let contact = state.hubs.entry(hub).or_default();
-        contact.note_silent(gateway.steady_ms());
+        contact.record_silent(gateway.steady_ms());
     }
 
     fn timeout(&self, hub: SocketAddr) -> Duration {
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -66,7 +66,7 @@
         match answer {
             Some(_) => contact.record_answer(asked_at.elapsed().as_secs_f64() * 1_000.0),
             None => {
-                contact.note_silent(gateway.steady_ms());
+                contact.record_silent(gateway.steady_ms());
                 log::info!(target: "limit", "no answer for a permit. daemon={issuer}");
             }
         }
--- a/src/policy/hubs/contact.rs
+++ b/src/policy/hubs/contact.rs
@@ -50,7 +50,7 @@
     }
 
     /// Notes that it did not answer in time.
-    pub fn note_silent(&mut self, now_ms: u64) {
+    pub fn record_silent(&mut self, now_ms: u64) {
         if self.is_avoided(now_ms) {
             return;
         }
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -262,10 +262,10 @@
     assert!(contact.timeout_ms() >= 20.0);
     (0..20).for_each(|_| contact.record_answer(1.0));
     assert!(contact.timeout_ms() <= 20.0);
-    contact.note_silent(1_000);
+    contact.record_silent(1_000);
     assert!(contact.is_avoided(1_100));
     assert!(!contact.is_avoided(2_000));
-    contact.note_silent(2_000);
+    contact.record_silent(2_000);
     contact.record_contact();
     assert!(!contact.is_avoided(2_001));
 }
