--- a/src/gateway/engines.rs
+++ b/src/gateway/engines.rs
@@ -45,7 +45,7 @@
     }
 
     /// Notes the first event of an answer that nothing waited before.
-    pub(super) fn note_first_event(&self, service: &ServiceName, event: FirstEvent) {
+    pub(super) fn record_first_event(&self, service: &ServiceName, event: FirstEvent) {
         self.learn_first_event(service, event);
         self.note_event(|| MemberEvent::FirstEvent {
             service: service.to_string(),
@@ -58,7 +58,7 @@
     pub fn learn_first_event(&self, service: &ServiceName, event: FirstEvent) {
         let mut engines = self.engines.lock();
         let model = engines.entry(service.clone()).or_default();
-        model.note_first_event(event);
+        model.record_first_event(event);
     }
 
     /// Notes how long a request stayed that ended whole, in milliseconds.
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -67,7 +67,8 @@
             unread_tokens: self.unread_tokens,
             after_ms: self.age_ms(),
         };
-        self.gateway.note_first_event(&self.upstream.service, event);
+        self.gateway
+            .record_first_event(&self.upstream.service, event);
     }
 
     /// Notes that the request ended whole.
--- a/src/policy/engines/engine_model.rs
+++ b/src/policy/engines/engine_model.rs
@@ -45,7 +45,7 @@
 
 impl EngineModel {
     /// Notes the first event of an answer that nothing waited before.
-    pub fn note_first_event(&mut self, event: FirstEvent) {
+    pub fn record_first_event(&mut self, event: FirstEvent) {
         self.first_event_ms = Some(averaged(self.first_event_ms, event.after_ms));
         let compared = self.last.iter().filter_map(|other| compare(event, *other));
         let fresh: Vec<Comparison> = compared.collect();
--- a/tests/decisions/engine_model.rs
+++ b/tests/decisions/engine_model.rs
@@ -33,7 +33,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut model = EngineModel::default();
         for _ in 0..answers {
-            model.note_first_event(self.first_event(&mut rng));
+            model.record_first_event(self.first_event(&mut rng));
         }
         model
     }
@@ -83,7 +83,7 @@
     };
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     for _ in 0..100 {
-        model.note_first_event(fast.first_event(&mut rng));
+        model.record_first_event(fast.first_event(&mut rng));
     }
     let speed = model.reading_speed().unwrap();
     assert!(speed.ms_per_token < 0.02, "{speed:?}");
@@ -94,7 +94,7 @@
     let mut model = EngineModel::default();
     assert_eq!(model.reading_speed(), None);
     for _ in 0..100 {
-        model.note_first_event(FirstEvent {
+        model.record_first_event(FirstEvent {
             unread_tokens: 1_000,
             after_ms: 50.0,
         });
