--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -164,7 +164,7 @@
         }
         MemberEvent::Misdirected { upstream } => {
             let id = UpstreamId::from(upstream.as_str());
-            gateway.loads.lock().entry(&id).note_misdirected(now_ms);
+            gateway.loads.lock().entry(&id).record_misdirected(now_ms);
         }
         MemberEvent::FirstEvent {
             service,
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -49,9 +49,9 @@
     }
 
     /// Notes that another upstream has the address of one.
-    fn note_misdirected(&self, upstream: &UpstreamId) {
+    fn record_misdirected(&self, upstream: &UpstreamId) {
         let now_ms = self.steady_ms();
-        self.loads.lock().entry(upstream).note_misdirected(now_ms);
+        self.loads.lock().entry(upstream).record_misdirected(now_ms);
         self.note_event(|| MemberEvent::Misdirected {
             upstream: upstream.to_string(),
         });
@@ -82,7 +82,7 @@
         }
         match failure {
             SendFailure::NotSent(_) => {}
-            SendFailure::Misdirected => self.note_misdirected(&upstream.id),
+            SendFailure::Misdirected => self.record_misdirected(&upstream.id),
             SendFailure::Refused(_) | SendFailure::MayHaveRun(_) | SendFailure::CutOff(_) => {
                 self.record_outcome(&upstream.id, true);
             }
--- a/src/upstreams/upstream_load.rs
+++ b/src/upstreams/upstream_load.rs
@@ -42,7 +42,7 @@
 
     /// Notes that another upstream has its address. Without this, each request found
     /// that out anew, and one that met two such addresses was refused.
-    pub fn note_misdirected(&mut self, now_ms: u64) {
+    pub fn record_misdirected(&mut self, now_ms: u64) {
         self.backoff_ms = MAX_BACKOFF_MS;
         self.avoid_until_ms = now_ms + MISDIRECTED_MS;
     }
