--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -95,7 +95,7 @@
                 packed.len()
             );
             gateway.apply_config(config);
-            gateway.note_config_position(position);
+            gateway.record_config_position(position);
             gateway.check_ready();
         }
         Err(e) => {
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -213,7 +213,7 @@
         if let Some(config) = heard.config {
             log::info!(target: "config", "told by a daemon. version={} peer={daemon}", config.version);
             self.gateway.apply_config(config);
-            self.gateway.note_config_position(heard.config_position);
+            self.gateway.record_config_position(heard.config_position);
         }
         // What was told just now isn't asked for.
         let version = heard.config_version;
--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -103,7 +103,7 @@
 
     /// Notes the place in the source from which on configurations stand that
     /// are later than the one in force here.
-    pub fn note_config_position(&self, position: Option<u64>) {
+    pub fn record_config_position(&self, position: Option<u64>) {
         let mut known = self.config_position.lock();
         *known = (*known).max(position);
     }
