--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -135,7 +135,7 @@
     }
     let news = gateway.members.lock().apply_report(report, now_ms);
     for (account, units) in &news.alone {
-        gateway.quotas.lock().note_admitted(account, *units);
+        gateway.quotas.lock().record_admitted(account, *units);
     }
     for event in news.events {
         take_in_event(gateway, &report.daemon.name, event, now_ms);
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -147,7 +147,7 @@
     }
 
     /// Takes out what was let in elsewhere and is this daemon's to count.
-    pub fn note_admitted(&mut self, units: f64) {
+    pub fn record_admitted(&mut self, units: f64) {
         self.level -= units;
         self.admitted += units;
     }
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -172,9 +172,9 @@
     }
 
     /// Takes out what another daemon let in by itself and this one is to count.
-    pub fn note_admitted(&mut self, account: &ClientAccount, units: f64) {
+    pub fn record_admitted(&mut self, account: &ClientAccount, units: f64) {
         if let Some(account) = self.accounts.get_mut(account) {
-            account.note_admitted(units);
+            account.record_admitted(units);
         }
     }
 
