--- a/src/gateway/client_socket.rs
+++ b/src/gateway/client_socket.rs
@@ -69,7 +69,7 @@
             match self.stream.try_read_buf(buf) {
                 Ok(bytes) => {
                     if bytes > 0 {
-                        self.activity.lock().note_bytes();
+                        self.activity.lock().record_bytes();
                     }
                     return Poll::Ready(Ok(()));
                 }
--- a/src/policy/clients/activity.rs
+++ b/src/policy/clients/activity.rs
@@ -62,7 +62,7 @@
     }
 
     /// Notes that bytes of the client were read.
-    pub fn note_bytes(&mut self) {
+    pub fn record_bytes(&mut self) {
         self.has_begun_request |= self.answering == 0;
     }
 
--- a/tests/decisions/clients.rs
+++ b/tests/decisions/clients.rs
@@ -34,7 +34,7 @@
         assert_eq!(step(11_000), CloseStep::Close);
     }
     // A part of its head was read.
-    unused.note_bytes();
+    unused.record_bytes();
     assert_eq!(
         unused.close_step(STOP, false, 10_000, 10_900),
         CloseStep::Wait
@@ -87,7 +87,7 @@
 fn a_body_read_while_its_request_is_answered_begins_no_other() {
     let mut activity = ClientActivity::new(0);
     activity.begin_request();
-    activity.note_bytes();
+    activity.record_bytes();
     activity.end_request(1_000);
     assert_eq!(
         activity.close_step(STOP, false, 5_000, 5_000),
