--- a/src/gateway/engines.rs
+++ b/src/gateway/engines.rs
@@ -62,7 +62,7 @@
     }
 
     /// Notes how long a request stayed that ended whole, in milliseconds.
-    pub(super) fn note_stay(&self, service: &ServiceName, stay_ms: f64) {
+    pub(super) fn record_stay(&self, service: &ServiceName, stay_ms: f64) {
         self.learn_stay(service, stay_ms);
         self.note_event(|| MemberEvent::Stayed {
             service: service.to_string(),
@@ -74,7 +74,7 @@
     pub fn learn_stay(&self, service: &ServiceName, stay_ms: f64) {
         let mut engines = self.engines.lock();
         let model = engines.entry(service.clone()).or_default();
-        model.note_stay(stay_ms);
+        model.record_stay(stay_ms);
     }
 
     /// Returns how many requests all daemons have at a service's upstreams.
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -74,7 +74,7 @@
     /// Notes that the request ended whole.
     pub fn ended_whole(&self) {
         let service = &self.upstream.service;
-        self.gateway.note_stay(service, self.age_ms());
+        self.gateway.record_stay(service, self.age_ms());
     }
 
     /// Returns how long ago the request was sent, in milliseconds.
--- a/src/policy/engines/engine_model.rs
+++ b/src/policy/engines/engine_model.rs
@@ -65,7 +65,7 @@
     }
 
     /// Notes how long a request stayed at an upstream, in milliseconds.
-    pub fn note_stay(&mut self, stay_ms: f64) {
+    pub fn record_stay(&mut self, stay_ms: f64) {
         self.stay_ms = Some(averaged(self.stay_ms, stay_ms));
     }
 
