--- a/src/gateway/left_upstream.rs
+++ b/src/gateway/left_upstream.rs
@@ -19,7 +19,7 @@
             Some(connection) => until_closed(connection).await,
             None => {
                 log::info!(target: "upstreams", "one that left has ended. upstream={id}");
-                gateway.change_directory(|directory, _| directory.note_ended(&id));
+                gateway.change_directory(|directory, _| directory.mark_ended(&id));
             }
         }
         tokio::time::sleep(CONNECT_PAUSE).await;
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -151,7 +151,7 @@
 
     /// Takes in that an upstream has ended that had said that it leaves, where only the
     /// daemon's own source tells of upstreams: what is there next is another life.
-    pub fn note_ended(&mut self, id: &UpstreamId) {
+    pub fn mark_ended(&mut self, id: &UpstreamId) {
         if !self.left.remove(id) {
             return;
         }
