--- a/src/policy/sources/source_silence.rs
+++ b/src/policy/sources/source_silence.rs
@@ -14,7 +14,7 @@
 
 impl SourceSilence {
     /// Notes that a call begins.
-    pub fn note_call(&mut self, now_ms: u64) {
+    pub fn record_call(&mut self, now_ms: u64) {
         self.last_call_ms = now_ms;
     }
 
--- a/src/provider/source_monitor.rs
+++ b/src/provider/source_monitor.rs
@@ -42,7 +42,7 @@
         let began_ms = self.now_ms();
         // Nobody waits for this.
         self.silence.send_if_modified(|silence| {
-            silence.note_call(began_ms);
+            silence.record_call(began_ms);
             false
         });
         let answer = call.await;
--- a/tests/decisions/source_silence.rs
+++ b/tests/decisions/source_silence.rs
@@ -10,7 +10,7 @@
 #[test]
 fn calls_are_lacking_or_too_many_while_a_source_is_silent() {
     let mut silence = SourceSilence::default();
-    silence.note_call(1_000);
+    silence.record_call(1_000);
     assert_eq!(
         silence.probe_in_ms(9_000),
         None,
@@ -21,7 +21,7 @@
     // One a time, whoever made the last one.
     assert_eq!(silence.probe_in_ms(1_300), Some(500));
     assert_eq!(silence.probe_in_ms(2_300), Some(0));
-    silence.note_call(2_300);
+    silence.record_call(2_300);
     assert_eq!(silence.probe_in_ms(2_300), Some(800));
     silence.record_failure(2_300);
     assert_eq!(silence.record_answer(4_000), Some(3_000));
