--- a/src/gateway/follow_file.rs
+++ b/src/gateway/follow_file.rs
@@ -70,7 +70,7 @@
             Ok(file) => {
                 gateway.apply_config(file.config);
                 gateway.change_directory(|directory, _| directory.replace_own(file.upstreams));
-                gateway.note_source();
+                gateway.record_source();
                 gateway.check_ready();
                 last_error.clear();
             }
--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -21,7 +21,7 @@
     }
 
     /// Notes that the source answered.
-    pub fn note_source(&self) {
+    pub fn record_source(&self) {
         self.source.lock().record_answer(self.steady_ms());
     }
 
