--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -47,7 +47,7 @@
     match ask(gateway, client, peer).await {
         Ok(ConfigAnswer::NoLater) => {}
         Ok(ConfigAnswer::Busy { version, told }) => {
-            lack.note_deferred(gateway.steady_ms());
+            lack.record_deferred(gateway.steady_ms());
             let mut peers = gateway.peers.lock();
             for holder in told {
                 peers.hear_config(holder, version);
--- a/src/policy/sources/config_lack.rs
+++ b/src/policy/sources/config_lack.rs
@@ -26,7 +26,7 @@
     }
 
     /// Notes that a daemon that has it is telling others first.
-    pub fn note_deferred(&mut self, now_ms: u64) {
+    pub fn record_deferred(&mut self, now_ms: u64) {
         self.deferred_ms = now_ms;
     }
 
--- a/tests/decisions/config_spread.rs
+++ b/tests/decisions/config_spread.rs
@@ -76,7 +76,7 @@
 fn the_source_is_left_alone_for_as_long_as_daemons_say_that_they_tell_others_first() {
     let mut lack = ConfigLack::new(10_000);
     for at_ms in (10_000..20_000).step_by(400) {
-        lack.note_deferred(at_ms);
+        lack.record_deferred(at_ms);
         assert!(!lack.needs_source(at_ms + 400));
     }
     assert!(lack.needs_source(21_000), "the last of them are gone");
