--- a/src/cluster/crashes/quarantine_keeper.rs
+++ b/src/cluster/crashes/quarantine_keeper.rs
@@ -75,7 +75,7 @@
     let due = gateway.crashes.lock().to_write(MOST_WRITTEN, now);
     for record in due {
         records.write(&record, now_ms()).await?;
-        gateway.crashes.lock().note_written(&record);
+        gateway.crashes.lock().record_written(&record);
     }
     Ok(())
 }
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -272,7 +272,7 @@
     }
 
     /// Notes what was written down.
-    pub fn note_written(&mut self, record: &SuspectRecord) {
+    pub fn record_written(&mut self, record: &SuspectRecord) {
         if let Some(suspect) = self.suspects.get_mut(&record.fingerprint) {
             suspect.written = record.ends.len();
         }
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -194,7 +194,7 @@
     assert!(there.to_write(9, 3).is_empty(), "it saw none of them");
     let due = here.to_write(9, 3);
     assert_eq!(due[0].ends.len(), 3);
-    here.note_written(&due[0]);
+    here.record_written(&due[0]);
     assert!(here.to_write(9, 3).is_empty());
     here.record_complete(poison);
     assert!(here.to_write(9, 3)[0].ends.is_empty());
