--- a/src/gateway/engines.rs
+++ b/src/gateway/engines.rs
@@ -47,7 +47,7 @@
     /// Notes the first event of an answer that nothing waited before.
     pub(super) fn record_first_event(&self, service: &ServiceName, event: FirstEvent) {
         self.learn_first_event(service, event);
-        self.note_event(|| MemberEvent::FirstEvent {
+        self.record_event(|| MemberEvent::FirstEvent {
             service: service.to_string(),
             unread_tokens: event.unread_tokens as u32,
             after_ms: event.after_ms as f32,
@@ -64,7 +64,7 @@
     /// Notes how long a request stayed that ended whole, in milliseconds.
     pub(super) fn record_stay(&self, service: &ServiceName, stay_ms: f64) {
         self.learn_stay(service, stay_ms);
-        self.note_event(|| MemberEvent::Stayed {
+        self.record_event(|| MemberEvent::Stayed {
             service: service.to_string(),
             ms: stay_ms as f32,
         });
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -237,7 +237,7 @@
     }
 
     /// Notes what happened to a request, for the hubs.
-    pub(super) fn note_event(&self, event: impl FnOnce() -> MemberEvent) {
+    pub(super) fn record_event(&self, event: impl FnOnce() -> MemberEvent) {
         if !self.is_hub() {
             self.events.lock().note(event());
             self.report_early.notify_one();
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -23,7 +23,7 @@
             .lock()
             .entry(&upstream.id)
             .record_unreachable(now_ms);
-        self.note_event(|| MemberEvent::Unreachable {
+        self.record_event(|| MemberEvent::Unreachable {
             upstream: upstream.id.to_string(),
         });
         self.domain_reach
@@ -42,7 +42,7 @@
             .lock()
             .entry(upstream)
             .record_outcome(failed, now_ms);
-        self.note_event(|| MemberEvent::Ended {
+        self.record_event(|| MemberEvent::Ended {
             upstream: upstream.to_string(),
             failed,
         });
@@ -52,7 +52,7 @@
     fn record_misdirected(&self, upstream: &UpstreamId) {
         let now_ms = self.steady_ms();
         self.loads.lock().entry(upstream).record_misdirected(now_ms);
-        self.note_event(|| MemberEvent::Misdirected {
+        self.record_event(|| MemberEvent::Misdirected {
             upstream: upstream.to_string(),
         });
     }
