--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -235,7 +235,7 @@
                         if self.take(place, attempt, frame, opened_ms) {
                             max_wait = STALL;
                         }
-                        if self.splice.is_whole() {
+                        if self.splice.is_complete() {
                             return AttemptEnd::Whole;
                         }
                     }
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -257,7 +257,7 @@
         });
         cell.change(|r| r.commit(tokens));
         world.replicators.mark(world, cell);
-        if splice.is_whole() {
+        if splice.is_complete() {
             let total = splice.committed();
             return CallEnd::Answer(Ending::Whole { total });
         }
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -255,7 +255,7 @@
             let readiness = UsageReadiness {
                 age_ms,
                 delay_ms,
-                is_whole: self.is_usage_complete(*window),
+                is_complete: self.is_usage_complete(*window),
                 held_ms,
             };
             readiness.is_due() && !self.reported.contains(window)
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -92,7 +92,7 @@
     /// What is told of its directory.
     pub told: DirectoryCursor,
     /// Whether these are all upstreams that there are, or only those that changed.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The upstreams, and the ids of those that are gone, packed: a whole directory is
     /// packed once for all that are told it.
     pub packed: Bytes,
@@ -120,7 +120,7 @@
         let (upstreams, gone) = unpack(&self.packed)?;
         Ok(DirectoryUpdate {
             told: self.told,
-            is_whole: self.is_whole,
+            is_complete: self.is_complete,
             upstreams,
             gone,
         })
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -113,7 +113,7 @@
         // Read before the configuration: it may be too early, but not too late.
         let config_position = *gateway.config_position.lock();
         let (config_version, config) = self.config_for(ask);
-        let (told, is_whole, packed) = self.packed_since(self.known(ask))?;
+        let (told, is_complete, packed) = self.packed_since(self.known(ask))?;
         Ok(FeedUpdate {
             life: gateway.incarnation,
             source_age_ms: gateway.source_age_ms(),
@@ -122,7 +122,7 @@
             config_position,
             rollouts: gateway.announced_rollouts(),
             told,
-            is_whole,
+            is_complete,
             packed,
         })
     }
@@ -132,20 +132,20 @@
         &self,
         known: Option<DirectoryCursor>,
     ) -> Result<(DirectoryCursor, bool, Bytes), FeedError> {
-        let (told, is_whole) = {
+        let (told, is_complete) = {
             let directory = self.gateway.directory.read();
             (directory.told(), directory.is_usage_complete(known))
         };
-        let since = known.filter(|_| !is_whole).map(|k| k.revision);
+        let since = known.filter(|_| !is_complete).map(|k| k.revision);
         if let Some(packed) = self.packed.lock().get(told.revision, since) {
-            return Ok((told, is_whole, packed));
+            return Ok((told, is_complete, packed));
         }
         let news = self.gateway.directory.read().update_since(known);
         let packed = pack_upstreams(&news.upstreams, &news.gone)?;
-        let since = known.filter(|_| !news.is_whole).map(|k| k.revision);
+        let since = known.filter(|_| !news.is_complete).map(|k| k.revision);
         let mut kept = self.packed.lock();
         kept.keep(news.told.revision, since, packed.clone());
-        Ok((news.told, news.is_whole, packed))
+        Ok((news.told, news.is_complete, packed))
     }
 
     fn news_for(&self, ask: FeedQuery) -> Result<FeedReply, FeedError> {
--- a/src/cluster/quotas/quota_announcer.rs
+++ b/src/cluster/quotas/quota_announcer.rs
@@ -58,14 +58,14 @@
             // Some account is gone.
             self.told.clear();
         }
-        let is_whole = self.whole_left > 0;
+        let is_complete = self.whole_left > 0;
         self.whole_left = self.whole_left.saturating_sub(1);
         self.turn = (self.turn + 1) % TURNS;
         let turn = self.turn;
         let numbered = all.into_iter().enumerate();
         let due = numbered.filter(|(n, account)| {
             let is_news = self.is_news(account);
-            is_news || is_whole || n % TURNS == turn
+            is_news || is_complete || n % TURNS == turn
         });
         due.map(|(_, account)| account).collect()
     }
--- a/src/policy/copies/splice.rs
+++ b/src/policy/copies/splice.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns whether the whole answer is committed.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.total == Some(self.committed)
     }
 
--- a/src/policy/duties/usage_due.rs
+++ b/src/policy/duties/usage_due.rs
@@ -21,7 +21,7 @@
     /// How long after its end the report is due.
     pub delay_ms: f64,
     /// Whether all daemons have told what they counted in it.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// For how long this daemon has held the duties.
     pub held_ms: f64,
 }
@@ -33,10 +33,10 @@
         if part > REPORT_UNTIL {
             return false;
         }
-        let is_settled = self.is_whole || self.held_ms >= SETTLE_MS;
+        let is_settled = self.is_complete || self.held_ms >= SETTLE_MS;
         match is_settled {
             true => {
-                part >= if self.is_whole {
+                part >= if self.is_complete {
                     REPORT_AT
                 } else {
                     REPORT_LATE
--- a/src/upstreams/directory_update.rs
+++ b/src/upstreams/directory_update.rs
@@ -21,7 +21,7 @@
     /// What is told with this.
     pub told: DirectoryCursor,
     /// Whether these are all upstreams that there are, or only those that changed.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Upstreams as they are now.
     pub upstreams: Vec<PresentUpstream>,
     /// Upstreams that are gone.
--- a/src/upstreams/followed_view.rs
+++ b/src/upstreams/followed_view.rs
@@ -32,7 +32,7 @@
         news: &DirectoryUpdate,
         known: &HashMap<UpstreamId, ServiceName>,
     ) {
-        if news.is_whole {
+        if news.is_complete {
             self.told.clear();
             self.known_elsewhere.extend(known.keys().cloned());
         }
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -324,7 +324,7 @@
         };
         DirectoryUpdate {
             told: self.told(),
-            is_whole: self.is_usage_complete(last),
+            is_complete: self.is_usage_complete(last),
             upstreams,
             gone,
         }
@@ -375,17 +375,17 @@
         let can_tell =
             |t: &DirectoryCursor| self.has_all_since(t.revision) && self.exact_to >= t.position;
         let last = last.filter(can_tell).unwrap_or_default();
-        let is_whole = last.position == 0;
-        let position = match is_whole {
+        let is_complete = last.position == 0;
+        let position = match is_complete {
             true => self.position,
             false => self.exact_to,
         };
         let is_news = |upstream: &&Arc<Upstream>| {
-            is_whole
+            is_complete
                 || upstream.offset >= last.position
                 || self.changed.is_since(&upstream.id, last.revision)
         };
-        let gone = (!is_whole).then(|| self.gone.since(last.revision));
+        let gone = (!is_complete).then(|| self.gone.since(last.revision));
         DirectoryChanges {
             told: DirectoryCursor {
                 revision: self.revision,
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -239,7 +239,7 @@
         theirs.replace(listing, position, None);
         let mut own = UpstreamDirectory::default();
         let whole = theirs.update_since(None);
-        assert!(whole.is_whole);
+        assert!(whole.is_complete);
         let mut known = whole.told;
         own.apply_update(whole);
         for n in 0..fleet {
@@ -310,7 +310,7 @@
         config_position: Some(12),
         rollouts: Vec::new(),
         told: news.told,
-        is_whole: news.is_whole,
+        is_complete: news.is_complete,
         packed,
     };
     let heard: FeedUpdate = decode(&encode(&update).unwrap()).unwrap();
--- a/tests/decisions/duties.rs
+++ b/tests/decisions/duties.rs
@@ -172,10 +172,10 @@
 
 #[test]
 fn usage_is_reported_once_it_is_whole_and_in_time_even_if_it_is_not() {
-    let readiness = |age_ms, is_whole, held_ms| UsageReadiness {
+    let readiness = |age_ms, is_complete, held_ms| UsageReadiness {
         age_ms,
         delay_ms: 10_000.0,
-        is_whole,
+        is_complete,
         held_ms,
     };
     assert!(!readiness(1_000.0, true, 9_000.0).is_due());
--- a/tests/decisions/splice.rs
+++ b/tests/decisions/splice.rs
@@ -115,7 +115,7 @@
         }
         let whole: Vec<_> = (0..total).map(|i| token(1, i)).collect();
         prop_assert_eq!(text, whole);
-        prop_assert!(splice.is_whole());
+        prop_assert!(splice.is_complete());
     }
 }
 
@@ -125,7 +125,7 @@
     splice.next_attempt();
     let got = splice.take(piece(1, 0, 10, Some(8)));
     assert_eq!(got.len(), 8);
-    assert!(splice.is_whole());
+    assert!(splice.is_complete());
 }
 
 #[test]
--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -193,11 +193,11 @@
         while began.elapsed() < Duration::from_secs(9) {
             for body in ["asked again and again", &format!("asked once: {n}")] {
                 let answer = world.ask(n % 3, &format!("i{n}"), path, body).await;
-                let is_whole = answer.is_some_and(|a| a.status.is_success() && a.whole);
+                let is_complete = answer.is_some_and(|a| a.status.is_success() && a.whole);
                 // Until all know, it may share the fate of upstreams that end.
                 if began.elapsed() > Duration::from_secs(5) {
                     asked += 1;
-                    served += usize::from(is_whole);
+                    served += usize::from(is_complete);
                 }
             }
             n += 1;
