--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -2,7 +2,7 @@
     super::{PackedUpdates, messages::*},
     crate::{
         cluster::{CONFIG_PATH, ConfigServer, ControlKind},
-        gateway::{AnswerBody, Gateway, own_answer, serve_plain, whole_body},
+        gateway::{AnswerBody, Gateway, full_body, own_answer, serve_plain},
         routing::RoutingConfig,
         upstreams::DirectoryCursor,
     },
@@ -70,7 +70,7 @@
         match told(self, ask).and_then(|told| encode(&told)) {
             Ok(bytes) => {
                 self.gateway.control.note(ControlKind::News, bytes.len());
-                Response::new(whole_body(bytes))
+                Response::new(full_body(bytes))
             }
             Err(e) => {
                 log::warn!(target: "peers", "news not told. error=\"{e}\"");
--- a/src/engine/plain_http.rs
+++ b/src/engine/plain_http.rs
@@ -31,7 +31,7 @@
             let status = rep.status().as_u16();
             let kind = rep.headers().get(CONTENT_TYPE);
             let content_type = kind.and_then(|v| v.to_str().ok()).unwrap_or("").to_string();
-            let body = whole_body(rep.into_body()).await?;
+            let body = full_body(rep.into_body()).await?;
             Ok(PlainAnswer {
                 status,
                 content_type,
--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -44,7 +44,7 @@
 }
 
 /// Makes a body of known bytes.
-pub fn whole_body(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
@@ -64,7 +64,7 @@
 
 /// Makes an answer of our own.
 pub fn own_answer(status: StatusCode, detail: &str) -> Response<AnswerBody> {
-    let mut answer = Response::new(whole_body(format!("{detail}\n")));
+    let mut answer = Response::new(full_body(format!("{detail}\n")));
     *answer.status_mut() = status;
     answer
 }
--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -25,7 +25,7 @@
     let forward = try_upstreams(gateway, context, &mut attempts);
     let answer = timeout_at(context.give_up_at, forward).await;
     match answer {
-        Ok(Some((head, body))) => relayed(head, whole_body(body)),
+        Ok(Some((head, body))) => relayed(head, full_body(body)),
         Ok(None) => gateway.give_up(context, &attempts, false),
         Err(_) => gateway.give_up(context, &attempts, true),
     }
--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -1,5 +1,5 @@
 use {
-    super::{own_answer, serve_plain, whole_body},
+    super::{full_body, own_answer, serve_plain},
     http::{Response, StatusCode},
     metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle},
     std::{future::ready, sync::LazyLock, time::Duration},
@@ -100,7 +100,7 @@
 
 fn page() -> Response<super::AnswerBody> {
     match RECORDER.as_ref() {
-        Some(handle) => Response::new(whole_body(handle.render())),
+        Some(handle) => Response::new(full_body(handle.render())),
         None => own_answer(StatusCode::SERVICE_UNAVAILABLE, "nothing is recorded"),
     }
 }
--- a/src/http/call_once.rs
+++ b/src/http/call_once.rs
@@ -1,5 +1,5 @@
 use {
-    super::{HttpError, whole_body},
+    super::{HttpError, full_body},
     crate::clock,
     bytes::Bytes,
     http::{Request, StatusCode, header},
@@ -56,7 +56,7 @@
     }
     let answer = sender.send_request(request).await.map_err(broken)?;
     let status = answer.status();
-    Ok((status, whole_body(answer.into_body()).await?))
+    Ok((status, full_body(answer.into_body()).await?))
 }
 
 /// Lets a connection be reset when it is closed: what was not delivered by
--- a/src/http/http_client.rs
+++ b/src/http/http_client.rs
@@ -149,7 +149,7 @@
 /// # Errors
 ///
 /// Returns [`HttpError::Broken`] if it is cut or too large.
-pub async fn whole_body(body: Incoming) -> Result<Bytes, HttpError> {
+pub async fn full_body(body: Incoming) -> Result<Bytes, HttpError> {
     let whole = Limited::new(body, MAX_WHOLE_BODY).collect().await;
     Ok(whole
         .map_err(|e| HttpError::Broken(e.to_string()))?
