--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        http::{HttpError, MAX_WHOLE_BODY},
+        http::{HttpError, MAX_BODY_BYTES},
         names::UpstreamId,
         rollouts::Rollout,
         routing::{PackError, RoutingConfig, pack, unpack},
@@ -20,7 +20,7 @@
 pub(super) const MAX_WAIT_MS: u64 = 700;
 /// How much memory a message may claim when it is decoded, in bytes: as much as the
 /// largest body that is read.
-const MAX_DECODED_BYTES: usize = MAX_WHOLE_BODY;
+const MAX_DECODED_BYTES: usize = MAX_BODY_BYTES;
 /// How long a daemon's question may be.
 pub const MAX_ASK_BYTES: usize = 1_024;
 
--- a/src/http/http_client.rs
+++ b/src/http/http_client.rs
@@ -20,7 +20,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The largest body that is read whole.
-pub const MAX_WHOLE_BODY: usize = 16 * 1024 * 1024;
+pub const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// Calls over HTTP by IP number, with pooled connections.
 #[derive(Clone, Debug)]
@@ -150,7 +150,7 @@
 ///
 /// Returns [`HttpError::Broken`] if it is cut or too large.
 pub async fn full_body(body: Incoming) -> Result<Bytes, HttpError> {
-    let whole = Limited::new(body, MAX_WHOLE_BODY).collect().await;
+    let whole = Limited::new(body, MAX_BODY_BYTES).collect().await;
     Ok(whole
         .map_err(|e| HttpError::Broken(e.to_string()))?
         .to_bytes())
@@ -167,7 +167,7 @@
 /// Returns [`HttpError::Timeout`] if nothing came for `silence`, and
 /// [`HttpError::Broken`] if the body is cut or too large.
 pub async fn steady_body(body: Incoming, silence: Duration) -> Result<Bytes, HttpError> {
-    let mut body = Limited::new(body, MAX_WHOLE_BODY);
+    let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut whole = BytesMut::new();
     loop {
         let next = clock::timeout(silence, body.frame()).await;
