--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         cluster::{ConfigAnswer, ConfigQuery, FeedError, MAX_ASK_BYTES, decode, encode},
-        gateway::{AnswerBody, Gateway, own_answer, pieces_body},
+        gateway::{AnswerBody, Gateway, local_response, pieces_body},
         routing::{RoutingConfig, pack_config},
     },
     bytes::Bytes,
@@ -53,15 +53,15 @@
             .collect()
             .await
         else {
-            return own_answer(StatusCode::BAD_REQUEST, "expected a short question");
+            return local_response(StatusCode::BAD_REQUEST, "expected a short question");
         };
         let answer = match decode::<ConfigQuery>(&body.to_bytes()) {
             Ok(ask) => self.answer_ask(ask),
-            Err(e) => return own_answer(StatusCode::BAD_REQUEST, &e.to_string()),
+            Err(e) => return local_response(StatusCode::BAD_REQUEST, &e.to_string()),
         };
         answer.unwrap_or_else(|e| {
             log::warn!(target: "peers", "configuration not told. error=\"{e}\"");
-            own_answer(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string())
+            local_response(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string())
         })
     }
 
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -2,7 +2,7 @@
     super::{PackedUpdates, messages::*},
     crate::{
         cluster::{CONFIG_PATH, ConfigServer, ControlKind},
-        gateway::{AnswerBody, Gateway, full_body, own_answer, serve_plain},
+        gateway::{AnswerBody, Gateway, full_body, local_response, serve_plain},
         routing::RoutingConfig,
         upstreams::DirectoryCursor,
     },
@@ -34,7 +34,7 @@
                 UPDATE_PATH => news.answer(request, FeedServer::update_for).await,
                 NEWS_PATH => news.answer(request, FeedServer::news_for).await,
                 CONFIG_PATH => configs.answer(request).await,
-                _ => own_answer(StatusCode::NOT_FOUND, "no such path"),
+                _ => local_response(StatusCode::NOT_FOUND, "no such path"),
             }
         }
     })
@@ -60,11 +60,11 @@
             .collect()
             .await
         else {
-            return own_answer(StatusCode::BAD_REQUEST, "expected a short question");
+            return local_response(StatusCode::BAD_REQUEST, "expected a short question");
         };
         let ask = match decode::<FeedQuery>(&body.to_bytes()) {
             Ok(ask) => ask,
-            Err(e) => return own_answer(StatusCode::BAD_REQUEST, &e.to_string()),
+            Err(e) => return local_response(StatusCode::BAD_REQUEST, &e.to_string()),
         };
         self.wait_for_news(ask).await;
         match told(self, ask).and_then(|told| encode(&told)) {
@@ -74,7 +74,7 @@
             }
             Err(e) => {
                 log::warn!(target: "peers", "news not told. error=\"{e}\"");
-                own_answer(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string())
+                local_response(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string())
             }
         }
     }
--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -63,7 +63,7 @@
 }
 
 /// Makes an answer of our own.
-pub fn own_answer(status: StatusCode, detail: &str) -> Response<AnswerBody> {
+pub fn local_response(status: StatusCode, detail: &str) -> Response<AnswerBody> {
     let mut answer = Response::new(full_body(format!("{detail}\n")));
     *answer.status_mut() = status;
     answer
@@ -71,7 +71,7 @@
 
 /// Makes a refusal: the request has not run and never will.
 pub fn refusal(status: StatusCode, detail: &str, retry_after: Duration) -> Response<AnswerBody> {
-    let mut answer = own_answer(status, detail);
+    let mut answer = local_response(status, detail);
     let seconds = format!("{:.2}", retry_after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         answer.headers_mut().insert(header::RETRY_AFTER, value);
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -258,10 +258,10 @@
             attempts.last_failure
         );
         if timed_out {
-            return own_answer(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
+            return local_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time");
         }
         if attempts.may_have_run {
-            return own_answer(StatusCode::BAD_GATEWAY, "the request may have run");
+            return local_response(StatusCode::BAD_GATEWAY, "the request may have run");
         }
         refusal(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -213,7 +213,7 @@
 }
 
 fn own(status: StatusCode, detail: &str) -> Box<Response<AnswerBody>> {
-    Box::new(own_answer(status, detail))
+    Box::new(local_response(status, detail))
 }
 
 /// Makes an answer of our own after which the connection is closed: its client
--- a/src/gateway/listen.rs
+++ b/src/gateway/listen.rs
@@ -86,9 +86,9 @@
     serve_plain(listener, move |request| {
         let is_get = request.method() == Method::GET;
         ready(match gateway.is_ready() {
-            _ if !is_get => own_answer(StatusCode::METHOD_NOT_ALLOWED, "expected GET"),
-            true => own_answer(StatusCode::OK, "ready"),
-            false => own_answer(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
+            _ if !is_get => local_response(StatusCode::METHOD_NOT_ALLOWED, "expected GET"),
+            true => local_response(StatusCode::OK, "ready"),
+            false => local_response(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
         })
     })
     .await;
--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -1,5 +1,5 @@
 use {
-    super::{full_body, own_answer, serve_plain},
+    super::{full_body, local_response, serve_plain},
     http::{Response, StatusCode},
     metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle},
     std::{future::ready, sync::LazyLock, time::Duration},
@@ -92,7 +92,7 @@
     serve_plain(listener, |request| {
         ready(match request.uri().path() {
             PAGE_PATH => page(),
-            _ => own_answer(StatusCode::NOT_FOUND, "no such path"),
+            _ => local_response(StatusCode::NOT_FOUND, "no such path"),
         })
     })
     .await;
@@ -101,7 +101,7 @@
 fn page() -> Response<super::AnswerBody> {
     match RECORDER.as_ref() {
         Some(handle) => Response::new(full_body(handle.render())),
-        None => own_answer(StatusCode::SERVICE_UNAVAILABLE, "nothing is recorded"),
+        None => local_response(StatusCode::SERVICE_UNAVAILABLE, "nothing is recorded"),
     }
 }
 
