--- a/src/caller/server.rs
+++ b/src/caller/server.rs
@@ -108,10 +108,10 @@
 where
     S: Service<Request<RequestBody>, Response = Response<Body>, Error = Infallible>,
 {
-    let waits_for_word = req.headers().contains_key(header::EXPECT);
-    let req = req.map(|body| RequestBody::new(body, limits, waits_for_word));
+    let expects_continue = req.headers().contains_key(header::EXPECT);
+    let req = req.map(|body| RequestBody::new(body, limits, expects_continue));
     let mut rep = service.oneshot(req).await?;
-    if waits_for_word && !rep.status().is_success() {
+    if expects_continue && !rep.status().is_success() {
         // Whether the body still comes is not known.
         let close = HeaderValue::from_static("close");
         rep.headers_mut().insert(header::CONNECTION, close);
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -119,8 +119,8 @@
         max_bytes: limits.max_body_bytes,
         timeout: Duration::from_millis(limits.body_timeout_ms),
     };
-    let waits_for_word = head.headers.contains_key(header::EXPECT);
-    let body = RequestBody::new(body, body_limits, waits_for_word);
+    let expects_continue = head.headers.contains_key(header::EXPECT);
+    let body = RequestBody::new(body, body_limits, expects_continue);
     let checked = match check_head(gateway, &head).await {
         Ok(checked) => checked,
         Err(answer) => return Err(refuse_unread(answer, &head, &body, &limits)),
--- a/src/http/request_body.rs
+++ b/src/http/request_body.rs
@@ -30,16 +30,16 @@
     body: Option<Incoming>,
     limits: BodyLimits,
     /// Whether the client sends it only once it is told to: when it is first read.
-    waits_for_word: bool,
+    expects_continue: bool,
 }
 
 impl RequestBody {
     /// Makes the body of a request that has just come.
-    pub fn new(body: Incoming, limits: BodyLimits, waits_for_word: bool) -> Self {
+    pub fn new(body: Incoming, limits: BodyLimits, expects_continue: bool) -> Self {
         Self {
             body: Some(body),
             limits,
-            waits_for_word,
+            expects_continue,
         }
     }
 }
@@ -52,7 +52,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        self.waits_for_word = false;
+        self.expects_continue = false;
         let Some(body) = &mut self.body else {
             return Poll::Ready(None);
         };
@@ -77,7 +77,7 @@
 impl Drop for RequestBody {
     fn drop(&mut self) {
         let Some(body) = self.body.take() else { return };
-        if body.is_end_stream() || self.waits_for_word {
+        if body.is_end_stream() || self.expects_continue {
             return;
         }
         // Without a runtime there is no connection left, either.
