--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,6 +1,6 @@
 use {
     super::{CliError, finish},
-    crate::logs::{LogSource, tell_story},
+    crate::logs::{LogSource, request_history},
     pico_args::Arguments,
     std::{
         fs::File,
@@ -17,7 +17,7 @@
         files.push(file);
     }
     finish(args)?;
-    let story = tell_story(&request, log_sources(&files)?)?;
+    let story = request_history(&request, log_sources(&files)?)?;
     if story.is_empty() {
         return Err(CliError::Failed(format!("no line names request {request}")));
     }
--- a/src/logs/story.rs
+++ b/src/logs/story.rs
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// Returns the error of a source that can't be read.
-pub fn tell_story(request: &str, sources: Vec<LogSource>) -> std::io::Result<String> {
+pub fn request_history(request: &str, sources: Vec<LogSource>) -> std::io::Result<String> {
     let names_it = |line: &LogLine| line.value("request") == Some(request);
     Ok(story_of(&read_lines(sources, names_it)?))
 }
--- a/tests/gateway/logs.rs
+++ b/tests/gateway/logs.rs
@@ -4,7 +4,7 @@
     crate::support::*,
     http::StatusCode,
     nix::sys::signal::Signal,
-    saddlepulley::logs::{LineBudget, LogLine, tell_story},
+    saddlepulley::logs::{LineBudget, LogLine, request_history},
     saddlepulley_standin::runner::{Behaviour, Runner},
     std::{fs::File, io::BufReader, process::Stdio},
     tempfile::TempDir,
@@ -55,7 +55,7 @@
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     let story = || {
         let file: Box<dyn std::io::BufRead> = Box::new(BufReader::new(File::open(&path).unwrap()));
-        tell_story("a77", vec![("log".into(), file)]).unwrap()
+        request_history("a77", vec![("log".into(), file)]).unwrap()
     };
     eventually("written", async || story().contains("answered.")).await;
     let story = story();
@@ -111,7 +111,7 @@
         ("one".to_string(), source(first)),
         ("two".to_string(), source(second)),
     ];
-    let story = tell_story("r1", sources).unwrap();
+    let story = request_history("r1", sources).unwrap();
     assert_eq!(
         story,
         "+0 ms collector: p: a. request=r1 cause=\"k\"\n+10 ms one p: b. request=r1\n"
