--- a/src/cli/rollout_command.rs
+++ b/src/cli/rollout_command.rs
@@ -1,6 +1,6 @@
 use {
     super::{CliError, explain::log_sources, finish},
-    crate::logs::{LogLine, SourcedLine, read_lines, story_of},
+    crate::logs::{LogLine, SourcedLine, format_history, read_lines},
     pico_args::Arguments,
     serde_json::{Map, Value, json},
     std::{collections::BTreeMap, path::PathBuf},
@@ -64,7 +64,7 @@
     }
     match as_json {
         true => println!("{}", Value::from_iter(lines.iter().map(step_as_json))),
-        false => print!("{}", story_of(lines)),
+        false => print!("{}", format_history(lines)),
     }
     Ok(())
 }
--- a/src/logs/story.rs
+++ b/src/logs/story.rs
@@ -55,11 +55,11 @@
 /// Returns the error of a source that can't be read.
 pub fn request_history(request: &str, sources: Vec<LogSource>) -> std::io::Result<String> {
     let names_it = |line: &LogLine| line.value("request") == Some(request);
-    Ok(story_of(&read_lines(sources, names_it)?))
+    Ok(format_history(&read_lines(sources, names_it)?))
 }
 
 /// Writes lines with the times since the first one.
-pub fn story_of(lines: &[SourcedLine]) -> String {
+pub fn format_history(lines: &[SourcedLine]) -> String {
     let mut story = String::new();
     let first_ms = lines.first().map_or(0, |told| told.line.time_ms);
     for SourcedLine { line, source } in lines {
