--- a/src/policy/sources/source_silence.rs
+++ b/src/policy/sources/source_silence.rs
@@ -6,13 +6,13 @@
 /// Whether a shared source answers, as seen by all calls of a daemon to it. Times are
 /// milliseconds of the daemon's steady clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SourceSilence {
+pub struct SourceHealth {
     silent_since_ms: Option<u64>,
     last_call_ms: u64,
     returns: u64,
 }
 
-impl SourceSilence {
+impl SourceHealth {
     /// Notes that a call begins.
     pub fn record_call(&mut self, now_ms: u64) {
         self.last_call_ms = now_ms;
--- a/src/provider/source_monitor.rs
+++ b/src/provider/source_monitor.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::{self, BootInstant},
-        policy::SourceSilence,
+        policy::SourceHealth,
     },
     futures_util::{StreamExt, stream::FuturesUnordered},
     std::{fmt::Display, time::Duration},
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub struct SourceMonitor {
     started: BootInstant,
-    silence: watch::Sender<SourceSilence>,
+    silence: watch::Sender<SourceHealth>,
 }
 
 impl Default for SourceMonitor {
--- a/tests/decisions/source_silence.rs
+++ b/tests/decisions/source_silence.rs
@@ -1,7 +1,7 @@
 //! Reads that a shared source may hold, while it falls silent and returns.
 
 use {
-    saddlepulley::{policy::SourceSilence, provider::SourceMonitor},
+    saddlepulley::{policy::SourceHealth, provider::SourceMonitor},
     std::{cell::Cell, future::pending, time::Duration},
 };
 
@@ -9,7 +9,7 @@
 
 #[test]
 fn calls_are_lacking_or_too_many_while_a_source_is_silent() {
-    let mut silence = SourceSilence::default();
+    let mut silence = SourceHealth::default();
     silence.record_call(1_000);
     assert_eq!(
         silence.probe_in_ms(9_000),
