--- a/src/cluster/hubs/digest.rs
+++ b/src/cluster/hubs/digest.rs
@@ -39,7 +39,7 @@
     /// After how long it will tell the next one, in milliseconds.
     pub every_ms: u32,
     /// How many daemons let requests in through it, itself among them.
-    pub leaning: u32,
+    pub dependents: u32,
     /// How many daemons there are, as far as it knows.
     pub daemons: u32,
     /// Its state; that it no longer is a hub is told once.
@@ -66,7 +66,7 @@
             sequence,
             age_ms: 0,
             every_ms: 0,
-            leaning: 1,
+            dependents: 1,
             daemons: 1,
             status: DaemonStatus {
                 is_hub: true,
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -125,7 +125,7 @@
     let mut digest = Digest::new(daemon, gateway.incarnation, gateway.next_sequence());
     digest.age_ms = gateway.hub_age_ms();
     digest.every_ms = every_ms as u32;
-    digest.leaning = gateway.members.lock().leaning();
+    digest.dependents = gateway.members.lock().dependents();
     digest.daemons = gateway.daemons() as u32;
     digest.status = gateway.status();
     let holds = gateway.holds_duties.load(Ordering::Relaxed);
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -196,23 +196,23 @@
 
     /// Returns how many daemons let their requests in through this one, itself
     /// included.
-    pub fn leaning(&self) -> u32 {
+    pub fn dependents(&self) -> u32 {
         1 + self.members.values().filter(|m| m.leans).count() as u32
     }
 
     /// Returns how old the oldest loads are that such a daemon told, in
     /// milliseconds.
     pub fn oldest_loads_ms(&self, now_ms: u64) -> u64 {
-        let leaning = self.members.values().filter(|m| m.leans);
-        let ages = leaning.map(|m| now_ms.saturating_sub(m.loads_ms));
+        let dependents = self.members.values().filter(|m| m.leans);
+        let ages = dependents.map(|m| now_ms.saturating_sub(m.loads_ms));
         ages.max().unwrap_or(0)
     }
 
     /// Returns how many such daemons there are, and how old their loads are in sum, in
     /// milliseconds.
     pub fn loads_ages(&self, now_ms: u64) -> (u64, u64) {
-        let leaning = self.members.values().filter(|m| m.leans);
-        let ages = leaning.map(|m| now_ms.saturating_sub(m.loads_ms));
+        let dependents = self.members.values().filter(|m| m.leans);
+        let ages = dependents.map(|m| now_ms.saturating_sub(m.loads_ms));
         ages.fold((0, 0), |(count, sum), age_ms| (count + 1, sum + age_ms))
     }
 
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -163,8 +163,8 @@
     }
 
     /// Returns how many daemons let requests in through it.
-    pub(super) fn leaning(&self) -> u32 {
-        self.as_hub().map_or(0, |hub| hub.digest.leaning)
+    pub(super) fn dependents(&self) -> u32 {
+        self.as_hub().map_or(0, |hub| hub.digest.dependents)
     }
 
     /// Returns whether it is alive: by what was heard of it, or by what others
--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -25,7 +25,7 @@
     pub fn daemons(&self) -> usize {
         let hubs: Vec<&Peer> = self.reserved().collect();
         if self.is_hub() {
-            let others: u32 = hubs.iter().map(|p| p.leaning().max(1)).sum();
+            let others: u32 = hubs.iter().map(|p| p.dependents().max(1)).sum();
             return (others + self.own_leaning) as usize;
         }
         let told = self.live_hubs().map(|d| d.daemons as usize).max();
@@ -76,7 +76,7 @@
     fn is_replaced_here(&self, peer: &Peer) -> bool {
         peer.entry.domain == self.own.domain
             && peer.is_late(self.now_ms)
-            && took_over(self.own_leaning, peer.leaning())
+            && took_over(self.own_leaning, peer.dependents())
     }
 
     /// The same for any other hub of its failure domain.
@@ -86,7 +86,7 @@
                 other.entry.domain == peer.entry.domain
                     && other.is_live(self.now_ms)
                     && !other.is_late(self.now_ms)
-                    && took_over(other.leaning(), peer.leaning())
+                    && took_over(other.dependents(), peer.dependents())
             })
     }
 
@@ -106,7 +106,7 @@
     }
 }
 
-fn took_over(leaning: u32, before: u32) -> bool {
+fn took_over(dependents: u32, before: u32) -> bool {
     // One that nobody else lets requests in through has nothing to take over.
-    before > 1 && f64::from(leaning) >= f64::from(before) * TAKEN_OVER_PART
+    before > 1 && f64::from(dependents) >= f64::from(before) * TAKEN_OVER_PART
 }
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -120,9 +120,9 @@
 
     /// Notes the time and how many daemons let requests in through this one,
     /// and forgets daemons that have long been silent.
-    pub fn tick(&mut self, leaning: u32, now_ms: u64) {
+    pub fn tick(&mut self, dependents: u32, now_ms: u64) {
         self.now_ms = now_ms;
-        self.own_leaning = leaning;
+        self.own_leaning = dependents;
         let index = &mut self.index;
         self.peers.retain(|name, peer| {
             let is_kept = now_ms < peer.last_ms() + FORGOTTEN_MS;
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -103,13 +103,13 @@
     /// daemon is a hub.
     pub fn tick_peers(&self) -> bool {
         let now_ms = self.steady_ms();
-        let leaning = {
+        let dependents = {
             let mut members = self.members.lock();
             members.tick(now_ms);
-            members.leaning()
+            members.dependents()
         };
         let mut peers = self.peers.lock();
-        peers.tick(leaning, now_ms);
+        peers.tick(dependents, now_ms);
         let is_hub = peers.is_hub();
         drop(peers);
         let mut since = self.hub_since_ms.lock();
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -166,8 +166,8 @@
     metrics::gauge!(LIVE_PEERS).set(live as f64);
     metrics::gauge!(DAEMONS).set(gateway.daemons() as f64);
     metrics::gauge!(IS_HUB).set(f64::from(u8::from(gateway.is_hub())));
-    let leaning = gateway.members.lock().leaning();
-    metrics::gauge!(LEANING).set(f64::from(leaning));
+    let dependents = gateway.members.lock().dependents();
+    metrics::gauge!(LEANING).set(f64::from(dependents));
     let age_ms = gateway.members.lock().oldest_loads_ms(gateway.steady_ms());
     metrics::gauge!(LOADS_AGE).set(age_ms as f64 / 1_000.0);
     for rollout in gateway.announced_rollouts() {
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -66,7 +66,7 @@
 fn what_a_dead_hub_let_in_goes_over_to_the_one_that_is_asked_in_its_place() {
     let mut peers = PeerTable::new(entry("own", "a", 1));
     let mut digest = digest_of("n", 1);
-    digest.leaning = 50;
+    digest.dependents = 50;
     peers.apply_digest(digest, 1_000);
     let quotas = QuotasPart {
         name: "n".into(),
@@ -89,11 +89,11 @@
     // Elsewhere the same shows in what the one in its place tells.
     let mut far = PeerTable::new(entry("far", "b", 2));
     let mut digest = digest_of("n", 1);
-    digest.leaning = 50;
+    digest.dependents = 50;
     far.apply_digest(digest, 1_000);
     far.apply_quotas(&quotas, 1_000);
     let mut next = Digest::new(entry("next", "a", 3), 1, 1);
-    (next.leaning, next.every_ms) = (40, 250);
+    (next.dependents, next.every_ms) = (40, 250);
     far.apply_digest(next, 1_800);
     far.tick(1, 1_900);
     assert_eq!(others(&far), None);
@@ -424,7 +424,7 @@
         listeners.note_told(BTreeSet::from([address(1)]));
         let mut digest = digest_of("n", 1);
         digest.status.is_hub = true;
-        digest.leaning = 3;
+        digest.dependents = 3;
         peers.apply_digest(digest, 1_000);
         peers.tick(1, 1_000);
         assert_eq!(peers.daemons(), 4);
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -56,7 +56,7 @@
     let mut digest = Digest::new(entry("edge-1", 1), u64::MAX, 70_000);
     digest.age_ms = 90_000;
     digest.every_ms = 250;
-    digest.leaning = 7;
+    digest.dependents = 7;
     digest.daemons = 21;
     digest.status = status();
     digest.duty_daemons = vec![DutyDaemon {
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -37,9 +37,9 @@
     let news = members.apply_report(&report(2, &[event(1), event(2)], 1), 100);
     assert_eq!(news.events, [event(2).1]);
     assert!(news.alone.is_empty());
-    assert_eq!(members.leaning(), 2);
+    assert_eq!(members.dependents(), 2);
     members.tick(3_000);
-    assert_eq!(members.leaning(), 1, "it fell silent");
+    assert_eq!(members.dependents(), 1, "it fell silent");
 }
 
 fn ask(id: u64) -> AdmissionQuery {
