--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -27,7 +27,7 @@
         let mut lack = ConfigLack::new(gateway.steady_ms());
         while gateway.lacks_config() {
             let reads_source = *gateway.reads_source.borrow();
-            if lack.asks_daemons(reads_source, gateway.steady_ms()) {
+            if lack.queries_daemons(reads_source, gateway.steady_ms()) {
                 ask_one(&gateway, &client, &mut lack).await;
             }
             gateway.set_reads_config(lack.needs_source(gateway.steady_ms()));
--- a/src/policy/sources/config_lack.rs
+++ b/src/policy/sources/config_lack.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns whether to ask other daemons for it.
-    pub fn asks_daemons(&self, reads_source: bool, now_ms: u64) -> bool {
+    pub fn queries_daemons(&self, reads_source: bool, now_ms: u64) -> bool {
         !reads_source || now_ms >= self.since_ms + READER_PATIENCE_MS
     }
 
