--- a/src/app/box_watch.rs
+++ b/src/app/box_watch.rs
@@ -34,7 +34,7 @@
             Err(e) => log::debug!(target: "boxes", "the box list can't be read. error=\"{e}\""),
         }
         mark_left(&world);
-        forget_gone(&world, &mut gone_since);
+        remove_missing(&world, &mut gone_since);
         tokio::time::sleep(list_pause(&world)).await;
     }
 }
@@ -123,7 +123,7 @@
 }
 
 /// Forgets what was kept of boxes that are gone, and the boxes some time later.
-fn forget_gone(world: &World, gone_since: &mut BTreeMap<BoxId, u64>) {
+fn remove_missing(world: &World, gone_since: &mut BTreeMap<BoxId, u64>) {
     let (kept, addrs) = {
         let boxes = world.boxes.read();
         let there: Vec<&BoxFact> = boxes.iter().filter(|b| b.state != BoxState::Gone).collect();
@@ -155,7 +155,7 @@
         let since = gone_since.get(id).copied().unwrap_or(now);
         now.saturating_sub(since) < REMEMBER_GONE_MS
     };
-    boxes.forget_gone(recent);
+    boxes.remove_missing(recent);
     let mut journal = world.journal.lock();
     for id in gone_since.keys().filter(|id| !recent(id)) {
         journal.forget(id);
--- a/src/boxes/box_table.rs
+++ b/src/boxes/box_table.rs
@@ -50,7 +50,7 @@
 
     /// Forgets boxes that are gone, save those to keep. A source that lags by
     /// more than the caller waits could bring one back.
-    pub fn forget_gone(&mut self, keep: impl Fn(&BoxId) -> bool) {
+    pub fn remove_missing(&mut self, keep: impl Fn(&BoxId) -> bool) {
         self.boxes
             .retain(|id, b| b.state != BoxState::Gone || keep(id));
     }
