--- a/src/names/upstream_id.rs
+++ b/src/names/upstream_id.rs
@@ -9,7 +9,7 @@
 impl UpstreamId {
     /// Returns the id of the life of an upstream that began at a time, in Unix
     /// milliseconds.
-    pub fn of_life(upstream: &str, started_ms: u64) -> Self {
+    pub fn of_incarnation(upstream: &str, started_ms: u64) -> Self {
         Self::from(format!("{upstream}{LIFE_MARK}{started_ms:x}").as_str())
     }
 
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -45,7 +45,7 @@
         Said::Nothing => return None,
     };
     Some(Upstream {
-        id: UpstreamId::of_life(&key(of), started_ms),
+        id: UpstreamId::of_incarnation(&key(of), started_ms),
         service: ServiceName::from("s"),
         address: "10.0.0.1:80".parse().unwrap(),
         domain: FailureDomain::from("a"),
@@ -199,7 +199,9 @@
                     continue;
                 }
                 let expected = match newest.get(&of) {
-                    Some((_, Said::Ready(life))) => Some(UpstreamId::of_life(&key(of), *life)),
+                    Some((_, Said::Ready(life))) => {
+                        Some(UpstreamId::of_incarnation(&key(of), *life))
+                    }
                     _ => None,
                 };
                 let service = ServiceName::from("s");
--- a/tests/decisions/lives.rs
+++ b/tests/decisions/lives.rs
@@ -8,7 +8,7 @@
 
 fn upstream(started_ms: u64, port: u16, offset: u64) -> Upstream {
     Upstream {
-        id: UpstreamId::of_life("b", started_ms),
+        id: UpstreamId::of_incarnation("b", started_ms),
         service: ServiceName::from("s"),
         address: ([10, 0, 0, 1], port).into(),
         domain: FailureDomain::from("a"),
@@ -28,7 +28,7 @@
 
 #[test]
 fn an_id_names_an_upstream_and_one_life_of_it() {
-    let id = UpstreamId::of_life("i-7f", 1_764_720_000_123);
+    let id = UpstreamId::of_incarnation("i-7f", 1_764_720_000_123);
     assert_eq!(id.upstream(), "i-7f");
     assert_eq!(id.started_ms(), 1_764_720_000_123);
     assert_eq!(
@@ -47,9 +47,12 @@
     directory.read_to(6);
     let told = directory.changes_since(None).told;
     directory.upsert(upstream(2_000, 2, 6));
-    assert_eq!(ready(&directory), [(UpstreamId::of_life("b", 2_000), 2)]);
+    assert_eq!(
+        ready(&directory),
+        [(UpstreamId::of_incarnation("b", 2_000), 2)]
+    );
     let changes = directory.changes_since(Some(told));
-    assert_eq!(changes.gone, [UpstreamId::of_life("b", 1_000)]);
+    assert_eq!(changes.gone, [UpstreamId::of_incarnation("b", 1_000)]);
 }
 
 #[test]
@@ -60,10 +63,16 @@
     let mut late = upstream(1_000, 1, 7);
     late.draining = true;
     directory.upsert(late.clone());
-    assert_eq!(ready(&directory), [(UpstreamId::of_life("b", 2_000), 2)]);
+    assert_eq!(
+        ready(&directory),
+        [(UpstreamId::of_incarnation("b", 2_000), 2)]
+    );
     // It may have taken the place of the later life's entry, too.
     directory.replace(vec![late], 8, None);
-    assert_eq!(ready(&directory), [(UpstreamId::of_life("b", 2_000), 2)]);
+    assert_eq!(
+        ready(&directory),
+        [(UpstreamId::of_incarnation("b", 2_000), 2)]
+    );
     // Also after the later life has gone.
     directory.remove("b", 8);
     directory.upsert(upstream(1_000, 1, 9));
@@ -78,7 +87,10 @@
     directory.upsert(leaving);
     directory.remove("b", 6);
     directory.upsert(upstream(2_000, 1, 7));
-    assert_eq!(ready(&directory), [(UpstreamId::of_life("b", 2_000), 1)]);
+    assert_eq!(
+        ready(&directory),
+        [(UpstreamId::of_incarnation("b", 2_000), 1)]
+    );
 }
 
 #[test]
@@ -89,7 +101,7 @@
     own.apply(late.changes_since(None));
     own.upsert(upstream(2_000, 2, 6));
     own.apply(late.changes_since(None));
-    assert_eq!(ready(&own), [(UpstreamId::of_life("b", 2_000), 2)]);
+    assert_eq!(ready(&own), [(UpstreamId::of_incarnation("b", 2_000), 2)]);
     late.apply(own.changes_since(None));
-    assert_eq!(ready(&late), [(UpstreamId::of_life("b", 2_000), 2)]);
+    assert_eq!(ready(&late), [(UpstreamId::of_incarnation("b", 2_000), 2)]);
 }
