--- a/src/names/upstream_id.rs
+++ b/src/names/upstream_id.rs
@@ -1,7 +1,7 @@
 use super::UpstreamId;
 
 /// What stands between an upstream's id and the start of one of its lives.
-pub const LIFE_MARK: char = '~';
+pub const INCARNATION_MARK: char = '~';
 
 /// One upstream may start again under the id that it had. Each of its lives has an id
 /// of its own here, so that nothing that was learned of one is taken for another's:
@@ -10,7 +10,7 @@
     /// Returns the id of the life of an upstream that began at a time, in Unix
     /// milliseconds.
     pub fn of_incarnation(upstream: &str, started_ms: u64) -> Self {
-        Self::from(format!("{upstream}{LIFE_MARK}{started_ms:x}").as_str())
+        Self::from(format!("{upstream}{INCARNATION_MARK}{started_ms:x}").as_str())
     }
 
     /// Returns the id that all lives of the upstream have in common: the one that it
@@ -25,7 +25,7 @@
     }
 
     fn life(&self) -> Option<(&str, u64)> {
-        let (upstream, started) = self.as_str().rsplit_once(LIFE_MARK)?;
+        let (upstream, started) = self.as_str().rsplit_once(INCARNATION_MARK)?;
         Some((upstream, u64::from_str_radix(started, 16).ok()?))
     }
 }
