--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -97,7 +97,7 @@
             }
             let back = match wait {
                 QuotaWait::UsedUp(wait_ms) => Duration::from_millis(wait_ms),
-                QuotaWait::OutOfTurn => TURN_PAUSE,
+                QuotaWait::NotYetDue => TURN_PAUSE,
             };
             if BootInstant::now() + back > until {
                 return Err(Duration::from_millis(wait.retry_after_ms()));
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -275,7 +275,7 @@
         let missing = needed - self.level;
         if missing <= 0.0 {
             self.is_turn_awaited = true;
-            return Err(QuotaWait::OutOfTurn);
+            return Err(QuotaWait::NotYetDue);
         }
         let wait_s = missing / (limit.rate * (1.0 - self.unknown_part)).max(1.0);
         let wait_ms = (wait_s * 1_000.0).min(MAX_WAIT_MS) as u64 + 1;
--- a/src/policy/quota/wait.rs
+++ b/src/policy/quota/wait.rs
@@ -8,7 +8,7 @@
     UsedUp(u64),
     /// This daemon has let its part in since others last heard of it: after the
     /// next notice it may go on.
-    OutOfTurn,
+    NotYetDue,
 }
 
 impl QuotaWait {
@@ -16,7 +16,7 @@
     pub fn retry_after_ms(self) -> u64 {
         match self {
             Self::UsedUp(wait_ms) => wait_ms,
-            Self::OutOfTurn => NEXT_TURN_MS,
+            Self::NotYetDue => NEXT_TURN_MS,
         }
     }
 }
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -368,7 +368,7 @@
     account.tick(10_000.0, std::slice::from_ref(&other), &limit, 5_000);
     assert!(!account.should_announce(limit.burst));
     let wait = account.admit(30_000.0, &limit, 5_001).unwrap_err();
-    assert_eq!(wait, QuotaWait::OutOfTurn, "larger than its part");
+    assert_eq!(wait, QuotaWait::NotYetDue, "larger than its part");
     assert!((100..=300).contains(&wait.retry_after_ms()));
     assert!(
         account.should_announce(limit.burst),
@@ -380,7 +380,7 @@
     }
     assert_eq!(account.admit(30_000.0, &limit, 5_501), Ok(()));
     let wait = account.admit(30_000.0, &limit, 5_502).unwrap_err();
-    assert_eq!(wait, QuotaWait::OutOfTurn);
+    assert_eq!(wait, QuotaWait::NotYetDue);
 }
 
 #[test]
