--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -29,7 +29,7 @@
     pub(super) peers: BTreeMap<Arc<str>, Peer>,
     pub(super) index: PeerIndex,
     /// How many peers were looked at so far.
-    looked_at: Cell<u64>,
+    examined: Cell<u64>,
     /// Daemons that were told a configuration lately, by what tellers say.
     pub(super) told_config: HashMap<SocketAddr, u64>,
     pub(super) now_ms: u64,
@@ -46,7 +46,7 @@
             own_leaning: 1,
             peers: BTreeMap::new(),
             index: PeerIndex::default(),
-            looked_at: Cell::new(0),
+            examined: Cell::new(0),
             told_config: HashMap::new(),
             now_ms: 0,
             loads: RefCell::default(),
@@ -137,12 +137,12 @@
     }
 
     /// Returns how many peers this table looked at so far to answer what it was asked.
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at.get()
+    pub fn examined(&self) -> u64 {
+        self.examined.get()
     }
 
     fn note_looked_at(&self) {
-        self.looked_at.set(self.looked_at.get() + 1);
+        self.examined.set(self.examined.get() + 1);
     }
 
     /// Returns peers of the index.
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -148,8 +148,8 @@
         metrics::gauge!(CONTROL_MESSAGES, &label).set(messages as f64);
         metrics::gauge!(CONTROL_BYTES, &label).set(bytes as f64);
     }
-    let looked_at = gateway.peers.lock().looked_at();
-    metrics::gauge!(PEERS_LOOKED_AT).set(looked_at as f64);
+    let examined = gateway.peers.lock().examined();
+    metrics::gauge!(PEERS_LOOKED_AT).set(examined as f64);
     let known = gateway.directory.read().known();
     metrics::gauge!(KNOWN_UPSTREAMS).set(known as f64);
 }
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -42,10 +42,10 @@
 }
 
 /// Returns how many peers a table looks at to answer.
-fn looked_at<T>(table: &PeerTable, ask: impl FnOnce(&PeerTable) -> T) -> u64 {
-    let before = table.looked_at();
+fn examined<T>(table: &PeerTable, ask: impl FnOnce(&PeerTable) -> T) -> u64 {
+    let before = table.examined();
     ask(table);
-    table.looked_at() - before
+    table.examined() - before
 }
 
 #[test]
@@ -53,19 +53,19 @@
     for daemons in SIZES {
         let table = seed_of(daemons);
         let mut rng = ChaCha8Rng::seed_from_u64(7);
-        let named = looked_at(&table, |t| t.named_for(&domain(3), &mut rng));
+        let named = examined(&table, |t| t.named_for(&domain(3), &mut rng));
         assert!(named <= MOST_OF_DOMAIN + MOST_HUBS, "{daemons}: {named}");
-        let is_hub = looked_at(&table, |t| t.is_hub());
+        let is_hub = examined(&table, |t| t.is_hub());
         assert!(is_hub <= MOST_OF_DOMAIN, "{daemons}: {is_hub}");
-        let own_hubs = looked_at(&table, |t| t.own_hubs());
+        let own_hubs = examined(&table, |t| t.own_hubs());
         assert!(own_hubs <= MOST_OF_DOMAIN, "{daemons}: {own_hubs}");
-        let hubs = looked_at(&table, |t| t.hub_addresses());
+        let hubs = examined(&table, |t| t.hub_addresses());
         assert!(hubs <= MOST_HUBS, "{daemons}: {hubs}");
-        let known = looked_at(&table, |t| t.daemons());
+        let known = examined(&table, |t| t.daemons());
         assert!(known <= MOST_HUBS, "{daemons}: {known}");
-        let holders = looked_at(&table, |t| t.duty_daemons());
+        let holders = examined(&table, |t| t.duty_daemons());
         assert!(holders <= MOST_HUBS, "{daemons}: {holders}");
-        let wants = looked_at(&table, |t| t.wants_digest(address(9), 600));
+        let wants = examined(&table, |t| t.wants_digest(address(9), 600));
         assert!(wants <= 1, "{daemons}: {wants}");
     }
 }
@@ -74,11 +74,11 @@
 fn hearing_a_daemon_costs_the_same_in_any_fleet() {
     for daemons in SIZES {
         let mut table = seed_of(daemons);
-        let before = table.looked_at();
+        let before = table.examined();
         assert!(table.apply_report(&report(9, 2), 1_100));
         let digest = digest_of("n7", 1);
         assert!(table.apply_digest(digest, 1_100));
-        assert_eq!(table.looked_at(), before, "{daemons}");
+        assert_eq!(table.examined(), before, "{daemons}");
     }
 }
 
@@ -87,7 +87,7 @@
     let mut table = seed_of(2_000);
     table.apply_report(&report(9, 2), 10_000);
     table.tick(1, 10_000);
-    let is_hub = looked_at(&table, |t| t.is_hub());
+    let is_hub = examined(&table, |t| t.is_hub());
     assert!(is_hub <= MOST_OF_DOMAIN, "{is_hub}");
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let named = table.named_for(&domain(9), &mut rng);
