--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -25,11 +25,11 @@
 /// A daemon's questions to the hubs of its failure domain.
 #[derive(Debug, Default)]
 pub struct HubClient {
-    state: Mutex<DeskState>,
+    state: Mutex<ClientState>,
 }
 
 #[derive(Debug, Default)]
-struct DeskState {
+struct ClientState {
     last_id: u64,
     /// Questions whose requests are not counted at an upstream yet.
     open: BTreeSet<u64>,
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -17,11 +17,11 @@
 /// A daemon's questions for permits to send requests to upstreams that name a limit.
 #[derive(Debug, Default)]
 pub struct PermitClient {
-    state: Mutex<DeskState>,
+    state: Mutex<ClientState>,
 }
 
 #[derive(Debug, Default)]
-struct DeskState {
+struct ClientState {
     last_id: u64,
     waiting: HashMap<u64, oneshot::Sender<PermitAnswer>>,
     daemons: HashMap<SocketAddr, HubContact>,
