--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -49,12 +49,12 @@
 
 /// A question that is open until its request is counted, or over.
 #[derive(Debug)]
-struct OpenAsk<'a> {
+struct OpenQuery<'a> {
     desk: &'a HubClient,
     id: u64,
 }
 
-impl Drop for OpenAsk<'_> {
+impl Drop for OpenQuery<'_> {
     fn drop(&mut self) {
         let mut state = self.desk.state.lock();
         state.open.remove(&self.id);
@@ -121,7 +121,7 @@
         None
     }
 
-    fn open(&self) -> (OpenAsk<'_>, mpsc::UnboundedReceiver<ReceivedDecision>) {
+    fn open(&self) -> (OpenQuery<'_>, mpsc::UnboundedReceiver<ReceivedDecision>) {
         let (tx, rx) = mpsc::unbounded_channel();
         let mut state = self.state.lock();
         state.last_id += 1;
@@ -129,7 +129,7 @@
         state.open.insert(id);
         state.waiting.insert(id, tx);
         drop(state);
-        (OpenAsk { desk: self, id }, rx)
+        (OpenQuery { desk: self, id }, rx)
     }
 
     fn hubs_to_ask(&self, gateway: &Gateway) -> Vec<SocketAddr> {
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -29,12 +29,12 @@
 
 /// A question that is open.
 #[derive(Debug)]
-struct OpenAsk<'a> {
+struct OpenQuery<'a> {
     desk: &'a PermitClient,
     id: u64,
 }
 
-impl Drop for OpenAsk<'_> {
+impl Drop for OpenQuery<'_> {
     fn drop(&mut self) {
         self.desk.state.lock().waiting.remove(&self.id);
     }
@@ -77,7 +77,7 @@
         &self,
         issuer: SocketAddr,
         now_ms: u64,
-    ) -> Option<(OpenAsk<'_>, oneshot::Receiver<PermitAnswer>, Duration)> {
+    ) -> Option<(OpenQuery<'_>, oneshot::Receiver<PermitAnswer>, Duration)> {
         let mut state = self.state.lock();
         let contact = state.daemons.get(&issuer).copied().unwrap_or_default();
         if contact.is_avoided(now_ms) {
@@ -89,7 +89,7 @@
         state.waiting.insert(id, tx);
         let max_wait_ms = contact.timeout_ms() * PATIENCE_FACTOR;
         let max_wait = Duration::from_secs_f64(max_wait_ms / 1_000.0);
-        Some((OpenAsk { desk: self, id }, rx, max_wait))
+        Some((OpenQuery { desk: self, id }, rx, max_wait))
     }
 
     /// Takes in an answer.
