--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -22,9 +22,9 @@
 
 /// A book in which an upstream `u` has just named a limit.
 fn book_of(per_s: f64) -> LimitTable {
-    let mut quota_table = LimitTable::default();
-    assert!(quota_table.record_answer(&u("u"), named(per_s), 0, 0));
-    quota_table
+    let mut limit_table = LimitTable::default();
+    assert!(limit_table.record_answer(&u("u"), named(per_s), 0, 0));
+    limit_table
 }
 
 fn told(per_s: Option<f64>, version: u64) -> KnownLimit {
@@ -73,10 +73,10 @@
 }
 
 /// Takes whatever permits there are, many times a second.
-fn take_all(quota_table: &mut LimitTable, from_ms: u64, to_ms: u64) -> Vec<u64> {
+fn take_all(limit_table: &mut LimitTable, from_ms: u64, to_ms: u64) -> Vec<u64> {
     let times = (from_ms..to_ms).step_by(5);
     times
-        .filter(|at| quota_table.take(&u("u"), PermitShare::ALL, *at).is_ok())
+        .filter(|at| limit_table.take(&u("u"), PermitShare::ALL, *at).is_ok())
         .collect()
 }
 
@@ -93,9 +93,9 @@
 #[test]
 fn a_limit_is_used_up_and_not_exceeded() {
     for per_s in [0.25, 0.5, 1.0, 3.7, 20.0, 150.0] {
-        let mut quota_table = book_of(per_s);
+        let mut limit_table = book_of(per_s);
         // Nobody asks for a while: some permits are kept, not all.
-        let times = take_all(&mut quota_table, 30_000, 130_000);
+        let times = take_all(&mut limit_table, 30_000, 130_000);
         let most = most_in_4_s(&times) as f64;
         assert!(most <= 4.0 * per_s * 1.07 + 1.0, "{per_s}: {most}");
         assert!(
@@ -115,14 +115,14 @@
         let mut asking: Vec<LimitTable> = (0..daemons).map(|_| book_of(5.0)).collect();
         let (mut times, mut asked) = (Vec::new(), 0);
         for now_ms in (1_000..61_000).step_by(2) {
-            let quota_table = &mut asking[rng.random_range(0..daemons)];
-            if quota_table.is_used_up(&u("u"), now_ms) {
+            let limit_table = &mut asking[rng.random_range(0..daemons)];
+            if limit_table.is_used_up(&u("u"), now_ms) {
                 continue;
             }
             asked += 1;
             match issuer.take(&u("u"), PermitShare::ALL, now_ms) {
                 Ok(()) => times.push(now_ms),
-                Err(wait_ms) => quota_table.note_used_up(&u("u"), wait_ms, now_ms),
+                Err(wait_ms) => limit_table.note_used_up(&u("u"), wait_ms, now_ms),
             }
         }
         let used = times.len();
@@ -139,21 +139,21 @@
 
 #[test]
 fn a_new_limit_gives_no_permits_for_the_time_before_it() {
-    let mut quota_table = LimitTable::default();
+    let mut limit_table = LimitTable::default();
     assert_eq!(
-        quota_table.take(&u("u"), PermitShare::ALL, 60_000),
+        limit_table.take(&u("u"), PermitShare::ALL, 60_000),
         Ok(()),
         "it names none"
     );
-    quota_table.record_answer(&u("u"), named(2.0), 59_900, 60_000);
+    limit_table.record_answer(&u("u"), named(2.0), 59_900, 60_000);
     assert_eq!(
-        quota_table.take(&u("u"), PermitShare::ALL, 60_000),
+        limit_table.take(&u("u"), PermitShare::ALL, 60_000),
         Err(500)
     );
     // It is raised, and lowered again.
-    quota_table.record_answer(&u("u"), named(100.0), 60_100, 60_200);
-    quota_table.record_answer(&u("u"), named(1.0), 70_100, 70_200);
-    let times = take_all(&mut quota_table, 70_200, 74_200);
+    limit_table.record_answer(&u("u"), named(100.0), 60_100, 60_200);
+    limit_table.record_answer(&u("u"), named(1.0), 70_100, 70_200);
+    let times = take_all(&mut limit_table, 70_200, 74_200);
     assert!(
         times.len() <= 29,
         "{}: a quarter of a second's worth and 4",
@@ -163,92 +163,92 @@
 
 #[test]
 fn an_answer_that_names_none_lifts_only_what_was_named_before_its_request() {
-    let mut quota_table = book_of(1.0);
-    quota_table.record_answer(&u("u"), named(1.0), 900, 1_000);
+    let mut limit_table = book_of(1.0);
+    limit_table.record_answer(&u("u"), named(1.0), 900, 1_000);
     // Its request was sent before the limit was named last: the answer may have begun then.
-    assert!(!quota_table.record_answer(&u("u"), NamedLimit::Absent, 950, 1_100));
-    assert_eq!(quota_table.rate(&u("u")), Some(rate(1.0)));
-    assert!(!quota_table.record_answer(&u("u"), NamedLimit::Unreadable, 1_200, 1_300));
-    assert_eq!(quota_table.rate(&u("u")), Some(rate(1.0)));
-    assert!(quota_table.record_answer(&u("u"), NamedLimit::Absent, 1_200, 1_300));
-    assert_eq!(quota_table.rate(&u("u")), None);
-    assert_eq!(quota_table.take(&u("u"), PermitShare::ALL, 1_300), Ok(()));
+    assert!(!limit_table.record_answer(&u("u"), NamedLimit::Absent, 950, 1_100));
+    assert_eq!(limit_table.rate(&u("u")), Some(rate(1.0)));
+    assert!(!limit_table.record_answer(&u("u"), NamedLimit::Unreadable, 1_200, 1_300));
+    assert_eq!(limit_table.rate(&u("u")), Some(rate(1.0)));
+    assert!(limit_table.record_answer(&u("u"), NamedLimit::Absent, 1_200, 1_300));
+    assert_eq!(limit_table.rate(&u("u")), None);
+    assert_eq!(limit_table.take(&u("u"), PermitShare::ALL, 1_300), Ok(()));
     // And it may name one again.
-    assert!(quota_table.record_answer(&u("u"), named(0.5), 1_400, 1_500));
+    assert!(limit_table.record_answer(&u("u"), named(0.5), 1_400, 1_500));
     assert_eq!(
-        quota_table.take(&u("u"), PermitShare::ALL, 1_500),
+        limit_table.take(&u("u"), PermitShare::ALL, 1_500),
         Err(2_000)
     );
 }
 
 #[test]
 fn one_that_takes_nothing_is_asked_now_and_then_whether_that_has_changed() {
-    let mut quota_table = book_of(0.0);
-    let times = take_all(&mut quota_table, 0, 60_000);
+    let mut limit_table = book_of(0.0);
+    let times = take_all(&mut limit_table, 0, 60_000);
     assert!((13..=16).contains(&times.len()), "{}", times.len());
 }
 
 #[test]
 fn of_what_daemons_tell_the_newest_counts() {
-    let mut quota_table = LimitTable::default();
+    let mut limit_table = LimitTable::default();
     assert!(
-        !quota_table.apply(&told(None, 4), None, 5_000),
+        !limit_table.apply(&told(None, 4), None, 5_000),
         "nothing was known of any"
     );
-    assert!(quota_table.apply(&told(Some(2.0), 5), None, 5_000));
+    assert!(limit_table.apply(&told(Some(2.0), 5), None, 5_000));
     assert!(
-        !quota_table.apply(&told(Some(1.0), 4), None, 5_000),
+        !limit_table.apply(&told(Some(1.0), 4), None, 5_000),
         "older"
     );
-    assert_eq!(quota_table.rate(&u("u")), Some(rate(2.0)));
-    assert!(quota_table.apply(&told(None, 6), None, 5_000));
+    assert_eq!(limit_table.rate(&u("u")), Some(rate(2.0)));
+    assert!(limit_table.apply(&told(None, 6), None, 5_000));
     assert!(
-        !quota_table.apply(&told(Some(2.0), 5), None, 5_000),
+        !limit_table.apply(&told(Some(2.0), 5), None, 5_000),
         "told again"
     );
-    assert_eq!(quota_table.rate(&u("u")), None);
+    assert_eq!(limit_table.rate(&u("u")), None);
     assert!(
-        quota_table.apply(&told(Some(3.0), 6), None, 5_000),
+        limit_table.apply(&told(Some(3.0), 6), None, 5_000),
         "both at once: the lower"
     );
-    assert!(!quota_table.apply(&told(Some(4.0), 6), None, 5_000));
+    assert!(!limit_table.apply(&told(Some(4.0), 6), None, 5_000));
     // The next answer counts, whatever it says.
-    assert!(quota_table.record_answer(&u("u"), named(9.0), 5_000, 5_100));
-    assert_eq!(quota_table.known(&u("u"), 5_100).unwrap().version, 7);
+    assert!(limit_table.record_answer(&u("u"), named(9.0), 5_000, 5_100));
+    assert_eq!(limit_table.known(&u("u"), 5_100).unwrap().version, 7);
 }
 
 /// A word of an earlier answer is on its way for long, and comes back by others: it looks
 /// as young as it was when it was sent off last.
 #[test]
 fn a_word_that_was_long_on_its_way_is_no_news() {
-    let mut quota_table = book_of(1.0);
-    let word = quota_table.known(&u("u"), 0).unwrap();
-    assert!(quota_table.record_answer(&u("u"), NamedLimit::Absent, 50, 100));
-    assert!(!quota_table.apply(&word, Some(true), 5_000));
-    assert_eq!(quota_table.rate(&u("u")), None);
+    let mut limit_table = book_of(1.0);
+    let word = limit_table.known(&u("u"), 0).unwrap();
+    assert!(limit_table.record_answer(&u("u"), NamedLimit::Absent, 50, 100));
+    assert!(!limit_table.apply(&word, Some(true), 5_000));
+    assert_eq!(limit_table.rate(&u("u")), None);
 }
 
 #[test]
 fn who_hears_something_older_tells_what_is_newer() {
-    let mut quota_table = LimitTable::default();
-    quota_table.apply(&told(Some(2.0), 5), None, 5_000);
+    let mut limit_table = LimitTable::default();
+    limit_table.apply(&told(Some(2.0), 5), None, 5_000);
     assert!(
-        quota_table.to_announce(9, 5_000).hubs.is_empty(),
+        limit_table.to_announce(9, 5_000).hubs.is_empty(),
         "it passes nothing on"
     );
-    quota_table.apply(&told(Some(2.0), 4), None, 5_000);
+    limit_table.apply(&told(Some(2.0), 4), None, 5_000);
     assert!(
-        quota_table.to_announce(9, 5_000).hubs.is_empty(),
+        limit_table.to_announce(9, 5_000).hubs.is_empty(),
         "they say the same"
     );
-    quota_table.apply(&told(Some(7.0), 4), None, 5_000);
-    assert_eq!(quota_table.to_announce(9, 5_000).hubs, [told(Some(2.0), 5)]);
+    limit_table.apply(&told(Some(7.0), 4), None, 5_000);
+    assert_eq!(limit_table.to_announce(9, 5_000).hubs, [told(Some(2.0), 5)]);
 }
 
 #[test]
 fn news_are_told_some_times_and_passed_on_as_far_as_they_have_to() {
-    let mut quota_table = book_of(1.0);
-    let tellings = (0..9).filter(|_| !quota_table.to_announce(9, 0).hubs.is_empty());
+    let mut limit_table = book_of(1.0);
+    let tellings = (0..9).filter(|_| !limit_table.to_announce(9, 0).hubs.is_empty());
     assert_eq!(tellings.count(), 4);
     let mut hub = LimitTable::default();
     hub.apply(&told(Some(1.0), 1), Some(false), 0);
@@ -258,20 +258,20 @@
 
 #[test]
 fn what_is_over_is_forgotten() {
-    let mut quota_table = book_of(1.0);
-    quota_table.tick(3_600_000);
+    let mut limit_table = book_of(1.0);
+    limit_table.tick(3_600_000);
     assert_eq!(
-        quota_table.in_force(3_600_000).len(),
+        limit_table.in_force(3_600_000).len(),
         1,
         "for as long as it says so"
     );
-    quota_table.record_answer(&u("u"), NamedLimit::Absent, 3_600_000, 3_600_100);
-    assert!(quota_table.in_force(3_600_100).is_empty());
-    quota_table.tick(3_661_000);
-    assert!(quota_table.is_empty());
-    let mut quota_table = book_of(1.0);
-    quota_table.retain(|id| *id != u("u"));
-    assert!(quota_table.is_empty(), "an upstream that is gone");
+    limit_table.record_answer(&u("u"), NamedLimit::Absent, 3_600_000, 3_600_100);
+    assert!(limit_table.in_force(3_600_100).is_empty());
+    limit_table.tick(3_661_000);
+    assert!(limit_table.is_empty());
+    let mut limit_table = book_of(1.0);
+    limit_table.retain(|id| *id != u("u"));
+    assert!(limit_table.is_empty(), "an upstream that is gone");
 }
 
 /// Datagrams get lost, come twice and in any order: once no answer comes any more, all
@@ -292,12 +292,12 @@
                 books[at].record_answer(&u("u"), named_now, now_ms, now_ms);
                 last = Some(books[at].rate(&u("u")));
             }
-            for (from, quota_table) in books.iter_mut().enumerate() {
-                for known in quota_table
+            for (from, limit_table) in books.iter_mut().enumerate() {
+                for known in limit_table
                     .to_announce(9, now_ms)
                     .hubs
                     .into_iter()
-                    .chain(quota_table.in_force(now_ms))
+                    .chain(limit_table.in_force(now_ms))
                 {
                     let to = rng.random_range(0..6);
                     if to != from && rng.random_bool(0.8) {
@@ -325,13 +325,13 @@
 #[test]
 fn room_is_left_for_what_others_send_without_permits() {
     for (others, own) in [(0.0, 300), (3.0, 120), (4.9, 15), (50.0, 15)] {
-        let mut quota_table = book_of(5.0);
+        let mut limit_table = book_of(5.0);
         let share = PermitShare {
             part: 1.0,
             unaware_per_s: others,
         };
         let times = (0..60_000).step_by(5);
-        let taken = times.filter(|at| quota_table.take(&u("u"), share, *at).is_ok());
+        let taken = times.filter(|at| limit_table.take(&u("u"), share, *at).is_ok());
         let taken = taken.count();
         assert!(
             taken.abs_diff(own) <= 3,
@@ -349,10 +349,10 @@
     };
     let mut taken = 0;
     for _ in 0..6 {
-        let mut quota_table = book_of(3.0);
+        let mut limit_table = book_of(3.0);
         let times = (0..60_000).step_by(5);
         taken += times
-            .filter(|at| quota_table.take(&u("u"), share, *at).is_ok())
+            .filter(|at| limit_table.take(&u("u"), share, *at).is_ok())
             .count();
     }
     assert!((170..=182).contains(&taken), "{taken} of 180");
