--- a/src/policy/rests/mod.rs
+++ b/src/policy/rests/mod.rs
@@ -2,6 +2,6 @@
 
 mod cooldown_table;
 mod reported_cooldowns;
-mod rest_time;
+mod retry_after;
 
-pub use {cooldown_table::*, reported_cooldowns::*, rest_time::*};
+pub use {cooldown_table::*, reported_cooldowns::*, retry_after::*};
