--- a/src/cluster/hubs/cooldowns_part.rs
+++ b/src/cluster/hubs/cooldowns_part.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CooldownsPart {
     /// The upstreams.
-    pub rests: Vec<AnnouncedCooldown>,
+    pub cooldowns: Vec<AnnouncedCooldown>,
 }
 
 /// How much rest an upstream wants of the daemon that tells it.
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -129,8 +129,8 @@
     };
     report.events = gateway.events.lock().to_announce(events);
     let mut packet = report_packet(report);
-    if let Some(rests) = gateway.cooldowns_to_announce() {
-        packet = packet.with(Extension::Rests(rests));
+    if let Some(cooldowns) = gateway.cooldowns_to_announce() {
+        packet = packet.with(Extension::Rests(cooldowns));
     }
     gateway.send_packet(&packet, hub).await;
     let counted = gateway.hub_client.counted();
--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -24,7 +24,7 @@
     /// Notes that an upstream asked this daemon for rest.
     pub(super) fn note_rest(&self, id: &UpstreamId, rest: Duration) {
         let now_ms = self.steady_ms();
-        self.rests.lock().note(id, rest, now_ms);
+        self.cooldowns.lock().note(id, rest, now_ms);
         let own = &self.settings.node.name;
         self.reported_cooldowns.lock().apply(own, id, rest, now_ms);
         self.report_early.notify_one();
@@ -33,14 +33,14 @@
     /// Returns whether an upstream wants nothing from this daemon now.
     pub fn is_in_cooldown(&self, id: &UpstreamId) -> bool {
         let now_ms = self.steady_ms();
-        self.rests.lock().is_in_cooldown(id, now_ms)
+        self.cooldowns.lock().is_in_cooldown(id, now_ms)
     }
 
     /// Returns the upstreams that want nothing from this daemon now.
     pub(super) fn in_cooldown(&self) -> Vec<UpstreamId> {
         let now_ms = self.steady_ms();
-        let rests = self.rests.lock();
-        rests
+        let cooldowns = self.cooldowns.lock();
+        cooldowns
             .in_cooldown(now_ms)
             .map(|(id, _)| id.clone())
             .collect()
@@ -58,13 +58,13 @@
     pub fn cooldowns_to_announce(&self) -> Option<CooldownsPart> {
         let now_ms = self.steady_ms();
         let told: Vec<AnnouncedCooldown> = {
-            let rests = self.rests.lock();
-            let told = rests.in_cooldown(now_ms);
+            let cooldowns = self.cooldowns.lock();
+            let told = cooldowns.in_cooldown(now_ms);
             told.map(|(id, left)| AnnouncedCooldown::of(id, left))
                 .collect()
         };
-        let rests = self.draw_some(told, MAX_TOLD);
-        (!rests.is_empty()).then_some(CooldownsPart { rests })
+        let cooldowns = self.draw_some(told, MAX_TOLD);
+        (!cooldowns.is_empty()).then_some(CooldownsPart { cooldowns })
     }
 
     /// Takes in what upstreams want of a daemon that this one places for.
@@ -72,7 +72,7 @@
         let now_ms = self.steady_ms();
         let daemon = BoxId::from(daemon);
         let mut told = self.reported_cooldowns.lock();
-        for rest in &part.rests {
+        for rest in &part.cooldowns {
             let id = UpstreamId::from(rest.upstream.as_str());
             told.apply(&daemon, &id, rest.left(), now_ms);
         }
@@ -83,10 +83,13 @@
     pub(super) fn rests_wait(&self, service: &ServiceName) -> Option<Duration> {
         let ready = self.directory.read().ready_list(service);
         let now_ms = self.steady_ms();
-        let rests = self.rests.lock();
-        let left = ready.upstreams.iter().map(|u| rests.left(&u.id, now_ms));
+        let cooldowns = self.cooldowns.lock();
+        let left = ready
+            .upstreams
+            .iter()
+            .map(|u| cooldowns.left(&u.id, now_ms));
         let left = left.collect::<Option<Vec<Duration>>>()?;
-        drop(rests);
+        drop(cooldowns);
         let first = left.into_iter().min()?;
         let drawn = self.draw() as f64 / u64::MAX as f64;
         let wait = first.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
@@ -97,6 +100,6 @@
     pub(super) fn tick_rests(&self, is_known: impl Fn(&UpstreamId) -> bool) {
         let now_ms = self.steady_ms();
         self.reported_cooldowns.lock().retain(&is_known, now_ms);
-        self.rests.lock().retain(is_known, now_ms);
+        self.cooldowns.lock().retain(is_known, now_ms);
     }
 }
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -56,7 +56,7 @@
     /// How much upstreams take that say so.
     pub limits: Mutex<LimitTable>,
     /// Upstreams that want nothing from this daemon for a while.
-    pub rests: Mutex<CooldownTable>,
+    pub cooldowns: Mutex<CooldownTable>,
     /// What upstreams want of this daemon and of those that it places for.
     pub reported_cooldowns: Mutex<ReportedCooldowns>,
     /// Upstreams whose answers said that they leave, as far as others are to be told.
@@ -162,7 +162,7 @@
             directory: RwLock::default(),
             loads: Mutex::default(),
             limits: Mutex::default(),
-            rests: Mutex::default(),
+            cooldowns: Mutex::default(),
             reported_cooldowns: Mutex::default(),
             leaving_queue: Mutex::default(),
             permit_client: PermitClient::default(),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,6 +2,7 @@
 
 mod admission;
 mod clients;
+mod cooldowns;
 mod copies;
 mod duties;
 mod engines;
@@ -12,11 +13,10 @@
 mod quarantine;
 mod quota;
 mod reclaim;
-mod rests;
 mod retries;
 mod sources;
 
 pub use {
-    admission::*, clients::*, copies::*, duties::*, engines::*, fleet::*, hubs::*, limits::*,
-    placement::*, quarantine::*, quota::*, reclaim::*, rests::*, retries::*, sources::*,
+    admission::*, clients::*, cooldowns::*, copies::*, duties::*, engines::*, fleet::*, hubs::*,
+    limits::*, placement::*, quarantine::*, quota::*, reclaim::*, retries::*, sources::*,
 };
