--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -64,10 +64,10 @@
     let back_link = !knows(world, &news.from);
     take_facts(world, &news);
     follow_table(world, &news);
-    let mut reply = news_for(world, &mut Told::default(), None);
+    let mut reply = reply_to(world, &mut Told::default(), None);
     if back_link {
         // The caller is new here: it gets all that is known.
-        reply = news_for(world, &mut Told::default(), Some(USUAL_LINKS));
+        reply = reply_to(world, &mut Told::default(), Some(USUAL_LINKS));
     }
     reply
 }
@@ -87,7 +87,7 @@
     links: usize,
 ) -> (SocketAddr, Option<Told>) {
     let mut now_told = told;
-    let call = PeerCall::Heartbeat(news_for(world, &mut now_told, Some(links)));
+    let call = PeerCall::Heartbeat(reply_to(world, &mut now_told, Some(links)));
     let client = world.links.client(addr);
     match client.call(&call, HEARTBEAT_TIMEOUT).await {
         Ok(PeerReply::Heartbeat(news)) => {
@@ -107,7 +107,7 @@
 
 /// Returns the news for one of so many links, and moves its place on; without
 /// links only the sign of life and the table's place.
-fn news_for(world: &World, told: &mut Told, links: Option<usize>) -> HeartbeatPayload {
+fn reply_to(world: &World, told: &mut Told, links: Option<usize>) -> HeartbeatPayload {
     let mut facts = Vec::new();
     let mut loads = Vec::new();
     let boxes = world.boxes.read();
--- a/src/cluster/feed/teller.rs
+++ b/src/cluster/feed/teller.rs
@@ -32,7 +32,7 @@
         async move {
             match request.uri().path() {
                 UPDATE_PATH => news.answer(request, FeedServer::update_for).await,
-                NEWS_PATH => news.answer(request, FeedServer::news_for).await,
+                NEWS_PATH => news.answer(request, FeedServer::reply_to).await,
                 CONFIG_PATH => configs.answer(request).await,
                 _ => local_response(StatusCode::NOT_FOUND, "no such path"),
             }
@@ -148,7 +148,7 @@
         Ok((news.told, news.is_complete, packed))
     }
 
-    fn news_for(&self, ask: FeedQuery) -> Result<FeedReply, FeedError> {
+    fn reply_to(&self, ask: FeedQuery) -> Result<FeedReply, FeedError> {
         let gateway = &self.gateway;
         let config_position = *gateway.config_position.lock();
         let (config_version, config) = self.config_for(ask);
