--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -50,7 +50,7 @@
             lack.record_deferred(gateway.steady_ms());
             let mut peers = gateway.peers.lock();
             for holder in told {
-                peers.hear_config(holder, version);
+                peers.apply_peer_config(holder, version);
             }
         }
         Ok(ConfigAnswer::Config { packed, position }) => {
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -217,7 +217,7 @@
         }
         // What was told just now isn't asked for.
         let version = heard.config_version;
-        self.gateway.peers.lock().hear_config(daemon, version);
+        self.gateway.peers.lock().apply_peer_config(daemon, version);
         self.gateway.record_newest_config(version);
         self.gateway.apply_rollouts(&heard.rollouts);
         self.gateway
--- a/src/cluster/membership/peer_sources.rs
+++ b/src/cluster/membership/peer_sources.rs
@@ -40,7 +40,7 @@
     }
 
     /// Takes in that a daemon has a version of the configuration, or will soon.
-    pub fn hear_config(&mut self, address: SocketAddr, version: u64) {
+    pub fn apply_peer_config(&mut self, address: SocketAddr, version: u64) {
         let told = self.told_config.entry(address).or_default();
         *told = version.max(*told);
         let newest = self.told_config.values().copied().max();
--- a/tests/decisions/config_spread.rs
+++ b/tests/decisions/config_spread.rs
@@ -94,10 +94,10 @@
     let mut table = table_in("a");
     table.apply_digest(digest("n1", "a", 1, 8), 0);
     table.apply_digest(digest("n2", "a", 2, 7), 0);
-    table.hear_config(([10, 0, 0, 1], 2).into(), 8);
+    table.apply_peer_config(([10, 0, 0, 1], 2).into(), 8);
     assert_eq!(ports(&table, 7), [1, 2]);
     // Also one that doesn't talk to this daemon.
-    table.hear_config(([10, 0, 0, 1], 9).into(), 8);
+    table.apply_peer_config(([10, 0, 0, 1], 9).into(), 8);
     assert_eq!(ports(&table, 7), [1, 2, 9]);
 }
 
