--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -78,7 +78,7 @@
 ) -> Result<(Parts, Bytes), SendFailure> {
     let whole = async {
         let mut sent = send(gateway, context, placement, None).await?;
-        let body = sent.answer.read_whole(MAX_WHOLE_ANSWER).await?;
+        let body = sent.answer.read_all(MAX_WHOLE_ANSWER).await?;
         sent.active.ended_whole();
         Ok((sent.answer.head.clone(), body))
     };
--- a/src/peer/peer_client.rs
+++ b/src/peer/peer_client.rs
@@ -47,7 +47,7 @@
         let body = encode(call)?;
         let exchange = async {
             let mut stream = self.open("call", body).await?;
-            let bytes = read_whole(&mut stream).await?;
+            let bytes = read_all(&mut stream).await?;
             decode(&bytes)
         };
         self.or_forget(timeout(within, exchange).await).await
--- a/src/peer/peer_server.rs
+++ b/src/peer/peer_server.rs
@@ -103,7 +103,7 @@
         return refuse(&mut rep, StatusCode::NOT_FOUND);
     }
     let mut body = req.into_body();
-    let bytes = match timeout(READ_TIMEOUT, read_whole(&mut body)).await {
+    let bytes = match timeout(READ_TIMEOUT, read_all(&mut body)).await {
         Ok(Ok(bytes)) => bytes,
         Ok(Err(PeerError::TooLarge(_))) => return refuse(&mut rep, StatusCode::PAYLOAD_TOO_LARGE),
         Ok(Err(e)) => return Err(e),
@@ -155,7 +155,7 @@
 /// # Errors
 ///
 /// Returns [`PeerError::TooLarge`] as soon as the bound is passed.
-pub async fn read_whole(stream: &mut RecvStream) -> Result<Bytes, PeerError> {
+pub async fn read_all(stream: &mut RecvStream) -> Result<Bytes, PeerError> {
     let mut buf = BytesMut::new();
     while let Some(data) = stream.data().await {
         let data = data?;
--- a/src/upstreams/exchange.rs
+++ b/src/upstreams/exchange.rs
@@ -83,7 +83,7 @@
     ///
     /// Returns [`SendFailure::MayHaveRun`] or [`SendFailure::CutOff`] if it breaks off or is
     /// too large.
-    pub async fn read_whole(&mut self, most: usize) -> Result<Bytes, SendFailure> {
+    pub async fn read_all(&mut self, most: usize) -> Result<Bytes, SendFailure> {
         let mut whole = bytes::BytesMut::new();
         while let Some(piece) = self.next_piece().await {
             whole.extend_from_slice(&piece?);
