--- a/src/policy/engines/cache_memory.rs
+++ b/src/policy/engines/cache_memory.rs
@@ -1,7 +1,7 @@
 use {crate::names::UpstreamId, std::collections::HashMap};
 
 /// For how long a prompt part is taken as kept, in milliseconds.
-const KEPT_MS: u64 = 15_000;
+const RETENTION_MS: u64 = 15_000;
 
 /// Which prompt parts this daemon has sent where lately: a hint of what engines
 /// have at hand. Kept by part, since few upstreams have a given one: a choice looks
@@ -31,7 +31,7 @@
         let mut kept = HashMap::new();
         for (before, part) in parts.enumerate() {
             let sent = self.sent.get(&part).into_iter().flatten();
-            for (id, _) in sent.filter(|(_, at_ms)| now_ms < **at_ms + KEPT_MS) {
+            for (id, _) in sent.filter(|(_, at_ms)| now_ms < **at_ms + RETENTION_MS) {
                 match kept.get_mut(id) {
                     Some(count) if *count == before => *count += 1,
                     None if before == 0 => {
@@ -48,7 +48,7 @@
     /// know.
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId) -> bool, now_ms: u64) {
         for sent in self.sent.values_mut() {
-            sent.retain(|id, at_ms| now_ms < *at_ms + KEPT_MS && is_known(id));
+            sent.retain(|id, at_ms| now_ms < *at_ms + RETENTION_MS && is_known(id));
         }
         self.sent.retain(|_, sent| !sent.is_empty());
     }
