--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -9,7 +9,7 @@
 
 /// How many upstreams a report names at most that want rest: with them it stays below the
 /// size of one datagram, and the next one names others.
-const MAX_TOLD: usize = 16;
+const MAX_ANNOUNCED: usize = 16;
 /// The least and the most that a client is told to wait where all upstreams of its service
 /// rest: below, it is back with the requests that were turned away; above, upstreams that
 /// come meanwhile would be left idle.
@@ -63,7 +63,7 @@
             told.map(|(id, left)| AnnouncedCooldown::of(id, left))
                 .collect()
         };
-        let cooldowns = self.draw_some(told, MAX_TOLD);
+        let cooldowns = self.draw_some(told, MAX_ANNOUNCED);
         (!cooldowns.is_empty()).then_some(CooldownsPart { cooldowns })
     }
 
--- a/src/rollouts/rollout_table.rs
+++ b/src/rollouts/rollout_table.rs
@@ -12,7 +12,7 @@
 const UNPROVED_SHARE: f32 = 0.3;
 
 /// How many roll-outs are told: with more a digest might not fit into a datagram.
-const MAX_TOLD: usize = 4;
+const MAX_ANNOUNCED: usize = 4;
 
 /// Which upstreams of a service may get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
         });
         let mut told: Vec<_> = told.collect();
         told.sort_by_key(|rollout| std::cmp::Reverse(rollout.order));
-        told.truncate(MAX_TOLD);
+        told.truncate(MAX_ANNOUNCED);
         told
     }
 
