--- a/src/clock/suspension.rs
+++ b/src/clock/suspension.rs
@@ -9,7 +9,7 @@
 
 /// How often is looked whether the machine was suspended: so much later than its time a
 /// deadline is noticed at most that passed meanwhile.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// By how much the two clocks may drift apart between two looks without a suspension, in
 /// milliseconds: they are read one after the other, and a thread may be held up in between.
 const DRIFT_MS: u64 = 100;
@@ -44,7 +44,7 @@
             log::warn!(target: "clock", "the machine was suspended. for_ms={suspended_ms}");
             announce_resume();
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
--- a/src/cluster/crashes/quarantine_keeper.rs
+++ b/src/cluster/crashes/quarantine_keeper.rs
@@ -8,7 +8,7 @@
 };
 
 /// How often is looked whether something has to be written.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// How many records are written after one look, those of the most suspected requests
 /// first: four a second from each daemon while upstreams end, less than half of the calls
 /// that the platform takes from the daemons of each deployment that is designed for.
@@ -62,7 +62,7 @@
 
 async fn write_news(gateway: &Gateway, records: &dyn QuarantineRecords) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if let Err(e) = write_due(gateway, records).await {
             log::info!(target: "crash", "held request not written. error=\"{e}\"");
             tokio::time::sleep(FAILURE_PAUSE).await;
--- a/src/gateway/follow_file.rs
+++ b/src/gateway/follow_file.rs
@@ -11,7 +11,7 @@
     },
 };
 
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A file of routes and upstreams.
 #[derive(Clone, Debug, Default, Deserialize)]
@@ -80,6 +80,6 @@
             }
             Err(_) => {}
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
