--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -45,7 +45,7 @@
 impl Drop for BusyConnection {
     fn drop(&mut self) {
         let now_ms = self.gateway.steady_ms();
-        self.activity.lock().end_request(now_ms);
+        self.activity.lock().finish_request(now_ms);
     }
 }
 
--- a/src/policy/clients/activity.rs
+++ b/src/policy/clients/activity.rs
@@ -74,7 +74,7 @@
     }
 
     /// Notes that a request's answer has ended.
-    pub fn end_request(&mut self, now_ms: u64) {
+    pub fn finish_request(&mut self, now_ms: u64) {
         self.answering = self.answering.saturating_sub(1);
         self.rests_since_ms = now_ms;
     }
--- a/tests/decisions/clients.rs
+++ b/tests/decisions/clients.rs
@@ -9,7 +9,7 @@
 fn a_connection_that_rests_is_closed_at_once() {
     let mut activity = ClientActivity::new(0);
     activity.begin_request();
-    activity.end_request(1_000);
+    activity.finish_request(1_000);
     for reason in [STOP, IDLE] {
         let step = activity.close_step(reason, false, 5_000, 5_000);
         assert_eq!(step, CloseStep::Close);
@@ -40,7 +40,7 @@
         CloseStep::Wait
     );
     unused.begin_request();
-    unused.end_request(10_950);
+    unused.finish_request(10_950);
     assert_eq!(
         unused.close_step(STOP, false, 10_000, 11_400),
         CloseStep::Close
@@ -57,7 +57,7 @@
     );
     let mut answered = ClientActivity::new(0);
     answered.begin_request();
-    answered.end_request(12_000);
+    answered.finish_request(12_000);
     assert_eq!(
         answered.close_step(STOP, false, 10_000, 12_100),
         CloseStep::Wait
@@ -76,7 +76,7 @@
         CloseStep::Wait
     );
     activity.begin_request();
-    activity.end_request(10_050);
+    activity.finish_request(10_050);
     assert_eq!(
         activity.close_step(IDLE, false, 10_000, 10_060),
         CloseStep::Stay
@@ -88,7 +88,7 @@
     let mut activity = ClientActivity::new(0);
     activity.begin_request();
     activity.record_bytes();
-    activity.end_request(1_000);
+    activity.finish_request(1_000);
     assert_eq!(
         activity.close_step(STOP, false, 5_000, 5_000),
         CloseStep::Close
