--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -50,7 +50,7 @@
     /// too, as long as there are others.
     pub(super) fn resting_for_many(&self) -> Vec<UpstreamId> {
         let now_ms = self.steady_ms();
-        self.reported_cooldowns.lock().asked_of_many(now_ms)
+        self.reported_cooldowns.lock().in_cooldown_for_many(now_ms)
     }
 
     /// Returns what to tell the hub that places for this daemon; nothing, if no upstream
--- a/src/policy/cooldowns/reported_cooldowns.rs
+++ b/src/policy/cooldowns/reported_cooldowns.rs
@@ -25,7 +25,7 @@
     /// Returns the upstreams that want rest of so many daemons that it is no matter of one.
     /// Without this, each daemon of many with few requests each would learn it by a request
     /// turned away.
-    pub fn asked_of_many(&self, now_ms: u64) -> Vec<UpstreamId> {
+    pub fn in_cooldown_for_many(&self, now_ms: u64) -> Vec<UpstreamId> {
         let mut asked: HashMap<&UpstreamId, usize> = HashMap::new();
         let in_cooldown = self.by_daemon.values().flat_map(|b| b.in_cooldown(now_ms));
         for (id, _) in in_cooldown {
--- a/tests/decisions/rests.rs
+++ b/tests/decisions/rests.rs
@@ -75,13 +75,13 @@
     let mut told = ReportedCooldowns::default();
     told.apply(&one, &id("a"), seconds(3.0), 0);
     told.apply(&one, &id("a"), seconds(2.0), 100);
-    assert!(told.asked_of_many(200).is_empty());
+    assert!(told.in_cooldown_for_many(200).is_empty());
     told.apply(&other, &id("a"), seconds(1.0), 200);
-    assert_eq!(told.asked_of_many(300), [id("a")]);
+    assert_eq!(told.in_cooldown_for_many(300), [id("a")]);
     // Over for one of the two.
-    assert!(told.asked_of_many(1_200).is_empty());
+    assert!(told.in_cooldown_for_many(1_200).is_empty());
     told.apply(&other, &id("a"), seconds(9.0), 1_200);
-    assert_eq!(told.asked_of_many(1_300), [id("a")]);
+    assert_eq!(told.in_cooldown_for_many(1_300), [id("a")]);
     told.retain(|_| true, 5_000);
-    assert!(told.asked_of_many(1_300).is_empty(), "forgotten");
+    assert!(told.in_cooldown_for_many(1_300).is_empty(), "forgotten");
 }
