--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -80,7 +80,7 @@
 
     /// Returns when a client may come back whose service's upstreams all rest: when the
     /// first of them takes requests again, or a little later.
-    pub(super) fn rests_wait(&self, service: &ServiceName) -> Option<Duration> {
+    pub(super) fn cooldown_wait(&self, service: &ServiceName) -> Option<Duration> {
         let ready = self.directory.read().ready_list(service);
         let now_ms = self.steady_ms();
         let cooldowns = self.cooldowns.lock();
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -272,7 +272,7 @@
 
     /// Returns when a client may come back whose request no upstream takes now.
     fn upstreams_wait(&self, service: &ServiceName) -> Duration {
-        let wait = self.rests_wait(service);
+        let wait = self.cooldown_wait(service);
         let wait = wait.or_else(|| self.limits_wait(service));
         wait.unwrap_or(SHORT_RETRY_AFTER)
     }
