--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -154,12 +154,12 @@
     placement: &Placement,
 ) -> Result<UpstreamConnection, SendFailure> {
     let upstream = &placement.upstream;
-    let max_rest = match context.route.is_repeatable() {
+    let max_idle = match context.route.is_repeatable() {
         _ if placement.is_repeat => Duration::ZERO,
         true => ANY_REST,
         false => FRESH,
     };
-    if let Some(connection) = gateway.pool.take(&upstream.id, max_rest) {
+    if let Some(connection) = gateway.pool.take(&upstream.id, max_idle) {
         return Ok(connection);
     }
     let timeout = CONNECT_TIMEOUT.min(context.time_left());
--- a/src/upstreams/upstream_pool.rs
+++ b/src/upstreams/upstream_pool.rs
@@ -55,15 +55,15 @@
 }
 
 impl UpstreamPool {
-    /// Takes a connection that has rested for less than `max_rest`.
-    pub fn take(&self, id: &UpstreamId, max_rest: Duration) -> Option<UpstreamConnection> {
+    /// Takes a connection that has rested for less than `max_idle`.
+    pub fn take(&self, id: &UpstreamId, max_idle: Duration) -> Option<UpstreamConnection> {
         let mut idle = self.idle.lock();
         let rested = idle.get_mut(id)?;
         let now = BootInstant::now();
         while let Some(entry) = rested.pop() {
             let connection = entry.connection;
             let usable = connection.sender.is_ready() && !connection.sender.is_closed();
-            if usable && now < entry.until && now - entry.since < max_rest {
+            if usable && now < entry.until && now - entry.since < max_idle {
                 return Some(connection);
             }
         }
