--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -128,7 +128,7 @@
         };
         match self.ask(daemon).await {
             Ok(heard) => {
-                let stale_ms = self.gateway.pace.stale_ms();
+                let stale_ms = self.gateway.read_schedule.stale_ms();
                 let is_stale = heard.source_age_ms.is_none_or(|age| age > stale_ms);
                 self.take_in(daemon, heard);
                 match is_stale {
--- a/src/cluster/feed/state_source.rs
+++ b/src/cluster/feed/state_source.rs
@@ -28,7 +28,7 @@
         let own_rank = peers.own().rank();
         let domain = peers.domain_daemons();
         let newest_config = peers.newest_config();
-        let others = peers.best_informed(gateway.pace.stale_ms());
+        let others = peers.best_informed(gateway.read_schedule.stale_ms());
         drop(peers);
         if others.is_empty() && domain.is_empty() && awaits_seeds(gateway) {
             return Self::Unknown;
@@ -36,7 +36,7 @@
         if let Some(version) = newest_config {
             gateway.record_newest_config(version);
         }
-        let role = source_role(own_rank, &domain, gateway.pace.readers);
+        let role = source_role(own_rank, &domain, gateway.read_schedule.readers);
         if let Some(daemon) = role.next(tries, &others) {
             return Self::Daemon(daemon);
         }
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -115,7 +115,7 @@
     /// The contact with the source of configuration and upstreams.
     pub source: Mutex<SourceContact>,
     /// How often the source is read.
-    pub pace: SourceReadSchedule,
+    pub read_schedule: SourceReadSchedule,
     /// Whether this daemon reads the source itself.
     pub reads_source: watch::Sender<bool>,
     /// Rises with each change of configuration or upstreams.
@@ -154,7 +154,7 @@
             address: settings.listen.peers,
         };
         Self {
-            pace: SourceReadSchedule::for_bound(settings.bounds.drain_ms),
+            read_schedule: SourceReadSchedule::for_bound(settings.bounds.drain_ms),
             crashes: Mutex::new(CrashTable::new(settings.bounds.quarantine)),
             settings,
             names,
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -169,14 +169,16 @@
         let Some(entry) = self.upstreams.get_mut(id).filter(|e| e.rate.is_some()) else {
             return Ok(());
         };
-        let pace = share.of(entry.pace()).max(LEAST_PER_S * share.part);
-        match entry.permits.take(pace, now_ms) {
+        let read_schedule = share
+            .of(entry.read_schedule())
+            .max(LEAST_PER_S * share.part);
+        match entry.permits.take(read_schedule, now_ms) {
             Ok(()) => {
                 entry.in_line = 0;
                 Ok(())
             }
             Err(next_ms) => {
-                let line_ms = f64::from(entry.in_line) / pace * 1_000.0;
+                let line_ms = f64::from(entry.in_line) / read_schedule * 1_000.0;
                 entry.in_line += 1;
                 let wait_ms = (next_ms + line_ms).min(next_ms.max(MAX_LINE_MS));
                 Err(wait_ms.ceil() as u64)
@@ -244,7 +246,7 @@
 impl Entry {
     fn change(&mut self, rate: Option<RequestRate>, at_ms: u64, now_ms: u64) {
         match self.rate {
-            Some(_) => self.permits.refill(self.pace(), now_ms),
+            Some(_) => self.permits.refill(self.read_schedule(), now_ms),
             None => self.permits = PermitBucket::new(now_ms),
         }
         self.used_up_until_ms = 0;
@@ -252,7 +254,7 @@
     }
 
     /// Returns the pace at which permits come, a second.
-    fn pace(&self) -> f64 {
+    fn read_schedule(&self) -> f64 {
         self.rate
             .map_or(LEAST_PER_S, |rate| rate.per_s().max(LEAST_PER_S))
     }
--- a/src/policy/sources/mod.rs
+++ b/src/policy/sources/mod.rs
@@ -2,8 +2,8 @@
 
 mod config_lack;
 mod contact;
-mod pace;
+mod read_schedule;
 mod role;
 mod source_silence;
 
-pub use {config_lack::*, contact::*, pace::*, role::*, source_silence::*};
+pub use {config_lack::*, contact::*, read_schedule::*, role::*, source_silence::*};
