--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -20,7 +20,7 @@
     /// When what it was told last was told: what it spent counts from there.
     told_ms: u64,
     /// Since when it has decided by itself without having been told of the account.
-    untold_since_ms: Option<u64>,
+    unreported_since_ms: Option<u64>,
 }
 
 impl StandaloneAccount {
@@ -30,7 +30,7 @@
         ReceivedQuota {
             level: 0.0,
             demand: self.demand.per_s(now_ms) * daemons as f64,
-            at_ms: *self.untold_since_ms.get_or_insert(now_ms),
+            at_ms: *self.unreported_since_ms.get_or_insert(now_ms),
         }
     }
 }
@@ -60,7 +60,7 @@
     /// Notes that a hub decided on a request of an account.
     pub fn note_decided(&mut self, account: &ClientAccount) {
         if let Some(standalone) = self.accounts.get_mut(account) {
-            standalone.untold_since_ms = None;
+            standalone.unreported_since_ms = None;
         }
     }
 
