--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -101,8 +101,8 @@
         Datagram::Versions(part) => gateway.version_count_table.lock().apply(part),
         Datagram::Usage(part) => apply_usage(gateway, &part, from, now_ms).await,
         Datagram::UsageAck(heard) => {
-            let mut tellers = gateway.usage_announcers.lock();
-            if let Some(teller) = tellers.get_mut(&heard.life) {
+            let mut announcers = gateway.usage_announcers.lock();
+            if let Some(teller) = announcers.get_mut(&heard.life) {
                 teller.apply(from, heard);
             }
         }
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -230,8 +230,8 @@
     window: u64,
 ) -> bool {
     let parts = {
-        let mut tellers = gateway.usage_announcers.lock();
-        let teller = tellers.entry(counts.life).or_default();
+        let mut announcers = gateway.usage_announcers.lock();
+        let teller = announcers.entry(counts.life).or_default();
         let daemon = (counts.name.as_str(), counts.life);
         let to = (listener.address, listener.life);
         teller.parts(daemon, to, &counts.windows, window)
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -29,7 +29,7 @@
     /// When something of each source was heard last.
     last_seen_ms: HashMap<(String, u64), u64>,
     /// By daemon, before which window all was told, and when that was heard.
-    tellers: HashMap<String, (u64, u64)>,
+    announcers: HashMap<String, (u64, u64)>,
 }
 
 impl UsageWindows {
@@ -92,7 +92,7 @@
 
     /// Notes before which window a daemon has told all that it counted.
     pub fn record_complete(&mut self, node: &str, complete_before: u64, now_ms: u64) {
-        let teller = self.tellers.entry(node.to_string()).or_default();
+        let teller = self.announcers.entry(node.to_string()).or_default();
         *teller = (complete_before.max(teller.0), now_ms);
     }
 
@@ -100,7 +100,7 @@
     /// them have told the whole of a window.
     pub fn usage_complete_from(&self, window: u64, since_ms: u64) -> (usize, bool) {
         let late = self
-            .tellers
+            .announcers
             .values()
             .filter(|(_, at_ms)| *at_ms >= since_ms);
         let told: Vec<bool> = late.map(|(before, _)| *before > window).collect();
