--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -196,8 +196,8 @@
     loop {
         let limit_ms = idle_limit(&gateway).as_millis() as u64;
         let now_ms = gateway.steady_ms();
-        let rests_since_ms = activity.lock().rests_since_ms().unwrap_or(now_ms);
-        let left_ms = (rests_since_ms + limit_ms).saturating_sub(now_ms);
+        let idle_from_ms = activity.lock().idle_from_ms().unwrap_or(now_ms);
+        let left_ms = (idle_from_ms + limit_ms).saturating_sub(now_ms);
         if left_ms == 0 {
             return;
         }
--- a/src/policy/clients/activity.rs
+++ b/src/policy/clients/activity.rs
@@ -37,7 +37,7 @@
     /// Whether bytes were read since the last answer, or the start, that are no
     /// request yet.
     has_begun_request: bool,
-    rests_since_ms: u64,
+    idle_from_ms: u64,
 }
 
 impl ClientActivity {
@@ -47,7 +47,7 @@
             requests: 0,
             answering: 0,
             has_begun_request: false,
-            rests_since_ms: now_ms,
+            idle_from_ms: now_ms,
         }
     }
 
@@ -57,8 +57,8 @@
     }
 
     /// Returns since when nothing is answered; none while something is.
-    pub fn rests_since_ms(&self) -> Option<u64> {
-        (self.answering == 0).then_some(self.rests_since_ms)
+    pub fn idle_from_ms(&self) -> Option<u64> {
+        (self.answering == 0).then_some(self.idle_from_ms)
     }
 
     /// Notes that bytes of the client were read.
@@ -76,7 +76,7 @@
     /// Notes that a request's answer has ended.
     pub fn finish_request(&mut self, now_ms: u64) {
         self.answering = self.answering.saturating_sub(1);
-        self.rests_since_ms = now_ms;
+        self.idle_from_ms = now_ms;
     }
 
     /// Decides on a connection that is to be closed since `wished_ms`.
@@ -88,21 +88,21 @@
         wished_ms: u64,
         now_ms: u64,
     ) -> CloseStep {
-        let Some(rests_since_ms) = self.rests_since_ms() else {
+        let Some(idle_from_ms) = self.idle_from_ms() else {
             return match reason {
                 CloseReason::Stop => CloseStep::Wait,
                 CloseReason::Idle => CloseStep::Stay,
             };
         };
-        if reason == CloseReason::Idle && rests_since_ms > wished_ms {
+        if reason == CloseReason::Idle && idle_from_ms > wished_ms {
             return CloseStep::Stay;
         }
-        let waited_ms = now_ms.saturating_sub(wished_ms.max(rests_since_ms));
+        let waited_ms = now_ms.saturating_sub(wished_ms.max(idle_from_ms));
         let has_begun = has_unread || self.has_begun_request;
         if has_begun && waited_ms < HEAD_PATIENCE_MS {
             return CloseStep::Wait;
         }
-        let rested_ms = now_ms.saturating_sub(rests_since_ms);
+        let rested_ms = now_ms.saturating_sub(idle_from_ms);
         match reason {
             CloseReason::Stop if rested_ms < CLOSE_AFTER_REST_MS => CloseStep::Wait,
             CloseReason::Stop | CloseReason::Idle => CloseStep::Close,
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -108,7 +108,7 @@
         }),
         Extension::HasPermit,
         Extension::Rests(CooldownsPart {
-            rests: vec![AnnouncedCooldown {
+            cooldowns: vec![AnnouncedCooldown {
                 upstream: "i-3".into(),
                 left_ms: 2_900,
             }],
