--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -102,8 +102,8 @@
         Datagram::Usage(part) => apply_usage(gateway, &part, from, now_ms).await,
         Datagram::UsageAck(heard) => {
             let mut announcers = gateway.usage_announcers.lock();
-            if let Some(teller) = announcers.get_mut(&heard.life) {
-                teller.apply(from, heard);
+            if let Some(announcer) = announcers.get_mut(&heard.life) {
+                announcer.apply(from, heard);
             }
         }
     }
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -231,10 +231,10 @@
 ) -> bool {
     let parts = {
         let mut announcers = gateway.usage_announcers.lock();
-        let teller = announcers.entry(counts.life).or_default();
+        let announcer = announcers.entry(counts.life).or_default();
         let daemon = (counts.name.as_str(), counts.life);
         let to = (listener.address, listener.life);
-        teller.parts(daemon, to, &counts.windows, window)
+        announcer.parts(daemon, to, &counts.windows, window)
     };
     let is_heard = parts.is_empty();
     for part in parts {
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -92,8 +92,8 @@
 
     /// Notes before which window a daemon has told all that it counted.
     pub fn record_complete(&mut self, node: &str, complete_before: u64, now_ms: u64) {
-        let teller = self.announcers.entry(node.to_string()).or_default();
-        *teller = (complete_before.max(teller.0), now_ms);
+        let announcer = self.announcers.entry(node.to_string()).or_default();
+        *announcer = (complete_before.max(announcer.0), now_ms);
     }
 
     /// Returns how many daemons told counts since a time, and whether all of
