--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -83,8 +83,8 @@
         let gateway = &self.gateway;
         let mut news = gateway.news.subscribe();
         let is_new = |_: &u64| {
-            let same_life = ask.life == gateway.incarnation;
-            let same = same_life && ask.told.revision == gateway.directory.read().revision();
+            let same_incarnation = ask.life == gateway.incarnation;
+            let same = same_incarnation && ask.told.revision == gateway.directory.read().revision();
             let version = gateway.config_version();
             !same || version > ask.config_version
         };
