--- a/src/app/sweep.rs
+++ b/src/app/sweep.rs
@@ -81,7 +81,7 @@
     let within = Duration::from_millis(world.settings.peers.silence_ms / 2);
     let now = now_ms();
     let asked = now < watch.asked_ms + ASK_EVERY_MS;
-    if asked && is_same_life(world, &owner, watch.incarnation) {
+    if asked && is_same_incarnation(world, &owner, watch.incarnation) {
         let ms = world.settings.peers.silence_ms / 2;
         if world.links.heard_within(&owner, ms) {
             watch.silent_since_ms = None;
@@ -114,7 +114,7 @@
     (owner, watch)
 }
 
-fn is_same_life(world: &World, id: &BoxId, incarnation: u64) -> bool {
+fn is_same_incarnation(world: &World, id: &BoxId, incarnation: u64) -> bool {
     let boxes = world.boxes.read();
     boxes.get(id).is_some_and(|b| b.incarnation == incarnation)
 }
