--- a/tests/gateway/restart_soak.rs
+++ b/tests/gateway/restart_soak.rs
@@ -36,18 +36,18 @@
 type Runs = Arc<Mutex<HashMap<String, u32>>>;
 
 /// One life of an upstream. It ends, with its connections, when dropped.
-struct Life {
+struct Incarnation {
     address: SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl Drop for Life {
+impl Drop for Incarnation {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Life {
+impl Incarnation {
     async fn start(id: String, at: Option<SocketAddr>, runs: Runs) -> Self {
         let mut listener = None;
         for _ in 0..50 {
@@ -104,7 +104,7 @@
 
 struct World {
     store: Store,
-    lives: Vec<Option<Life>>,
+    lives: Vec<Option<Incarnation>>,
     runs: Runs,
     clock_ms: u64,
 }
@@ -125,7 +125,7 @@
 
     async fn start(&mut self, index: usize, at: Option<SocketAddr>) {
         self.clock_ms += 1_000;
-        self.lives[index] = Some(Life::start(Self::id(index), at, self.runs.clone()).await);
+        self.lives[index] = Some(Incarnation::start(Self::id(index), at, self.runs.clone()).await);
         self.enter(index, "ready", 1);
     }
 
