--- a/src/report/policy_report.rs
+++ b/src/report/policy_report.rs
@@ -142,13 +142,15 @@
 
 /// Finds numbers that are missing between two pages of one life of a box.
 fn gaps(pages: &[ScorePage]) -> Vec<Gap> {
-    let mut by_life: BTreeMap<(&BoxId, u64), Vec<&ScorePage>> = BTreeMap::new();
+    let mut by_incarnation: BTreeMap<(&BoxId, u64), Vec<&ScorePage>> = BTreeMap::new();
     for page in pages {
-        let life = by_life.entry((&page.by, page.incarnation)).or_default();
+        let life = by_incarnation
+            .entry((&page.by, page.incarnation))
+            .or_default();
         life.push(page);
     }
     let mut gaps = Vec::new();
-    for ((by, _), mut life) in by_life {
+    for ((by, _), mut life) in by_incarnation {
         life.sort_by_key(|p| p.number);
         for pair in life.windows(2) {
             let missing = pair[1].number.saturating_sub(pair[0].number + 1);
