--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -197,7 +197,7 @@
         }
     }
     let heard = UsageAck {
-        holder_life: gateway.incarnation,
+        holder_incarnation: gateway.incarnation,
         life: part.life,
         number: part.number,
     };
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -86,7 +86,7 @@
 
     /// Takes in that a holder has heard a part.
     pub fn apply(&mut self, from: SocketAddr, heard: UsageAck) {
-        let Some(view) = self.holders.get_mut(&(from, heard.holder_life)) else {
+        let Some(view) = self.holders.get_mut(&(from, heard.holder_incarnation)) else {
             return;
         };
         let Some(part) = view.sent.remove(&heard.number) else {
--- a/src/cluster/usage/usage_part.rs
+++ b/src/cluster/usage/usage_part.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct UsageAck {
     /// Which life of the holder.
-    pub holder_life: u64,
+    pub holder_incarnation: u64,
     /// Which life of the daemon counted.
     pub life: u64,
     /// The part's number.
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -193,7 +193,7 @@
         counts: vec![("t".into(), 412)],
     };
     let heard = UsageAck {
-        holder_life: 12,
+        holder_incarnation: 12,
         life: 5,
         number: 8,
     };
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -38,7 +38,7 @@
                 teller.apply(
                     address(0),
                     UsageAck {
-                        holder_life: 99,
+                        holder_incarnation: 99,
                         life: 1,
                         number,
                     },
@@ -62,7 +62,7 @@
     own.note(7, &ClientAccount::from("t"));
     let mut teller = UsageAnnouncer::default();
     let heard = |parts: &[UsagePart], life| UsageAck {
-        holder_life: life,
+        holder_incarnation: life,
         life: 1,
         number: parts[0].number,
     };
@@ -104,7 +104,7 @@
             teller.apply(
                 address(1),
                 UsageAck {
-                    holder_life: 6,
+                    holder_incarnation: 6,
                     life: part.life,
                     number: part.number,
                 },
@@ -129,7 +129,7 @@
     for window in 8..40 {
         for part in teller.parts(("n", 1), (address(0), 5), &own.newest(8), window) {
             let heard = UsageAck {
-                holder_life: 5,
+                holder_incarnation: 5,
                 life: 1,
                 number: part.number,
             };
