--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -57,16 +57,16 @@
     config: Option<RoutingConfig>,
     config_position: Option<u64>,
     rollouts: Vec<Rollout>,
-    directory: HeardDirectory,
+    directory: ReceivedDirectory,
 }
 
 #[derive(Debug)]
-enum HeardDirectory {
+enum ReceivedDirectory {
     Changes(DirectoryChanges),
     News(DirectoryUpdate),
 }
 
-impl HeardDirectory {
+impl ReceivedDirectory {
     fn told(&self) -> DirectoryCursor {
         match self {
             Self::Changes(changes) => changes.told,
@@ -84,7 +84,7 @@
             config: news.config,
             config_position: news.config_position,
             rollouts: news.rollouts,
-            directory: HeardDirectory::Changes(news.changes),
+            directory: ReceivedDirectory::Changes(news.changes),
         }
     }
 }
@@ -94,7 +94,7 @@
 
     fn try_from(update: FeedUpdate) -> Result<Self, FeedError> {
         Ok(Self {
-            directory: HeardDirectory::News(update.directory()?),
+            directory: ReceivedDirectory::News(update.directory()?),
             life: update.life,
             source_age_ms: update.source_age_ms,
             config_version: update.config_version,
@@ -208,7 +208,7 @@
             daemon,
             life: heard.life,
             told: heard.directory.told(),
-            tells_updates: matches!(heard.directory, HeardDirectory::News(_)),
+            tells_updates: matches!(heard.directory, ReceivedDirectory::News(_)),
         });
         if let Some(config) = heard.config {
             log::info!(target: "config", "told by a daemon. version={} peer={daemon}", config.version);
@@ -222,8 +222,8 @@
         self.gateway.apply_rollouts(&heard.rollouts);
         self.gateway
             .change_directory(|directory, _| match heard.directory {
-                HeardDirectory::Changes(changes) => directory.apply(changes),
-                HeardDirectory::News(news) => directory.apply_update(news),
+                ReceivedDirectory::Changes(changes) => directory.apply(changes),
+                ReceivedDirectory::News(news) => directory.apply_update(news),
             });
         if let Some(age_ms) = heard.source_age_ms {
             self.gateway.record_relayed(age_ms);
