--- a/src/gateway/event_border.rs
+++ b/src/gateway/event_border.rs
@@ -11,7 +11,7 @@
 /// Only whole events leave it, so that a stream that breaks off is known up to
 /// an event, from which another upstream can go on.
 #[derive(Debug, Default)]
-pub struct EventBorder {
+pub struct EventSplitter {
     rest: BytesMut,
 }
 
@@ -26,7 +26,7 @@
     pub last_id: Option<u64>,
 }
 
-impl EventBorder {
+impl EventSplitter {
     /// Takes in bytes and returns the events that are whole now.
     pub fn push(&mut self, bytes: &[u8]) -> Option<EventRun> {
         self.rest.extend_from_slice(bytes);
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -38,7 +38,7 @@
     context: RequestContext,
     attempts: Attempts,
     current: Option<Sent>,
-    border: EventBorder,
+    border: EventSplitter,
     /// The last event that was passed on, or that the client had before.
     last_id: Option<u64>,
     /// Whether the current answer is a series of events.
@@ -62,7 +62,7 @@
             context,
             attempts: Attempts::default(),
             current: None,
-            border: EventBorder::default(),
+            border: EventSplitter::default(),
             is_events: true,
             began: false,
             done: false,
@@ -155,7 +155,7 @@
                         continue;
                     }
                     self.is_events = is_success && is_event_stream(&sent.answer.head);
-                    self.border = EventBorder::default();
+                    self.border = EventSplitter::default();
                     self.current = Some(sent);
                     return Some(());
                 }
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -333,7 +333,7 @@
     fn only_whole_events_pass(cuts in proptest::collection::vec(0..EVENTS.len(), 0..8)) {
         let mut cuts = cuts;
         cuts.sort_unstable();
-        let mut border = EventBorder::default();
+        let mut border = EventSplitter::default();
         let mut passed = Vec::new();
         let mut from = 0;
         for cut in cuts.into_iter().chain([EVENTS.len()]) {
@@ -350,7 +350,7 @@
 
 #[test]
 fn events_tell_their_first_and_last_ids() {
-    let mut border = EventBorder::default();
+    let mut border = EventSplitter::default();
     let run = border.push(EVENTS).unwrap();
     assert_eq!((run.first_id, run.last_id), (Some(1), Some(3)));
     assert!(border.push(b"id: 4\ndata").is_none());
