--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -11,7 +11,7 @@
 mod crash_state;
 mod cut_offs;
 mod engines;
-mod event_border;
+mod event_splitter;
 mod follow_file;
 mod forward_stream;
 mod forward_whole;
@@ -39,7 +39,7 @@
 mod upstream_words;
 
 pub use {
-    answer::*, client_connection::*, client_socket::*, event_border::*, follow_file::*,
+    answer::*, client_connection::*, client_socket::*, event_splitter::*, follow_file::*,
     gateway_phase::*, gateway_state::*, header_names::*, hub_state::*, intake::*, listen::*,
     metrics_page::*, open_connections::*, placement::*, placing::*, process::*, prompt::*,
     request_context::*,
