--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -99,12 +99,12 @@
         at_ms: u64,
     ) -> bool {
         let suspect = self.suspect(fingerprint);
-        let is_same = |end: &&mut UpstreamEnd| end.is_same(upstream, at_ms, OWN_APART_MS);
+        let is_same = |end: &&mut UpstreamCrash| end.is_same(upstream, at_ms, OWN_APART_MS);
         if let Some(known) = suspect.ends.iter_mut().find(is_same) {
             known.is_own = true;
             return false;
         }
-        suspect.add(UpstreamEnd {
+        suspect.add(UpstreamCrash {
             upstream: upstream.clone(),
             at_ms,
             ran_ms,
@@ -127,7 +127,7 @@
         let tellings = passes_on.map_or(0, |_| TELLINGS);
         let announces_to_hubs = passes_on == Some(true);
         let suspect = self.suspect(told.fingerprint);
-        let is_same = |end: &&mut UpstreamEnd| end.is_same(&told.upstream, at_ms, TOLD_APART_MS);
+        let is_same = |end: &&mut UpstreamCrash| end.is_same(&told.upstream, at_ms, TOLD_APART_MS);
         if let Some(known) = suspect.ends.iter_mut().find(is_same) {
             let is_change = told.is_cleared && !known.is_cleared;
             if is_change {
@@ -137,7 +137,7 @@
             }
             return is_change;
         }
-        suspect.add(UpstreamEnd {
+        suspect.add(UpstreamCrash {
             upstream: told.upstream.clone(),
             at_ms,
             ran_ms: told.ran_ms,
@@ -176,7 +176,7 @@
         if count < self.bounds.ends {
             return false;
         }
-        let others = |end: &UpstreamEnd| self.others_at(end, fingerprint);
+        let others = |end: &UpstreamCrash| self.others_at(end, fingerprint);
         let own = suspect.open_ends().filter(|end| others(end) < count);
         if in_turn(own) >= self.bounds.ends {
             return true;
@@ -186,7 +186,7 @@
     }
 
     /// Returns under how many ends any other request was that was there at one.
-    fn others_at(&self, end: &UpstreamEnd, but: RequestFingerprint) -> usize {
+    fn others_at(&self, end: &UpstreamCrash, but: RequestFingerprint) -> usize {
         let others = self.suspects.iter().filter(|(other, _)| **other != but);
         let there = others.filter(|(_, suspect)| {
             let mut open = suspect.open_ends();
@@ -317,7 +317,7 @@
     }
 }
 
-fn known_end(fingerprint: RequestFingerprint, end: &UpstreamEnd, now_ms: u64) -> KnownCrash {
+fn known_end(fingerprint: RequestFingerprint, end: &UpstreamCrash, now_ms: u64) -> KnownCrash {
     KnownCrash {
         fingerprint,
         upstream: end.upstream.clone(),
--- a/src/policy/quarantine/suspect.rs
+++ b/src/policy/quarantine/suspect.rs
@@ -5,7 +5,7 @@
 
 /// An upstream that ended while a request ran on it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct UpstreamEnd {
+pub(super) struct UpstreamCrash {
     pub upstream: UpstreamId,
     /// When, in milliseconds of the daemon's clock.
     pub at_ms: u64,
@@ -21,7 +21,7 @@
     pub announces_to_hubs: bool,
 }
 
-impl UpstreamEnd {
+impl UpstreamCrash {
     /// Returns whether this may be another daemon's view of an end. An upstream needs some
     /// time to come back, and only then ends again.
     pub fn is_same(&self, upstream: &UpstreamId, at_ms: u64, apart_ms: u64) -> bool {
@@ -32,7 +32,7 @@
 /// A request under which upstreams ended.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspect {
-    pub ends: Vec<UpstreamEnd>,
+    pub ends: Vec<UpstreamCrash>,
     /// How many ends it had when that was last written down.
     pub written: usize,
 }
@@ -45,7 +45,7 @@
     }
 
     /// Returns the ends that it may have caused.
-    pub fn open_ends(&self) -> impl Iterator<Item = &UpstreamEnd> {
+    pub fn open_ends(&self) -> impl Iterator<Item = &UpstreamCrash> {
         self.ends.iter().filter(|end| !end.is_cleared)
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Adds an end; the oldest one makes room.
-    pub fn add(&mut self, end: UpstreamEnd) {
+    pub fn add(&mut self, end: UpstreamCrash) {
         if self.ends.len() >= MAX_ENDS {
             let oldest = (0..self.ends.len()).min_by_key(|n| self.ends[*n].at_ms);
             self.ends.remove(oldest.unwrap_or(0));
@@ -80,8 +80,8 @@
 /// before had ended. Upstreams that are lost together end under whatever is asked often;
 /// counted by themselves, the loss of a service's three upstreams at one moment held back
 /// each request that had been running on all of them.
-pub(super) fn in_turn<'a>(ends: impl Iterator<Item = &'a UpstreamEnd>) -> usize {
-    let mut ends: Vec<&UpstreamEnd> = ends.collect();
+pub(super) fn in_turn<'a>(ends: impl Iterator<Item = &'a UpstreamCrash>) -> usize {
+    let mut ends: Vec<&UpstreamCrash> = ends.collect();
     ends.sort_unstable_by_key(|end| end.at_ms);
     let (mut count, mut last_ms) = (0, 0);
     for end in ends {
