--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -22,7 +22,7 @@
 /// Upstreams that want nothing from this daemon for a while.
 impl Gateway {
     /// Notes that an upstream asked this daemon for rest.
-    pub(super) fn note_rest(&self, id: &UpstreamId, rest: Duration) {
+    pub(super) fn start_cooldown(&self, id: &UpstreamId, rest: Duration) {
         let now_ms = self.steady_ms();
         self.cooldowns.lock().note(id, rest, now_ms);
         let own = &self.settings.node.name;
--- a/src/gateway/upstream_words.rs
+++ b/src/gateway/upstream_words.rs
@@ -77,7 +77,7 @@
                     upstream.id,
                     rest.as_millis()
                 );
-                self.note_rest(&upstream.id, rest);
+                self.start_cooldown(&upstream.id, rest);
             }
             RetryAfter::Unreadable => log::warn!(
                 target: "upstreams",
