--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -36,7 +36,7 @@
 mod send;
 mod send_notes;
 mod source_state;
-mod upstream_words;
+mod upstream_signals;
 
 pub use {
     answer::*, client_connection::*, client_socket::*, event_splitter::*, follow_file::*,
