--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -47,7 +47,7 @@
     batch_number: u64,
     /// How often the batch was told, and to whom.
     told: u8,
-    told_to: Option<SocketAddr>,
+    announced_to: Option<SocketAddr>,
 }
 
 impl StandaloneQuotas {
@@ -105,10 +105,10 @@
             self.batch = untold.map(|(a, units)| (a.to_string(), units)).collect();
             self.batch_number += u64::from(!self.batch.is_empty());
             self.told = 0;
-            self.told_to = Some(hub);
+            self.announced_to = Some(hub);
         }
         // Another hub would count it once more.
-        if self.batch.is_empty() || self.told_to != Some(hub) {
+        if self.batch.is_empty() || self.announced_to != Some(hub) {
             self.told = TOLD_TIMES;
             return (Vec::new(), 0);
         }
