--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -4,8 +4,8 @@
         gateway::Gateway,
         names::{FailureDomain, ServiceName},
         policy::{
-            DemandPeak, DomainFleet, FleetBounds, FleetNeed, FleetPolicy, KnownFleet, ReadingSpeed,
-            plan_fleet,
+            DemandPeak, DomainFleet, FleetBounds, FleetDemand, FleetPolicy, KnownFleet,
+            ReadingSpeed, plan_fleet,
         },
         routing::{Autoscaling, Service},
     },
@@ -134,7 +134,7 @@
         let policy = gateway.settings.fleet;
         let peaks = self.peaks.entry(service.name.clone());
         let peaks = peaks.or_insert_with(|| ServicePeaks::new(&policy));
-        let mut need = FleetNeed {
+        let mut need = FleetDemand {
             steady: policy.needed(peaks.steady.note(load, now_ms)),
             now: policy.needed(peaks.now.note(load, now_ms)),
         };
--- a/src/policy/fleet/plan.rs
+++ b/src/policy/fleet/plan.rs
@@ -44,7 +44,7 @@
 
 /// How many upstreams the demand needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FleetNeed {
+pub struct FleetDemand {
     /// By the highest demand of late: what cheap upstreams are ordered for.
     pub steady: u32,
     /// By the demand of now: what dear upstreams are ordered for.
@@ -61,7 +61,7 @@
 pub fn plan_fleet(
     domains: &[DomainFleet],
     bounds: FleetBounds,
-    need: FleetNeed,
+    need: FleetDemand,
     policy: &FleetPolicy,
 ) -> Vec<DomainPlan> {
     let price = bounds.reclaimable_price.unwrap_or(1.0);
--- a/tests/decisions/fleet.rs
+++ b/tests/decisions/fleet.rs
@@ -26,8 +26,8 @@
     (on_demand, reclaimable)
 }
 
-fn need(needed: u32) -> FleetNeed {
-    FleetNeed {
+fn need(needed: u32) -> FleetDemand {
+    FleetDemand {
         steady: needed,
         now: needed,
     }
@@ -50,7 +50,7 @@
 fn settled(
     mut domains: Vec<DomainFleet>,
     bounds: FleetBounds,
-    need: FleetNeed,
+    need: FleetDemand,
 ) -> Vec<DomainFleet> {
     for _ in 0..5 {
         let plans = plan_fleet(&domains, bounds, need, &FleetPolicy::default());
@@ -157,7 +157,7 @@
 
 #[test]
 fn dear_ones_follow_the_demand_of_now_and_cheap_ones_its_peak() {
-    let need = FleetNeed { steady: 9, now: 4 };
+    let need = FleetDemand { steady: 9, now: 4 };
     let mut fleet = evenly(3, 9, 0);
     fleet.iter_mut().for_each(|z| z.coming = 9);
     let (on_demand, reclaimable) =
