--- a/src/policy/sources/mod.rs
+++ b/src/policy/sources/mod.rs
@@ -1,9 +1,9 @@
 //! From whom a daemon learns configuration and upstreams.
 
-mod config_lack;
 mod contact;
+mod missing_config;
 mod read_schedule;
 mod role;
 mod source_silence;
 
-pub use {config_lack::*, contact::*, read_schedule::*, role::*, source_silence::*};
+pub use {contact::*, missing_config::*, read_schedule::*, role::*, source_silence::*};
