--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -3,7 +3,7 @@
         cluster::{CONFIG_PATH, ConfigAnswer, ConfigQuery, FeedError, decode, encode},
         gateway::Gateway,
         http::HttpClient,
-        policy::ConfigLack,
+        policy::MissingConfig,
         routing::unpack_config,
     },
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -24,7 +24,7 @@
     let client = HttpClient::default();
     loop {
         gateway.until_lacking_config().await;
-        let mut lack = ConfigLack::new(gateway.steady_ms());
+        let mut lack = MissingConfig::new(gateway.steady_ms());
         while gateway.lacks_config() {
             let reads_source = *gateway.reads_source.borrow();
             if lack.queries_daemons(reads_source, gateway.steady_ms()) {
@@ -40,7 +40,7 @@
     }
 }
 
-async fn ask_one(gateway: &Gateway, client: &HttpClient, lack: &mut ConfigLack) {
+async fn ask_one(gateway: &Gateway, client: &HttpClient, lack: &mut MissingConfig) {
     let Some(peer) = drawn_holder(gateway) else {
         return;
     };
--- a/src/policy/sources/missing_config.rs
+++ b/src/policy/sources/missing_config.rs
@@ -10,13 +10,13 @@
 /// What a daemon knows of a configuration that is in force elsewhere and that it
 /// lacks. Times are milliseconds of its steady clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConfigLack {
+pub struct MissingConfig {
     since_ms: u64,
     /// When another daemon last said that it is telling others first.
     deferred_ms: u64,
 }
 
-impl ConfigLack {
+impl MissingConfig {
     /// Begins when a newer version is heard of.
     pub fn new(now_ms: u64) -> Self {
         Self {
--- a/tests/decisions/config_spread.rs
+++ b/tests/decisions/config_spread.rs
@@ -3,7 +3,7 @@
 use saddlepulley::{
     cluster::{DaemonEntry, Digest, PeerTable},
     names::ServiceName,
-    policy::ConfigLack,
+    policy::MissingConfig,
     routing::*,
 };
 
@@ -66,7 +66,7 @@
 
 #[test]
 fn one_that_follows_others_asks_daemons_at_once_and_the_source_when_none_answers() {
-    let lack = ConfigLack::new(10_000);
+    let lack = MissingConfig::new(10_000);
     assert!(lack.queries_daemons(false, 10_000));
     assert!(!lack.needs_source(10_500));
     assert!(lack.needs_source(11_000));
@@ -74,7 +74,7 @@
 
 #[test]
 fn the_source_is_left_alone_for_as_long_as_daemons_say_that_they_tell_others_first() {
-    let mut lack = ConfigLack::new(10_000);
+    let mut lack = MissingConfig::new(10_000);
     for at_ms in (10_000..20_000).step_by(400) {
         lack.record_deferred(at_ms);
         assert!(!lack.needs_source(at_ms + 400));
@@ -84,7 +84,7 @@
 
 #[test]
 fn one_that_reads_the_source_asks_daemons_only_if_its_own_read_takes_long() {
-    let lack = ConfigLack::new(10_000);
+    let lack = MissingConfig::new(10_000);
     assert!(!lack.queries_daemons(true, 10_700));
     assert!(lack.queries_daemons(true, 10_800));
 }
