--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -69,7 +69,7 @@
 fn report(n: usize, sequence: u64) -> Report {
     Report {
         daemon: entry(n),
-        life: 1,
+        incarnation: 1,
         sequence,
         every_ms: 500,
         leans_on_you: false,
--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -83,7 +83,7 @@
         let gateway = &self.gateway;
         let mut news = gateway.news.subscribe();
         let is_new = |_: &u64| {
-            let same_incarnation = ask.life == gateway.incarnation;
+            let same_incarnation = ask.incarnation == gateway.incarnation;
             let same = same_incarnation && ask.told.revision == gateway.directory.read().revision();
             let version = gateway.config_version();
             !same || version > ask.config_version
@@ -95,7 +95,7 @@
 
     /// Returns what the asker knows of this life's directory.
     fn known(&self, ask: FeedQuery) -> Option<DirectoryCursor> {
-        (ask.life == self.gateway.incarnation).then_some(ask.told)
+        (ask.incarnation == self.gateway.incarnation).then_some(ask.told)
     }
 
     /// Returns the version of the configuration in force, and the configuration if it is
@@ -115,7 +115,7 @@
         let (config_version, config) = self.config_for(ask);
         let (told, is_complete, packed) = self.packed_since(self.known(ask))?;
         Ok(FeedUpdate {
-            life: gateway.incarnation,
+            incarnation: gateway.incarnation,
             source_age_ms: gateway.source_age_ms(),
             config_version,
             config,
@@ -153,7 +153,7 @@
         let config_position = *gateway.config_position.lock();
         let (config_version, config) = self.config_for(ask);
         Ok(FeedReply {
-            life: gateway.incarnation,
+            incarnation: gateway.incarnation,
             source_age_ms: gateway.source_age_ms(),
             config_version,
             config,
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Known {
     daemon: SocketAddr,
-    life: u64,
+    incarnation: u64,
     told: DirectoryCursor,
     /// Whether it tells changes without words that only say that an upstream lives.
     tells_updates: bool,
@@ -51,7 +51,7 @@
 /// News of either kind.
 #[derive(Debug)]
 struct Heard {
-    life: u64,
+    incarnation: u64,
     source_age_ms: Option<u64>,
     config_version: u64,
     config: Option<RoutingConfig>,
@@ -78,7 +78,7 @@
 impl From<FeedReply> for Heard {
     fn from(news: FeedReply) -> Self {
         Self {
-            life: news.life,
+            incarnation: news.incarnation,
             source_age_ms: news.source_age_ms,
             config_version: news.config_version,
             config: news.config,
@@ -95,7 +95,7 @@
     fn try_from(update: FeedUpdate) -> Result<Self, FeedError> {
         Ok(Self {
             directory: ReceivedDirectory::News(update.directory()?),
-            life: update.life,
+            incarnation: update.incarnation,
             source_age_ms: update.source_age_ms,
             config_version: update.config_version,
             config: update.config,
@@ -184,10 +184,10 @@
     ) -> Result<Bytes, FeedError> {
         let is_same = |k: &Known| k.daemon == daemon && k.tells_updates == tells_updates;
         let known = self.known.filter(is_same);
-        let (life, told) = known.map_or_else(Default::default, |k| (k.life, k.told));
+        let (incarnation, told) = known.map_or_else(Default::default, |k| (k.incarnation, k.told));
         let newest_config = *self.gateway.newest_config.borrow();
         let ask = FeedQuery {
-            life,
+            incarnation,
             told,
             config_version: newest_config.max(self.gateway.config_version()),
             // One that can't be reached is asked again soon, one that is stale, too.
@@ -206,7 +206,7 @@
         // The next changes count from these: all of them are taken in.
         self.known = Some(Known {
             daemon,
-            life: heard.life,
+            incarnation: heard.incarnation,
             told: heard.directory.told(),
             tells_updates: matches!(heard.directory, ReceivedDirectory::News(_)),
         });
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FeedQuery {
     /// The life of the daemon that told what is known.
-    pub life: u64,
+    pub incarnation: u64,
     /// What is known of its directory.
     pub told: DirectoryCursor,
     /// The version of the configuration that is known of.
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FeedReply {
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// How old the newest answer of its source is, in milliseconds.
     pub source_age_ms: Option<u64>,
     /// The version of the configuration in force there.
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FeedUpdate {
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// How old the newest answer of its source is, in milliseconds.
     pub source_age_ms: Option<u64>,
     /// The version of the configuration in force there.
--- a/src/cluster/hubs/ask.rs
+++ b/src/cluster/hubs/ask.rs
@@ -7,7 +7,7 @@
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// The number of the question: asked again, it is answered the same.
     pub id: u64,
     /// The client's id of the attempt, for logs.
@@ -56,7 +56,7 @@
     /// The number of the question.
     pub id: u64,
     /// Which life of the daemon asked.
-    pub life: u64,
+    pub incarnation: u64,
     /// What is to be done.
     pub verdict: HubDecision,
 }
--- a/src/cluster/hubs/ask_answers.rs
+++ b/src/cluster/hubs/ask_answers.rs
@@ -44,7 +44,7 @@
     gateway.members.lock().record_answer(ask, &verdict, now_ms);
     let answer = Answer {
         id: ask.id,
-        life: ask.life,
+        incarnation: ask.incarnation,
         verdict,
     };
     // What this daemon places has a permit where that is needed.
--- a/src/cluster/hubs/digest.rs
+++ b/src/cluster/hubs/digest.rs
@@ -18,7 +18,7 @@
     /// Where it listens for other daemons.
     pub address: SocketAddr,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether it says that it holds them; else it watches the holder, and wants
     /// to know the same.
     pub holds: bool,
@@ -31,7 +31,7 @@
     /// The daemon.
     pub daemon: DaemonEntry,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each digest of a life.
     pub sequence: u64,
     /// For how long it has run, in milliseconds.
@@ -59,10 +59,10 @@
 
 impl Digest {
     /// Starts a digest that tells nothing but who sends it.
-    pub fn new(daemon: DaemonEntry, life: u64, sequence: u64) -> Self {
+    pub fn new(daemon: DaemonEntry, incarnation: u64, sequence: u64) -> Self {
         Self {
             daemon,
-            life,
+            incarnation,
             sequence,
             age_ms: 0,
             every_ms: 0,
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -97,9 +97,9 @@
     let to = report.daemon.address;
     let mut digest = own_digest(gateway, &report.daemon.domain, MEMBERS_EVERY_MS);
     let others = gateway.peers.lock().duty_daemons().into_iter();
-    let others = others.map(|((address, life), holds)| DutyDaemon {
+    let others = others.map(|((address, incarnation), holds)| DutyDaemon {
         address,
-        life,
+        incarnation,
         holds,
     });
     digest.duty_daemons.extend(others);
@@ -132,7 +132,7 @@
     if holds || gateway.watches_duties() {
         digest.duty_daemons.push(DutyDaemon {
             address: gateway.settings.listen.peers,
-            life: gateway.incarnation,
+            incarnation: gateway.incarnation,
             holds,
         });
     }
@@ -159,7 +159,7 @@
         .map(|quotas| {
             Datagram::Quotas(QuotasPart {
                 name: gateway.settings.node.name.to_string(),
-                life: gateway.incarnation,
+                incarnation: gateway.incarnation,
                 sequence,
                 age_ms,
                 quotas,
@@ -187,7 +187,7 @@
         .map(|(loads, part)| {
             Datagram::Loads(LoadsPart {
                 name: gateway.settings.node.name.to_string(),
-                life: gateway.incarnation,
+                incarnation: gateway.incarnation,
                 sequence,
                 part,
                 parts: count,
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -76,7 +76,7 @@
         let (open, mut answers) = self.open();
         let ask = AdmissionQuery {
             name: gateway.settings.node.name.to_string(),
-            life: gateway.incarnation,
+            incarnation: gateway.incarnation,
             id: open.id,
             request: request.to_string(),
             quota,
--- a/src/cluster/hubs/loads_part.rs
+++ b/src/cluster/hubs/loads_part.rs
@@ -23,7 +23,7 @@
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each telling of a life.
     pub sequence: u64,
     /// Which part this is, from 0.
@@ -43,7 +43,7 @@
 /// The newest whole of what a daemon told of its loads.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedLoads {
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     /// Parts of a newer telling that is not whole yet.
     pending: HashMap<u32, Vec<AnnouncedLoad>>,
@@ -57,9 +57,9 @@
 impl ReceivedLoads {
     /// Takes in a part; returns whether a newer whole is known by it.
     pub fn apply(&mut self, part: LoadsPart) -> bool {
-        if part.life != self.life {
+        if part.incarnation != self.incarnation {
             *self = Self {
-                life: part.life,
+                incarnation: part.incarnation,
                 ..Self::default()
             };
         }
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -23,7 +23,7 @@
 /// A daemon that reports to this one.
 #[derive(Debug, Default)]
 struct Member {
-    life: u64,
+    incarnation: u64,
     last_seen_ms: u64,
     /// Whether it lets its requests in through this daemon.
     leans: bool,
@@ -70,7 +70,7 @@
 impl MemberTable {
     /// Takes in a report; returns what is new.
     pub fn apply_report(&mut self, report: &Report, now_ms: u64) -> ReportChanges {
-        let member = self.member(&report.daemon.name, report.life, now_ms);
+        let member = self.member(&report.daemon.name, report.incarnation, now_ms);
         member.leans = report.leans_on_you;
         if !member.leans {
             return ReportChanges::default();
@@ -91,7 +91,7 @@
 
     /// Takes in what a daemon has at upstreams.
     pub fn apply_loads(&mut self, part: LoadsPart, now_ms: u64) {
-        let member = self.member(&part.name, part.life, now_ms);
+        let member = self.member(&part.name, part.incarnation, now_ms);
         if member.loads.apply(part) {
             member.loads_ms = now_ms;
             let counted = member.loads.counted;
@@ -99,11 +99,11 @@
         }
     }
 
-    fn member(&mut self, name: &str, life: u64, now_ms: u64) -> &mut Member {
+    fn member(&mut self, name: &str, incarnation: u64, now_ms: u64) -> &mut Member {
         let member = self.members.entry(name.to_string()).or_default();
-        if member.life != life {
+        if member.incarnation != incarnation {
             *member = Member {
-                life,
+                incarnation,
                 ..Member::default()
             };
         }
@@ -113,7 +113,7 @@
 
     /// Returns the answer that a question already got.
     pub fn known_answer(&mut self, ask: &AdmissionQuery, now_ms: u64) -> Option<HubDecision> {
-        let member = self.member(&ask.name, ask.life, now_ms);
+        let member = self.member(&ask.name, ask.incarnation, now_ms);
         member.leans = true;
         if let Some(quota) = &ask.quota {
             let account = ClientAccount::from(quota.account.as_str());
@@ -125,7 +125,7 @@
 
     /// Remembers an answer, and counts the request in where it was placed.
     pub fn record_answer(&mut self, ask: &AdmissionQuery, verdict: &HubDecision, now_ms: u64) {
-        let member = self.member(&ask.name, ask.life, now_ms);
+        let member = self.member(&ask.name, ask.incarnation, now_ms);
         if let HubDecision::Placed {
             upstream,
             unread_tokens,
--- a/src/cluster/hubs/report.rs
+++ b/src/cluster/hubs/report.rs
@@ -9,7 +9,7 @@
     /// The daemon.
     pub daemon: DaemonEntry,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each report of a life.
     pub sequence: u64,
     /// After how long it will report again at the latest, in milliseconds.
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -152,7 +152,7 @@
     drop(peers);
     Report {
         daemon,
-        life: gateway.incarnation,
+        incarnation: gateway.incarnation,
         sequence: gateway.next_sequence(),
         every_ms: every_ms as u32,
         leans_on_you: false,
--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -32,7 +32,7 @@
         };
         let known = gateway.limits.lock().known(&id, gateway.steady_ms());
         let answer = PermitAnswer {
-            life: ask.life,
+            incarnation: ask.incarnation,
             id: ask.id,
             is_granted: taken.is_ok(),
             wait_ms: taken
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -53,7 +53,7 @@
         let (open, answer, max_wait) = self.open(issuer, gateway.steady_ms())?;
         let asked_at = BootInstant::now();
         let ask = Extension::PermitQuery(PermitQuery {
-            life: gateway.incarnation,
+            incarnation: gateway.incarnation,
             id: open.id,
             is_passed_on,
             limit,
--- a/src/cluster/limits/permit_query.rs
+++ b/src/cluster/limits/permit_query.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PermitQuery {
     /// Which life of the daemon asks.
-    pub life: u64,
+    pub incarnation: u64,
     /// The number of the question.
     pub id: u64,
     /// Whether it is passed on: then it is decided here, whoever issues permits.
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PermitAnswer {
     /// Which life of the daemon asked.
-    pub life: u64,
+    pub incarnation: u64,
     /// The number of the question.
     pub id: u64,
     /// Whether the request may be sent.
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -23,7 +23,7 @@
     /// Its place among those of its failure domain.
     pub(super) rank: DaemonRank,
     /// Which life of it was heard.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     /// When it was heard last.
     pub(super) last_seen_ms: Option<u64>,
     /// When another told last that it hears it.
@@ -60,7 +60,7 @@
         Self {
             rank: entry.rank(),
             entry,
-            life: 0,
+            incarnation: 0,
             last_seen_ms: None,
             told_ms: Some(now_ms),
             every_ms: 0,
@@ -82,10 +82,12 @@
     /// Takes in a digest; returns whether it is news.
     pub(super) fn apply_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
         let known = self.hub.as_ref().map(|hub| &hub.digest);
-        if known.is_some_and(|k| k.life == digest.life && digest.sequence <= k.sequence) {
+        if known
+            .is_some_and(|k| k.incarnation == digest.incarnation && digest.sequence <= k.sequence)
+        {
             return false;
         }
-        self.note_life(digest.life);
+        self.note_life(digest.incarnation);
         self.set_entry(digest.daemon.clone());
         self.last_seen_ms = Some(now_ms);
         self.every_ms = u64::from(digest.every_ms);
@@ -107,10 +109,10 @@
 
     /// Takes in a report; returns whether it is news.
     pub(super) fn apply_report(&mut self, report: &Report, now_ms: u64) -> bool {
-        if self.life == report.life && report.sequence <= self.report_sequence {
+        if self.incarnation == report.incarnation && report.sequence <= self.report_sequence {
             return false;
         }
-        self.note_life(report.life);
+        self.note_life(report.incarnation);
         self.report_sequence = report.sequence;
         self.set_entry(report.daemon.clone());
         self.last_seen_ms = Some(now_ms);
@@ -124,9 +126,9 @@
         self.entry = entry;
     }
 
-    fn note_life(&mut self, life: u64) {
-        if self.life != life {
-            self.life = life;
+    fn note_life(&mut self, incarnation: u64) {
+        if self.incarnation != incarnation {
+            self.incarnation = incarnation;
             self.report_sequence = 0;
             self.level = 0;
             self.hub = None;
@@ -136,8 +138,12 @@
     /// Takes in what it tells of quotas; returns whether it is news. Parts of
     /// one telling have the same number.
     pub(super) fn apply_quotas(&mut self, part: &QuotasPart, now_ms: u64) -> bool {
-        let life = self.life;
-        let Some(hub) = self.hub.as_mut().filter(|_| part.life == life) else {
+        let incarnation = self.incarnation;
+        let Some(hub) = self
+            .hub
+            .as_mut()
+            .filter(|_| part.incarnation == incarnation)
+        else {
             return false;
         };
         if part.sequence < hub.quotas_sequence {
--- a/src/cluster/membership/peer_duties.rs
+++ b/src/cluster/membership/peer_duties.rs
@@ -20,7 +20,8 @@
             .live_hubs()
             .flat_map(|d| d.duty_daemons.iter().copied());
         let told = told.chain(self.reporting_duty_holders());
-        told.map(|d| ((d.address, d.life), d.holds)).collect()
+        told.map(|d| ((d.address, d.incarnation), d.holds))
+            .collect()
     }
 
     /// Returns the daemons that hold the duties without being hubs, by what they report:
@@ -32,7 +33,7 @@
         let members = live.filter(|p| p.as_hub().is_none());
         let holders = members.map(|p| DutyDaemon {
             address: p.entry.address,
-            life: p.life,
+            incarnation: p.incarnation,
             holds: true,
         });
         holders.collect()
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -212,7 +212,7 @@
     /// the same listener when it is heard again.
     pub fn listening_hubs(&self) -> BTreeSet<Listener> {
         let heard = self.hubs_anywhere().filter(|p| p.last_seen_ms.is_some());
-        heard.map(|p| (p.entry.address, p.life)).collect()
+        heard.map(|p| (p.entry.address, p.incarnation)).collect()
     }
 
     /// Returns the daemons of the own failure domain that fell silent: one that
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -63,7 +63,7 @@
             Extension::Leaving(part) => apply_leaving(gateway, &part),
             Extension::PermitQuery(ask) => answer_permit_ask(gateway, ask, from),
             Extension::PermitAnswer(answer) => {
-                if answer.life == gateway.incarnation {
+                if answer.incarnation == gateway.incarnation {
                     gateway.permit_client.apply(answer);
                 }
             }
@@ -93,7 +93,7 @@
         }
         Datagram::AdmissionQuery(ask) => answer_ask(gateway, ask, from).await,
         Datagram::Answer(answer) => {
-            if answer.life == gateway.incarnation {
+            if answer.incarnation == gateway.incarnation {
                 gateway.hub_client.apply(answer, has_permit);
             }
         }
@@ -102,7 +102,7 @@
         Datagram::Usage(part) => apply_usage(gateway, &part, from, now_ms).await,
         Datagram::UsageAck(heard) => {
             let mut announcers = gateway.usage_announcers.lock();
-            if let Some(announcer) = announcers.get_mut(&heard.life) {
+            if let Some(announcer) = announcers.get_mut(&heard.incarnation) {
                 announcer.apply(from, heard);
             }
         }
@@ -124,7 +124,7 @@
     let is_younger = part.age_ms <= gateway.hub_age_ms() + SAME_AGE_MS;
     let notices: Vec<_> = part.quotas.iter().map(AnnouncedAccount::notice).collect();
     let mut quotas = gateway.quotas.lock();
-    quotas.apply(&part.name, part.life, &notices, is_younger, now_ms);
+    quotas.apply(&part.name, part.incarnation, &notices, is_younger, now_ms);
 }
 
 async fn apply_report(gateway: &Gateway, report: &Report, now_ms: u64) {
@@ -188,17 +188,17 @@
     let counts = counts.map(|(name, n)| (name.as_str().into(), u64::from(*n)));
     let told = [(part.window, counts.collect())];
     // Its own counts, passed back by one that heard them, are counted here already.
-    if part.life != gateway.incarnation {
+    if part.incarnation != gateway.incarnation {
         let mut usage = gateway.usage.lock();
-        usage.merge(&part.name, part.life, &told);
-        usage.record_contact(&part.name, part.life, now_ms);
+        usage.merge(&part.name, part.incarnation, &told);
+        usage.record_contact(&part.name, part.incarnation, now_ms);
         if part.complete_before > 0 {
             usage.record_complete(&part.name, part.complete_before, now_ms);
         }
     }
     let heard = UsageAck {
         holder_incarnation: gateway.incarnation,
-        life: part.life,
+        incarnation: part.incarnation,
         number: part.number,
     };
     gateway
--- a/src/cluster/quotas/quotas_part.rs
+++ b/src/cluster/quotas/quotas_part.rs
@@ -10,7 +10,7 @@
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each telling of a life.
     pub sequence: u64,
     /// For how long it has run, in milliseconds.
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -50,7 +50,7 @@
         window: u64,
     ) -> Vec<UsagePart> {
         self.holders
-            .retain(|(address, life), _| *address != holder.0 || *life == holder.1);
+            .retain(|(address, incarnation), _| *address != holder.0 || *incarnation == holder.1);
         let view = self.holders.entry(holder).or_default();
         view.sent.clear();
         let lacking: Vec<(u64, AnnouncedCounts)> = own
@@ -72,7 +72,7 @@
             self.last_number += 1;
             let part = UsagePart {
                 name: daemon.0.to_string(),
-                life: daemon.1,
+                incarnation: daemon.1,
                 number: self.last_number,
                 complete_before,
                 window,
@@ -165,7 +165,7 @@
 /// A daemon that holds the duties or watches who does.
 struct DutyListener {
     address: SocketAddr,
-    life: u64,
+    incarnation: u64,
     /// Since when it is known to be one, by the steady clock.
     since_ms: u64,
 }
@@ -186,10 +186,10 @@
     since.retain(|daemon, _| known.contains_key(daemon));
     let others = known.into_keys().filter(|(at, _)| *at != own_address);
     others
-        .map(|(address, life)| DutyListener {
+        .map(|(address, incarnation)| DutyListener {
             address,
-            life,
-            since_ms: *since.entry((address, life)).or_insert(now_ms),
+            incarnation,
+            since_ms: *since.entry((address, incarnation)).or_insert(now_ms),
         })
         .collect()
 }
@@ -198,7 +198,7 @@
 async fn tell_own(gateway: &Gateway, listener: &DutyListener) -> bool {
     let counts = ReceivedUsage {
         name: gateway.settings.node.name.to_string(),
-        life: gateway.incarnation,
+        incarnation: gateway.incarnation,
         windows: gateway.usage.lock().newest(TOLD_WINDOWS),
     };
     let window = gateway.window_of(now_ms());
@@ -231,9 +231,9 @@
 ) -> bool {
     let parts = {
         let mut announcers = gateway.usage_announcers.lock();
-        let announcer = announcers.entry(counts.life).or_default();
-        let daemon = (counts.name.as_str(), counts.life);
-        let to = (listener.address, listener.life);
+        let announcer = announcers.entry(counts.incarnation).or_default();
+        let daemon = (counts.name.as_str(), counts.incarnation);
+        let to = (listener.address, listener.incarnation);
         announcer.parts(daemon, to, &counts.windows, window)
     };
     let is_heard = parts.is_empty();
--- a/src/cluster/usage/usage_part.rs
+++ b/src/cluster/usage/usage_part.rs
@@ -10,7 +10,7 @@
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each part of a life.
     pub number: u64,
     /// All windows before this one are over, and the holder has heard all of
@@ -28,7 +28,7 @@
     /// Which life of the holder.
     pub holder_incarnation: u64,
     /// Which life of the daemon counted.
-    pub life: u64,
+    pub incarnation: u64,
     /// The part's number.
     pub number: u64,
 }
--- a/src/cluster/versions/versions_announcer.rs
+++ b/src/cluster/versions/versions_announcer.rs
@@ -42,7 +42,7 @@
         let counts = outcomes.get(service.as_str())?.counts(order);
         (!counts.is_empty()).then(|| VersionsPart {
             name: gateway.settings.node.name.to_string(),
-            life: gateway.incarnation,
+            incarnation: gateway.incarnation,
             service,
             order,
             counts,
--- a/src/cluster/versions/versions_part.rs
+++ b/src/cluster/versions/versions_part.rs
@@ -11,7 +11,7 @@
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// The service.
     pub service: String,
     /// The order that they are counted from.
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Default)]
 struct Heard {
-    life: u64,
+    incarnation: u64,
     order: u64,
     counts: HashMap<u32, VersionCounts>,
 }
@@ -40,9 +40,9 @@
     pub fn apply(&mut self, part: VersionsPart) {
         let key = (part.service.clone(), part.name);
         let heard = self.heard.entry(key).or_default();
-        if heard.life != part.life || heard.order != part.order {
+        if heard.incarnation != part.incarnation || heard.order != part.order {
             *heard = Heard {
-                life: part.life,
+                incarnation: part.incarnation,
                 order: part.order,
                 counts: HashMap::new(),
             };
--- a/src/names/upstream_id.rs
+++ b/src/names/upstream_id.rs
@@ -16,15 +16,16 @@
     /// Returns the id that all lives of the upstream have in common: the one that it
     /// knows itself by.
     pub fn upstream(&self) -> &str {
-        self.life().map_or(self.as_str(), |(upstream, _)| upstream)
+        self.incarnation()
+            .map_or(self.as_str(), |(upstream, _)| upstream)
     }
 
     /// Returns when this life began, in Unix milliseconds; 0 if that was never told.
     pub fn started_ms(&self) -> u64 {
-        self.life().map_or(0, |(_, started_ms)| started_ms)
+        self.incarnation().map_or(0, |(_, started_ms)| started_ms)
     }
 
-    fn life(&self) -> Option<(&str, u64)> {
+    fn incarnation(&self) -> Option<(&str, u64)> {
         let (upstream, started) = self.as_str().rsplit_once(INCARNATION_MARK)?;
         Some((upstream, u64::from_str_radix(started, 16).ok()?))
     }
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -15,7 +15,7 @@
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its counts by window.
     pub windows: Vec<(u64, AccountCounts)>,
 }
@@ -56,8 +56,8 @@
     /// last heard before `before_ms`.
     pub fn heard(&self, from_window: u64, before_ms: u64) -> Vec<ReceivedUsage> {
         let mut heard = Vec::new();
-        for ((name, life), windows) in &self.others {
-            let last_seen_ms = self.last_seen_ms.get(&(name.clone(), *life));
+        for ((name, incarnation), windows) in &self.others {
+            let last_seen_ms = self.last_seen_ms.get(&(name.clone(), *incarnation));
             if last_seen_ms.is_some_and(|at_ms| *at_ms >= before_ms) {
                 continue;
             }
@@ -66,7 +66,7 @@
             if !late.is_empty() {
                 heard.push(ReceivedUsage {
                     name: name.clone(),
-                    life: *life,
+                    incarnation: *incarnation,
                     windows: late,
                 });
             }
--- a/tests/decisions/cluster_support.rs
+++ b/tests/decisions/cluster_support.rs
@@ -48,7 +48,7 @@
     });
     LoadsPart {
         name: "n".into(),
-        life: 1,
+        incarnation: 1,
         sequence,
         part,
         parts,
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -24,7 +24,7 @@
     for quotas in parts {
         let part = Datagram::Quotas(QuotasPart {
             name: "edge-zone-a-17".into(),
-            life: u64::MAX,
+            incarnation: u64::MAX,
             sequence: 1,
             age_ms: 1,
             quotas,
@@ -94,13 +94,13 @@
             limits: vec![told_limit(1)],
         }),
         Extension::PermitQuery(PermitQuery {
-            life: u64::MAX,
+            incarnation: u64::MAX,
             id: 7,
             is_passed_on: true,
             limit: told_limit(2),
         }),
         Extension::PermitAnswer(PermitAnswer {
-            life: u64::MAX,
+            incarnation: u64::MAX,
             id: 7,
             is_granted: false,
             wait_ms: 300,
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -303,7 +303,7 @@
     let by_offsets = encode(&theirs.changes_since(None)).unwrap();
     assert!(packed.len() * 2 < by_offsets.len(), "{}", by_offsets.len());
     let update = FeedUpdate {
-        life: 5,
+        incarnation: 5,
         source_age_ms: Some(300),
         config_version: 41,
         config: None,
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -40,8 +40,8 @@
 
 fn upstream(of: usize, said: Said, offset: usize) -> Option<Upstream> {
     let (started_ms, draining) = match said {
-        Said::Ready(life) => (life, false),
-        Said::Draining(life) => (life, true),
+        Said::Ready(incarnation) => (incarnation, false),
+        Said::Draining(incarnation) => (incarnation, true),
         Said::Nothing => return None,
     };
     Some(Upstream {
@@ -77,11 +77,11 @@
         let of = rng.random_range(0..UPSTREAMS);
         let mine = self.log.iter().filter(|(other, _)| *other == of);
         let said: Vec<Said> = mine.map(|(_, said)| *said).collect();
-        let life = |said: &Said| match said {
-            Said::Ready(life) | Said::Draining(life) => Some(*life),
+        let incarnation = |said: &Said| match said {
+            Said::Ready(incarnation) | Said::Draining(incarnation) => Some(*incarnation),
             Said::Nothing => None,
         };
-        let newest = said.iter().filter_map(life).max().unwrap_or(0);
+        let newest = said.iter().filter_map(incarnation).max().unwrap_or(0);
         let has_drained = said.contains(&Said::Draining(newest));
         let next = match rng.random_range(0..5) {
             0 => Said::Nothing,
@@ -199,8 +199,8 @@
                     continue;
                 }
                 let expected = match newest.get(&of) {
-                    Some((_, Said::Ready(life))) => {
-                        Some(UpstreamId::of_incarnation(&key(of), *life))
+                    Some((_, Said::Ready(incarnation))) => {
+                        Some(UpstreamId::of_incarnation(&key(of), *incarnation))
                     }
                     _ => None,
                 };
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -18,7 +18,7 @@
 fn report(n: usize, sequence: u64) -> Report {
     Report {
         daemon: entry(&format!("n{n}"), &domain(n), n),
-        life: 1,
+        incarnation: 1,
         sequence,
         every_ms: 500,
         leans_on_you: true,
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -86,7 +86,7 @@
         let table = &self.daemons[from].table;
         let report = Report {
             daemon: table.own().clone(),
-            life: 1,
+            incarnation: 1,
             sequence: self.sequence,
             every_ms: every_ms as u32,
             leans_on_you: false,
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -27,7 +27,7 @@
     );
     let quotas = QuotasPart {
         name: "n".into(),
-        life: 1,
+        incarnation: 1,
         sequence: 1,
         age_ms: 0,
         quotas: vec![told_account(1)],
@@ -70,7 +70,7 @@
     peers.apply_digest(digest, 1_000);
     let quotas = QuotasPart {
         name: "n".into(),
-        life: 1,
+        incarnation: 1,
         sequence: 1,
         age_ms: 0,
         quotas: vec![told_account(1)],
@@ -152,7 +152,7 @@
         let domain = daemon.domain.clone();
         let report = Report {
             daemon,
-            life: 1,
+            incarnation: 1,
             sequence: self.sequence,
             every_ms: 2 * ROUND_MS as u32,
             leans_on_you: true,
@@ -360,7 +360,7 @@
 fn report_of(name: &str, daemon: usize, sequence: u64, holds_duties: bool) -> Report {
     Report {
         daemon: entry(name, "a", daemon),
-        life: 5,
+        incarnation: 5,
         sequence,
         every_ms: 500,
         leans_on_you: true,
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -61,7 +61,7 @@
     digest.status = status();
     digest.duty_daemons = vec![DutyDaemon {
         address: address(4),
-        life: 12,
+        incarnation: 12,
         holds: true,
     }];
     digest.demand = vec![("llm".into(), 1_234.5)];
@@ -97,7 +97,7 @@
     ];
     Report {
         daemon: entry("edge-3", 3),
-        life: 5,
+        incarnation: 5,
         sequence: 6,
         every_ms: 500,
         leans_on_you: true,
@@ -113,7 +113,7 @@
 fn ask() -> AdmissionQuery {
     AdmissionQuery {
         name: "edge-3".into(),
-        life: 5,
+        incarnation: 5,
         id: 300,
         request: "9c41d07be2a35f68".into(),
         quota: Some(QuotaQuery {
@@ -153,14 +153,14 @@
     let answers = verdicts.into_iter().map(|(kind, verdict)| {
         let answer = Answer {
             id: 300,
-            life: 5,
+            incarnation: 5,
             verdict,
         };
         (kind, Datagram::Answer(answer))
     });
     let quotas = QuotasPart {
         name: "edge-1".into(),
-        life: u64::MAX,
+        incarnation: u64::MAX,
         sequence: 70_000,
         age_ms: 90_000,
         quotas: vec![AnnouncedAccount {
@@ -173,7 +173,7 @@
     };
     let loads = LoadsPart {
         name: "edge-1".into(),
-        life: u64::MAX,
+        incarnation: u64::MAX,
         sequence: 70_000,
         part: 1,
         parts: 2,
@@ -186,7 +186,7 @@
     };
     let usage = UsagePart {
         name: "edge-1".into(),
-        life: 5,
+        incarnation: 5,
         number: 8,
         complete_before: 353_445_119,
         window: 353_445_120,
@@ -194,7 +194,7 @@
     };
     let heard = UsageAck {
         holder_incarnation: 12,
-        life: 5,
+        incarnation: 5,
         number: 8,
     };
     let counts = VersionCounts {
@@ -206,7 +206,7 @@
     };
     let versions = VersionsPart {
         name: "edge-1".into(),
-        life: 5,
+        incarnation: 5,
         service: "llm".into(),
         order: 9,
         counts: vec![(77, counts)],
@@ -247,7 +247,7 @@
 /// Returns a question for news.
 pub fn feed_ask() -> FeedQuery {
     FeedQuery {
-        life: 5,
+        incarnation: 5,
         told: DirectoryCursor {
             revision: 41,
             position: 900,
@@ -260,7 +260,7 @@
 /// Returns news.
 pub fn feed_news() -> FeedReply {
     FeedReply {
-        life: 5,
+        incarnation: 5,
         source_age_ms: Some(300),
         config_version: 41,
         config: None,
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -12,7 +12,7 @@
 fn report(sequence: u64, events: &[(u64, MemberEvent)], alone: u64) -> Report {
     Report {
         daemon: entry("m", "a", 9),
-        life: 1,
+        incarnation: 1,
         sequence,
         every_ms: 500,
         leans_on_you: true,
@@ -45,7 +45,7 @@
 fn ask(id: u64) -> AdmissionQuery {
     AdmissionQuery {
         name: "n".into(),
-        life: 1,
+        incarnation: 1,
         id,
         request: "r".into(),
         quota: None,
@@ -192,7 +192,7 @@
     peers.apply_digest(digest_of("n", 1), 1_000);
     let mut part = QuotasPart {
         name: "n".into(),
-        life: 1,
+        incarnation: 1,
         sequence: 1,
         age_ms: 0,
         quotas: vec![told_account(1)],
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -107,14 +107,14 @@
                 }
                 let node = from.to_string();
                 let is_younger = self.started_ms[from] >= self.started_ms[to];
-                let life = self.lives[from];
+                let incarnation = self.lives[from];
                 let heard = self.heard[to].entry(from).or_default();
                 heard.0 = now_ms;
                 if notices.is_empty() || self.rng.random_bool(self.loss) {
                     continue;
                 }
                 heard.1 = notices.clone();
-                self.books[to].apply(&node, life, &notices, is_younger, now_ms);
+                self.books[to].apply(&node, incarnation, &notices, is_younger, now_ms);
             }
         }
     }
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -39,7 +39,7 @@
                     address(0),
                     UsageAck {
                         holder_incarnation: 99,
-                        life: 1,
+                        incarnation: 1,
                         number,
                     },
                 );
@@ -61,9 +61,9 @@
     let mut own = UsageWindows::default();
     own.note(7, &ClientAccount::from("t"));
     let mut teller = UsageAnnouncer::default();
-    let heard = |parts: &[UsagePart], life| UsageAck {
-        holder_incarnation: life,
-        life: 1,
+    let heard = |parts: &[UsagePart], incarnation| UsageAck {
+        holder_incarnation: incarnation,
+        incarnation: 1,
         number: parts[0].number,
     };
     let parts = teller.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
@@ -91,7 +91,7 @@
     assert_eq!(first_holder.heard(7, 4_000).len(), 1);
     for heard in first_holder.heard(7, 6_000) {
         let mut teller = UsageAnnouncer::default();
-        let daemon = (heard.name.as_str(), heard.life);
+        let daemon = (heard.name.as_str(), heard.incarnation);
         let parts = teller.parts(daemon, (address(1), 6), &heard.windows, 0);
         for part in parts {
             assert_eq!(
@@ -100,12 +100,16 @@
             );
             let told = part.counts.iter();
             let told = told.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
-            second_holder.merge(&part.name, part.life, &[(part.window, told.collect())]);
+            second_holder.merge(
+                &part.name,
+                part.incarnation,
+                &[(part.window, told.collect())],
+            );
             teller.apply(
                 address(1),
                 UsageAck {
                     holder_incarnation: 6,
-                    life: part.life,
+                    incarnation: part.incarnation,
                     number: part.number,
                 },
             );
@@ -130,7 +134,7 @@
         for part in teller.parts(("n", 1), (address(0), 5), &own.newest(8), window) {
             let heard = UsageAck {
                 holder_incarnation: 5,
-                life: 1,
+                incarnation: 1,
                 number: part.number,
             };
             teller.apply(address(0), heard);
--- a/tests/gateway/restart_soak.rs
+++ b/tests/gateway/restart_soak.rs
@@ -115,10 +115,10 @@
     }
 
     fn enter(&self, index: usize, state: &str, sequence: u64) {
-        let Some(life) = &self.lives[index] else {
+        let Some(incarnation) = &self.lives[index] else {
             return;
         };
-        let mut entry = entry(life.address, state, sequence);
+        let mut entry = entry(incarnation.address, state, sequence);
         entry["born"] = json!(self.clock_ms);
         self.store.put("keyed.servers", &Self::id(index), &entry);
     }
@@ -132,7 +132,9 @@
     /// An upstream ends in one way or another and starts again under its id.
     async fn restart(&mut self, rng: &mut ChaCha8Rng) {
         let index = rng.random_range(0..UPSTREAMS);
-        let old = self.lives[index].as_ref().map(|life| life.address);
+        let old = self.lives[index]
+            .as_ref()
+            .map(|incarnation| incarnation.address);
         let pause = Duration::from_millis(rng.random_range(0..300));
         match rng.random_range(0..4) {
             0 => {}
