--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -34,7 +34,7 @@
         let news = news.expect("told");
         let mut packed = Default::default();
         let packed_ms = timed(|| {
-            packed = pack_upstreams(&news.upstreams, &news.gone).expect("packed");
+            packed = pack_upstreams(&news.upstreams, &news.removed_ids).expect("packed");
         });
         let applied_ms = timed(|| follower.apply_update(news));
         let service = ServiceName::from("s");
--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -141,7 +141,7 @@
             return Ok((told, is_complete, packed));
         }
         let news = self.gateway.directory.read().update_since(known);
-        let packed = pack_upstreams(&news.upstreams, &news.gone)?;
+        let packed = pack_upstreams(&news.upstreams, &news.removed_ids)?;
         let since = known.filter(|_| !news.is_complete).map(|k| k.revision);
         let mut kept = self.packed.lock();
         kept.keep(news.told.revision, since, packed.clone());
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -105,9 +105,9 @@
 /// Returns what can't be encoded.
 pub fn pack_upstreams(
     upstreams: &[PresentUpstream],
-    gone: &[UpstreamId],
+    removed_ids: &[UpstreamId],
 ) -> Result<Bytes, PackError> {
-    pack(&(upstreams, gone))
+    pack(&(upstreams, removed_ids))
 }
 
 impl FeedUpdate {
@@ -117,12 +117,12 @@
     ///
     /// Returns what is wrong with the bytes.
     pub fn directory(&self) -> Result<DirectoryUpdate, PackError> {
-        let (upstreams, gone) = unpack(&self.packed)?;
+        let (upstreams, removed_ids) = unpack(&self.packed)?;
         Ok(DirectoryUpdate {
             told: self.told,
             is_complete: self.is_complete,
             upstreams,
-            gone,
+            removed_ids,
         })
     }
 }
--- a/src/upstreams/directory_changes.rs
+++ b/src/upstreams/directory_changes.rs
@@ -24,5 +24,5 @@
     /// Upstreams as they are now.
     pub upstreams: Vec<Upstream>,
     /// Upstreams that are gone.
-    pub gone: Vec<UpstreamId>,
+    pub removed_ids: Vec<UpstreamId>,
 }
--- a/src/upstreams/directory_notes.rs
+++ b/src/upstreams/directory_notes.rs
@@ -10,13 +10,13 @@
     /// Those that began to leave, with the offsets at which they said so.
     pub leaving: Vec<(UpstreamId, u64)>,
     /// Those whose entries went, with the offsets of these.
-    pub gone: Vec<(UpstreamId, u64)>,
+    pub removed_ids: Vec<(UpstreamId, u64)>,
 }
 
 impl DirectoryNotes {
     /// Logs a line for each kind of news there is.
     pub fn log(&self, revision: u64) {
-        for (what, upstreams) in [("leave", &self.leaving), ("gone", &self.gone)] {
+        for (what, upstreams) in [("leave", &self.leaving), ("gone", &self.removed_ids)] {
             if upstreams.is_empty() {
                 continue;
             }
--- a/src/upstreams/directory_update.rs
+++ b/src/upstreams/directory_update.rs
@@ -25,5 +25,5 @@
     /// Upstreams as they are now.
     pub upstreams: Vec<PresentUpstream>,
     /// Upstreams that are gone.
-    pub gone: Vec<UpstreamId>,
+    pub removed_ids: Vec<UpstreamId>,
 }
--- a/src/upstreams/followed_view.rs
+++ b/src/upstreams/followed_view.rs
@@ -36,7 +36,7 @@
             self.told.clear();
             self.known_elsewhere.extend(known.keys().cloned());
         }
-        for id in &news.gone {
+        for id in &news.removed_ids {
             self.told.remove(id);
             if known.contains_key(id) {
                 self.known_elsewhere.insert(id.clone());
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -49,7 +49,7 @@
     /// Of such a source, the upstreams whose answers said that they leave: nothing else
     /// tells that one is another life.
     left: HashSet<UpstreamId>,
-    gone: RemovedUpstreams,
+    removed_ids: RemovedUpstreams,
     /// With which revision each changed last.
     changed: RevisionIndex,
     /// Entries that went while their source was away, with until when they may
@@ -78,7 +78,7 @@
     /// a change, which those have to be told that heard it go.
     fn take_in_one(&mut self, mut upstream: Upstream, since: u64) -> bool {
         let id = upstream.id.clone();
-        if self.gone.had_left(&id) || self.lives.is_over(&id) {
+        if self.removed_ids.had_left(&id) || self.lives.is_over(&id) {
             return false;
         }
         let known = self.get(&id).cloned();
@@ -87,7 +87,7 @@
             Some(known) if upstream.offset < known.offset && !upstream.draining => return false,
             _ => {}
         }
-        self.gone.forget(&id);
+        self.removed_ids.forget(&id);
         if let Some(before) = self.lives.note(&id) {
             self.forget(&before);
         }
@@ -131,7 +131,7 @@
     /// away, or may not have taken the word.
     pub fn mark_leaving(&mut self, id: &UpstreamId) -> bool {
         let Some(known) = self.get(id).cloned() else {
-            self.gone.note_left(id);
+            self.removed_ids.note_left(id);
             return false;
         };
         if self.has_own_source {
@@ -225,12 +225,12 @@
         let Some(upstream) = removed else {
             return;
         };
-        self.notes.gone.push((id.clone(), upstream.offset));
+        self.notes.removed_ids.push((id.clone(), upstream.offset));
         // What a file lists again is there again.
         let left_for_good = upstream.draining && !self.has_own_source;
-        self.gone.note(id, left_for_good, self.revision);
+        self.removed_ids.note(id, left_for_good, self.revision);
         let most = MIN_GONE.max(GONE_PER_KNOWN * self.service_of.len());
-        for forgotten in self.gone.forget_first(most) {
+        for forgotten in self.removed_ids.forget_first(most) {
             self.lives.forget(&forgotten);
         }
     }
@@ -310,15 +310,15 @@
     /// Returns what has changed since it was told last; everything, if that can't be
     /// told one by one.
     pub fn update_since(&self, last: Option<DirectoryCursor>) -> DirectoryUpdate {
-        let (upstreams, gone) = match last.filter(|_| !self.is_usage_complete(last)) {
+        let (upstreams, removed_ids) = match last.filter(|_| !self.is_usage_complete(last)) {
             None => (self.all().map(|u| self.present(u)).collect(), Vec::new()),
             Some(last) => {
                 let changed = self.changed.since(last.revision);
                 let changed = changed.filter_map(|id| self.get(id));
-                let gone = self.gone.since(last.revision);
+                let removed_ids = self.removed_ids.since(last.revision);
                 (
                     changed.map(|u| self.present(u)).collect(),
-                    gone.cloned().collect(),
+                    removed_ids.cloned().collect(),
                 )
             }
         };
@@ -326,7 +326,7 @@
             told: self.told(),
             is_complete: self.is_usage_complete(last),
             upstreams,
-            gone,
+            removed_ids,
         }
     }
 
@@ -364,7 +364,7 @@
     }
 
     fn has_all_since(&self, revision: u64) -> bool {
-        revision <= self.revision && self.gone.has_all_since(revision)
+        revision <= self.revision && self.removed_ids.has_all_since(revision)
     }
 
     /// Returns the same for a daemon of a build that goes by offsets: it is told of each
@@ -385,7 +385,7 @@
                 || upstream.offset >= last.position
                 || self.changed.is_since(&upstream.id, last.revision)
         };
-        let gone = (!is_complete).then(|| self.gone.since(last.revision));
+        let removed_ids = (!is_complete).then(|| self.removed_ids.since(last.revision));
         DirectoryChanges {
             told: DirectoryCursor {
                 revision: self.revision,
@@ -397,7 +397,7 @@
                 .filter(is_change)
                 .map(|u| self.at_position(u, position))
                 .collect(),
-            gone: gone.into_iter().flatten().cloned().collect(),
+            removed_ids: removed_ids.into_iter().flatten().cloned().collect(),
         }
     }
 
@@ -422,9 +422,9 @@
         }
         let lacked = self.lacked_by(&changes.upstreams).into_iter();
         let is_told = |id: &UpstreamId| self.get(id).is_some_and(|u| u.offset >= changes.all_since);
-        let mut gone: Vec<UpstreamId> = lacked.filter(is_told).collect();
-        gone.extend(changes.gone);
-        for id in gone {
+        let mut removed_ids: Vec<UpstreamId> = lacked.filter(is_told).collect();
+        removed_ids.extend(changes.removed_ids);
+        for id in removed_ids {
             let is_older = self.get(&id).is_some_and(|known| known.offset < position);
             if is_older {
                 self.forget(&id);
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -225,7 +225,7 @@
     assert_eq!(theirs.changes_since(Some(early)).all_since, 0, "the whole");
     let changes = theirs.changes_since(Some(late));
     assert_ne!(changes.all_since, 0);
-    assert_eq!(changes.gone.len(), 999);
+    assert_eq!(changes.removed_ids.len(), 999);
 }
 
 /// Followers were told each word of each upstream, also those that only say that it lives:
@@ -249,7 +249,7 @@
         }
         let news = theirs.update_since(Some(known));
         assert_eq!(
-            (news.upstreams.len(), news.gone.len()),
+            (news.upstreams.len(), news.removed_ids.len()),
             (0, 0),
             "of {fleet}"
         );
@@ -262,7 +262,7 @@
         theirs.read_to(position + 2);
         let news = theirs.update_since(Some(known));
         assert_eq!(
-            (news.upstreams.len(), news.gone.len()),
+            (news.upstreams.len(), news.removed_ids.len()),
             (1, 1),
             "of {fleet}"
         );
@@ -298,7 +298,7 @@
     let listing = (0..2_000).map(|n| upstream(n, u64::from(n) + 1)).collect();
     theirs.replace(listing, 2_001, None);
     let news = theirs.update_since(None);
-    let packed = pack_upstreams(&news.upstreams, &news.gone).unwrap();
+    let packed = pack_upstreams(&news.upstreams, &news.removed_ids).unwrap();
     assert!(packed.len() < 40 * news.upstreams.len(), "{}", packed.len());
     let by_offsets = encode(&theirs.changes_since(None)).unwrap();
     assert!(packed.len() * 2 < by_offsets.len(), "{}", by_offsets.len());
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -282,7 +282,7 @@
                 reclaimable: true,
                 offset: 903,
             }],
-            gone: vec![UpstreamId::from("i-2")],
+            removed_ids: vec![UpstreamId::from("i-2")],
         },
         rollouts: vec![rollout()],
     }
--- a/tests/decisions/lives.rs
+++ b/tests/decisions/lives.rs
@@ -52,7 +52,10 @@
         [(UpstreamId::of_incarnation("b", 2_000), 2)]
     );
     let changes = directory.changes_since(Some(told));
-    assert_eq!(changes.gone, [UpstreamId::of_incarnation("b", 1_000)]);
+    assert_eq!(
+        changes.removed_ids,
+        [UpstreamId::of_incarnation("b", 1_000)]
+    );
 }
 
 #[test]
