--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -310,7 +310,7 @@
     /// Returns what has changed since it was told last; everything, if that can't be
     /// told one by one.
     pub fn update_since(&self, last: Option<DirectoryCursor>) -> DirectoryUpdate {
-        let (upstreams, removed_ids) = match last.filter(|_| !self.is_usage_complete(last)) {
+        let (upstreams, removed_ids) = match last.filter(|_| !self.sends_full(last)) {
             None => (self.all().map(|u| self.present(u)).collect(), Vec::new()),
             Some(last) => {
                 let changed = self.changed.since(last.revision);
@@ -324,14 +324,14 @@
         };
         DirectoryUpdate {
             told: self.told(),
-            is_complete: self.is_usage_complete(last),
+            is_complete: self.sends_full(last),
             upstreams,
             removed_ids,
         }
     }
 
     /// Returns whether what has changed since it was told last can't be told one by one.
-    pub fn is_usage_complete(&self, last: Option<DirectoryCursor>) -> bool {
+    pub fn sends_full(&self, last: Option<DirectoryCursor>) -> bool {
         !last.is_some_and(|t| t.position > 0 && self.has_all_since(t.revision))
     }
 
