--- a/src/cluster/hubs/mod.rs
+++ b/src/cluster/hubs/mod.rs
@@ -1,7 +1,6 @@
 //! What hubs and the daemons that ask them tell each other.
 
 mod ask;
-mod ask_answers;
 mod cooldowns_part;
 mod digest;
 mod digest_announcer;
@@ -10,6 +9,7 @@
 mod hub_client;
 mod loads_part;
 mod member_table;
+mod query_answers;
 mod report;
 mod report_announcer;
 
@@ -17,4 +17,4 @@
     ask::*, cooldowns_part::*, digest::*, event_log::*, former_listeners::*, hub_client::*,
     loads_part::*, member_table::*, report::*,
 };
-pub(super) use {ask_answers::*, digest_announcer::*, report_announcer::*};
+pub(super) use {digest_announcer::*, query_answers::*, report_announcer::*};
