--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -72,7 +72,7 @@
         quota: Option<QuotaQuery>,
         place: PlacementQuery,
     ) -> Option<ReceivedDecision> {
-        let hubs = self.hubs_to_ask(gateway);
+        let hubs = self.hubs_to_query(gateway);
         let (open, mut answers) = self.open();
         let ask = AdmissionQuery {
             name: gateway.settings.node.name.to_string(),
@@ -132,7 +132,7 @@
         (OpenQuery { desk: self, id }, rx)
     }
 
-    fn hubs_to_ask(&self, gateway: &Gateway) -> Vec<SocketAddr> {
+    fn hubs_to_query(&self, gateway: &Gateway) -> Vec<SocketAddr> {
         let hubs = gateway.peers.lock().own_hubs();
         let now_ms = gateway.steady_ms();
         let state = self.state.lock();
@@ -146,7 +146,7 @@
 
     /// Returns the hub through which requests are let in now.
     pub fn leans_on(&self, gateway: &Gateway) -> Option<SocketAddr> {
-        self.hubs_to_ask(gateway).first().copied()
+        self.hubs_to_query(gateway).first().copied()
     }
 
     /// Returns up to which number all questions are counted in at upstreams, or
