--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -86,7 +86,7 @@
         let hold = Duration::from_millis(u64::from(max_wait_ms)) + HOLD_GRACE;
         let datagram = Datagram::AdmissionQuery(ask);
         for hub in hubs {
-            match self.ask_hub(gateway, hub, &datagram, &mut answers).await {
+            match self.query_hub(gateway, hub, &datagram, &mut answers).await {
                 // It said that it would answer later.
                 Some(heard) if heard.verdict == HubDecision::Held => {
                     if let Some(heard) = decided_within(hold, &mut answers).await {
@@ -101,7 +101,7 @@
     }
 
     /// Asks one hub, some times if it doesn't answer; returns its first answer.
-    async fn ask_hub(
+    async fn query_hub(
         &self,
         gateway: &Gateway,
         hub: SocketAddr,
