--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -61,7 +61,7 @@
     async fn turn(&mut self, is_woken: bool) -> bool {
         let now_ms = self.gateway.steady_ms();
         let is_starting = self.is_starting(now_ms);
-        let asks_all = is_starting && self.ask_seed(now_ms).await;
+        let asks_all = is_starting && self.query_seed(now_ms).await;
         if !self.gateway.is_hub() {
             self.report(asks_all, is_woken, now_ms).await;
         }
@@ -78,7 +78,7 @@
     }
 
     /// Asks a seed who the others are, if that is due; returns whether it was.
-    async fn ask_seed(&mut self, now_ms: u64) -> bool {
+    async fn query_seed(&mut self, now_ms: u64) -> bool {
         let gateway = &self.gateway;
         let seeds = &gateway.settings.peers.seeds;
         let Some(ask) = self.seed_backoff.ask(seeds.len(), gateway.draw(), now_ms) else {
