--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -28,7 +28,7 @@
         while gateway.lacks_config() {
             let reads_source = *gateway.reads_source.borrow();
             if lack.queries_daemons(reads_source, gateway.steady_ms()) {
-                ask_one(&gateway, &client, &mut lack).await;
+                query_one(&gateway, &client, &mut lack).await;
             }
             gateway.set_reads_config(lack.needs_source(gateway.steady_ms()));
             if gateway.lacks_config() {
@@ -40,7 +40,7 @@
     }
 }
 
-async fn ask_one(gateway: &Gateway, client: &HttpClient, lack: &mut MissingConfig) {
+async fn query_one(gateway: &Gateway, client: &HttpClient, lack: &mut MissingConfig) {
     let Some(peer) = drawn_holder(gateway) else {
         return;
     };
