--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -157,7 +157,7 @@
         if !self.forms.asks_updates(daemon, level) {
             return self.ask_by_offsets(daemon).await;
         }
-        match self.ask_for_updates(daemon).await {
+        match self.query_updates(daemon).await {
             Err(e) if lacks_path(&e) => {
                 self.forms.note_refused(daemon);
                 self.ask_by_offsets(daemon).await
@@ -166,7 +166,7 @@
         }
     }
 
-    async fn ask_for_updates(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
+    async fn query_updates(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let answer = self.post(daemon, UPDATE_PATH, true).await?;
         decode::<FeedUpdate>(&answer)?.try_into()
     }
