--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -155,12 +155,12 @@
     async fn ask(&mut self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let level = self.gateway.peers.lock().level_at(daemon);
         if !self.forms.asks_updates(daemon, level) {
-            return self.ask_by_offsets(daemon).await;
+            return self.query_by_offsets(daemon).await;
         }
         match self.query_updates(daemon).await {
             Err(e) if lacks_path(&e) => {
                 self.forms.note_refused(daemon);
-                self.ask_by_offsets(daemon).await
+                self.query_by_offsets(daemon).await
             }
             heard => heard,
         }
@@ -171,7 +171,7 @@
         decode::<FeedUpdate>(&answer)?.try_into()
     }
 
-    async fn ask_by_offsets(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
+    async fn query_by_offsets(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let answer = self.post(daemon, NEWS_PATH, false).await?;
         Ok(decode::<FeedReply>(&answer)?.into())
     }
