--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -56,7 +56,7 @@
             return local_response(StatusCode::BAD_REQUEST, "expected a short question");
         };
         let answer = match decode::<ConfigQuery>(&body.to_bytes()) {
-            Ok(ask) => self.answer_ask(ask),
+            Ok(ask) => self.answer_query(ask),
             Err(e) => return local_response(StatusCode::BAD_REQUEST, &e.to_string()),
         };
         answer.unwrap_or_else(|e| {
@@ -65,7 +65,7 @@
         })
     }
 
-    fn answer_ask(&self, ask: ConfigQuery) -> Result<Response<AnswerBody>, FeedError> {
+    fn answer_query(&self, ask: ConfigQuery) -> Result<Response<AnswerBody>, FeedError> {
         // Read before the configuration: a place that is too early only has a
         // version read once more, one that is too late would hide a version.
         let position = *self.gateway.config_position.lock();
--- a/src/cluster/hubs/query_answers.rs
+++ b/src/cluster/hubs/query_answers.rs
@@ -5,7 +5,7 @@
 
 /// Answers a question of a daemon that reports to this one: at once, or later where the
 /// request is held or a permit has to be asked for.
-pub(in crate::cluster) async fn answer_ask(
+pub(in crate::cluster) async fn answer_query(
     gateway: &Arc<Gateway>,
     ask: AdmissionQuery,
     from: SocketAddr,
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -91,7 +91,7 @@
             apply_report(gateway, &report, now_ms).await;
             gateway.peers.lock().note_level(&report.daemon.name, level);
         }
-        Datagram::AdmissionQuery(ask) => answer_ask(gateway, ask, from).await,
+        Datagram::AdmissionQuery(ask) => answer_query(gateway, ask, from).await,
         Datagram::Answer(answer) => {
             if answer.incarnation == gateway.incarnation {
                 gateway.hub_client.apply(answer, has_permit);
