--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -13,7 +13,7 @@
 }
 
 /// Answers a daemon's question for a permit.
-pub(in crate::cluster) fn answer_permit_ask(
+pub(in crate::cluster) fn answer_permit_query(
     gateway: &Arc<Gateway>,
     ask: PermitQuery,
     from: SocketAddr,
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -61,7 +61,7 @@
             }
             Extension::Limits(part) => apply_limits(gateway, &part),
             Extension::Leaving(part) => apply_leaving(gateway, &part),
-            Extension::PermitQuery(ask) => answer_permit_ask(gateway, ask, from),
+            Extension::PermitQuery(ask) => answer_permit_query(gateway, ask, from),
             Extension::PermitAnswer(answer) => {
                 if answer.incarnation == gateway.incarnation {
                     gateway.permit_client.apply(answer);
