--- a/src/cluster/hubs/query_answers.rs
+++ b/src/cluster/hubs/query_answers.rs
@@ -75,5 +75,5 @@
         }
     }
     let domain = gateway.domain().clone();
-    gateway.place_asked(&ask, service, domain).await
+    gateway.place_queried(&ask, service, domain).await
 }
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -206,7 +206,7 @@
     }
 
     /// Places a request of another daemon, and takes its prompt as kept there.
-    pub async fn place_asked(
+    pub async fn place_queried(
         &self,
         ask: &AdmissionQuery,
         service: ServiceName,
