--- a/src/cluster/feed/feed_forms.rs
+++ b/src/cluster/feed/feed_forms.rs
@@ -14,7 +14,7 @@
 impl FeedForms {
     /// Returns whether a daemon is asked for updates. `level` is up to which kind of
     /// extension it knows all, zero if it has not told that.
-    pub fn asks_updates(&self, daemon: SocketAddr, level: u8) -> bool {
+    pub fn supports_updates(&self, daemon: SocketAddr, level: u8) -> bool {
         match level {
             0 => self.refused != Some(daemon),
             level => level >= UPDATES_LEVEL,
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -154,7 +154,7 @@
 
     async fn ask(&mut self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let level = self.gateway.peers.lock().level_at(daemon);
-        if !self.forms.asks_updates(daemon, level) {
+        if !self.forms.supports_updates(daemon, level) {
             return self.query_by_offsets(daemon).await;
         }
         match self.query_updates(daemon).await {
--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -75,13 +75,13 @@
     table.apply_digest(digest, 0);
     assert!(table.live_addresses().contains(&new));
     let mut forms = FeedForms::default();
-    assert!(forms.asks_updates(new, table.level_at(new)), "told of");
-    assert!(forms.asks_updates(landed, table.level_at(landed)));
+    assert!(forms.supports_updates(new, table.level_at(new)), "told of");
+    assert!(forms.supports_updates(landed, table.level_at(landed)));
     forms.note_refused(landed);
-    assert!(!forms.asks_updates(landed, table.level_at(landed)));
-    assert!(forms.asks_updates(new, table.level_at(new)));
-    assert!(!forms.asks_updates(new, UPDATES_LEVEL - 1), "it told");
-    assert!(forms.asks_updates(landed, UPDATES_LEVEL), "replaced");
+    assert!(!forms.supports_updates(landed, table.level_at(landed)));
+    assert!(forms.supports_updates(new, table.level_at(new)));
+    assert!(!forms.supports_updates(new, UPDATES_LEVEL - 1), "it told");
+    assert!(forms.supports_updates(landed, UPDATES_LEVEL), "replaced");
 }
 
 #[test]
