--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -45,7 +45,7 @@
     incarnation: u64,
     told: DirectoryCursor,
     /// Whether it tells changes without words that only say that an upstream lives.
-    tells_updates: bool,
+    sends_updates: bool,
 }
 
 /// News of either kind.
@@ -180,9 +180,9 @@
         &self,
         daemon: SocketAddr,
         path: &str,
-        tells_updates: bool,
+        sends_updates: bool,
     ) -> Result<Bytes, FeedError> {
-        let is_same = |k: &Known| k.daemon == daemon && k.tells_updates == tells_updates;
+        let is_same = |k: &Known| k.daemon == daemon && k.sends_updates == sends_updates;
         let known = self.known.filter(is_same);
         let (incarnation, told) = known.map_or_else(Default::default, |k| (k.incarnation, k.told));
         let newest_config = *self.gateway.newest_config.borrow();
@@ -208,7 +208,7 @@
             daemon,
             incarnation: heard.incarnation,
             told: heard.directory.told(),
-            tells_updates: matches!(heard.directory, ReceivedDirectory::News(_)),
+            sends_updates: matches!(heard.directory, ReceivedDirectory::News(_)),
         });
         if let Some(config) = heard.config {
             log::info!(target: "config", "told by a daemon. version={} peer={daemon}", config.version);
