--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -355,7 +355,7 @@
         for present in news.upstreams {
             self.take_in_one(present.upstream, present.since);
         }
-        let elsewhere = self.followed.known_elsewhere();
+        let elsewhere = self.followed.known_from_others();
         let lacked = elsewhere.filter(|id| self.get(id).is_some_and(|u| u.offset < position));
         for id in lacked.cloned().collect::<Vec<_>>() {
             self.forget(&id);
