--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -26,7 +26,7 @@
         let hubs: Vec<&Peer> = self.reserved().collect();
         if self.is_hub() {
             let others: u32 = hubs.iter().map(|p| p.dependents().max(1)).sum();
-            return (others + self.own_leaning) as usize;
+            return (others + self.own_dependents) as usize;
         }
         let told = self.live_hubs().map(|d| d.daemons as usize).max();
         told.unwrap_or(0).max(hubs.len() + 1)
@@ -76,7 +76,7 @@
     fn is_replaced_here(&self, peer: &Peer) -> bool {
         peer.entry.domain == self.own.domain
             && peer.is_late(self.now_ms)
-            && took_over(self.own_leaning, peer.dependents())
+            && took_over(self.own_dependents, peer.dependents())
     }
 
     /// The same for any other hub of its failure domain.
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -25,7 +25,7 @@
 pub struct PeerTable {
     pub(super) own: DaemonEntry,
     pub(super) own_rank: DaemonRank,
-    pub(super) own_leaning: u32,
+    pub(super) own_dependents: u32,
     pub(super) peers: BTreeMap<Arc<str>, Peer>,
     pub(super) index: PeerIndex,
     /// How many peers were looked at so far.
@@ -43,7 +43,7 @@
         Self {
             own_rank: own.rank(),
             own,
-            own_leaning: 1,
+            own_dependents: 1,
             peers: BTreeMap::new(),
             index: PeerIndex::default(),
             examined: Cell::new(0),
@@ -122,7 +122,7 @@
     /// and forgets daemons that have long been silent.
     pub fn tick(&mut self, dependents: u32, now_ms: u64) {
         self.now_ms = now_ms;
-        self.own_leaning = dependents;
+        self.own_dependents = dependents;
         let index = &mut self.index;
         self.peers.retain(|name, peer| {
             let is_kept = now_ms < peer.last_ms() + FORGOTTEN_MS;
