--- a/src/cluster/hubs/event_log.rs
+++ b/src/cluster/hubs/event_log.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns whether something waits to be told for the first time.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unannounced(&self) -> bool {
         self.waiting.iter().any(|(_, times, _)| *times == 0)
     }
 }
--- a/standin/src/store/service.rs
+++ b/standin/src/store/service.rs
@@ -307,9 +307,9 @@
     let from = number(query, "source").unwrap_or(0);
     let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
     let mut changed = shared.changed.subscribe();
-    let has_news = |_: &u64| shared.topics.lock().end(topic(query)) > from;
+    let has_unannounced = |_: &u64| shared.topics.lock().end(topic(query)) > from;
     // Without news in time, the answer holds no records.
-    let _ = tokio::time::timeout(wait, changed.wait_for(has_news)).await;
+    let _ = tokio::time::timeout(wait, changed.wait_for(has_unannounced)).await;
     let topics = shared.topics.lock();
     let mut bytes = topics.end(topic(query)).to_be_bytes().to_vec();
     bytes.extend_from_slice(&0_u64.to_be_bytes());
