--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -24,14 +24,14 @@
         if gateway.crashes.lock().is_empty() {
             continue;
         }
-        tell_news(&gateway).await;
+        announce_changes(&gateway).await;
         if turn.is_multiple_of(HELD_EVERY) && gateway.is_hub() {
             tell_held(&gateway).await;
         }
     }
 }
 
-async fn tell_news(gateway: &Gateway) {
+async fn announce_changes(gateway: &Gateway) {
     let (hubs, members) = gateway.hubs_and_members();
     if hubs.is_empty() && members.is_empty() {
         return;
--- a/src/cluster/limits/limit_announcer.rs
+++ b/src/cluster/limits/limit_announcer.rs
@@ -22,7 +22,7 @@
         if gateway.tick_limits() == 0 {
             continue;
         }
-        tell_news(&gateway).await;
+        announce_changes(&gateway).await;
         if turn.is_multiple_of(IN_FORCE_EVERY) && gateway.is_hub() {
             let hubs = gateway.other_hubs().into_iter().collect();
             let drawn = gateway.draw_some(hubs, HUBS_TOLD).into_iter().collect();
@@ -31,7 +31,7 @@
     }
 }
 
-async fn tell_news(gateway: &Gateway) {
+async fn announce_changes(gateway: &Gateway) {
     let (hubs, members) = gateway.hubs_and_members();
     if hubs.is_empty() && members.is_empty() {
         return;
