--- a/src/cluster/crashes/quarantine_keeper.rs
+++ b/src/cluster/crashes/quarantine_keeper.rs
@@ -25,7 +25,7 @@
 pub async fn keep_quarantine(gateway: Arc<Gateway>, records: Arc<dyn QuarantineRecords>) {
     tokio::join!(
         read_along(&gateway, &*records),
-        write_news(&gateway, &*records)
+        write_changes(&gateway, &*records)
     );
 }
 
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-async fn write_news(gateway: &Gateway, records: &dyn QuarantineRecords) {
+async fn write_changes(gateway: &Gateway, records: &dyn QuarantineRecords) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         if let Err(e) = write_due(gateway, records).await {
