--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -93,7 +93,7 @@
 }
 
 /// Tells a daemon that reports to this one.
-pub(in crate::cluster) async fn tell_member(gateway: &Gateway, report: &Report) {
+pub(in crate::cluster) async fn announce_to_member(gateway: &Gateway, report: &Report) {
     let to = report.daemon.address;
     let mut digest = own_digest(gateway, &report.daemon.domain, MEMBERS_EVERY_MS);
     let others = gateway.peers.lock().duty_daemons().into_iter();
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -141,7 +141,7 @@
         take_in_event(gateway, &report.daemon.name, event, now_ms);
     }
     if report.wants_digest {
-        tell_member(gateway, report).await;
+        announce_to_member(gateway, report).await;
     }
 }
 
