--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -26,7 +26,7 @@
     loop {
         sequence += 1;
         if gateway.tick_peers() {
-            let told = tell_hubs(&gateway, &mut quota_announcer, sequence).await;
+            let told = announce_to_hubs(&gateway, &mut quota_announcer, sequence).await;
             listeners.note_told(told);
         } else if let Some(told) = listeners.to_announce() {
             let digest = own_digest(&gateway, gateway.domain().as_str(), MEMBERS_EVERY_MS);
@@ -40,7 +40,7 @@
     }
 }
 
-async fn tell_hubs(
+async fn announce_to_hubs(
     gateway: &Gateway,
     quota_announcer: &mut QuotaAnnouncer,
     sequence: u64,
