--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -26,7 +26,7 @@
         }
         announce_changes(&gateway).await;
         if turn.is_multiple_of(HELD_EVERY) && gateway.is_hub() {
-            tell_held(&gateway).await;
+            announce_held(&gateway).await;
         }
     }
 }
@@ -43,7 +43,7 @@
     send_ends(gateway, &told.members, is_hub, &members).await;
 }
 
-async fn tell_held(gateway: &Gateway) {
+async fn announce_held(gateway: &Gateway) {
     let hubs = gateway.other_hubs().into_iter().collect();
     let drawn = gateway.draw_some(hubs, HUBS_TOLD);
     let now_ms = gateway.steady_ms();
