--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -52,7 +52,7 @@
 }
 
 /// Tells a daemon that reports to this one of the requests that are held back.
-pub(in crate::cluster) async fn tell_held_to(gateway: &Gateway, member: SocketAddr) {
+pub(in crate::cluster) async fn announce_held_to(gateway: &Gateway, member: SocketAddr) {
     let now_ms = gateway.steady_ms();
     let held = gateway.crashes.lock().held_ends(MOST_TOLD, now_ms);
     send_ends(gateway, &held, true, &BTreeSet::from([member])).await;
