--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -109,7 +109,7 @@
     gateway.send_packet(&digest_packet(digest), to).await;
     if report.wants_all {
         announce_held_to(gateway, to).await;
-        tell_in_force(gateway, &BTreeSet::from([to])).await;
+        announce_in_force(gateway, &BTreeSet::from([to])).await;
     }
     if report.wants_all && report.leans_on_you {
         let all = gateway.announced_quotas();
--- a/src/cluster/limits/limit_announcer.rs
+++ b/src/cluster/limits/limit_announcer.rs
@@ -26,7 +26,7 @@
         if turn.is_multiple_of(IN_FORCE_EVERY) && gateway.is_hub() {
             let hubs = gateway.other_hubs().into_iter().collect();
             let drawn = gateway.draw_some(hubs, HUBS_TOLD).into_iter().collect();
-            tell_in_force(&gateway, &drawn).await;
+            announce_in_force(&gateway, &drawn).await;
         }
     }
 }
@@ -44,7 +44,7 @@
 }
 
 /// Tells daemons of limits in force, some of them where there are many.
-pub(in crate::cluster) async fn tell_in_force(gateway: &Gateway, to: &BTreeSet<SocketAddr>) {
+pub(in crate::cluster) async fn announce_in_force(gateway: &Gateway, to: &BTreeSet<SocketAddr>) {
     let in_force = gateway.limits.lock().in_force(gateway.steady_ms());
     if !in_force.is_empty() {
         let drawn = gateway.draw_some(in_force, MOST_TOLD);
