--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -124,7 +124,7 @@
     loop {
         tokio::time::sleep(USAGE_EVERY).await;
         for listener in duty_listeners(&gateway) {
-            tell_own(&gateway, &listener).await;
+            announce_own(&gateway, &listener).await;
             pass_on(&gateway, &listener).await;
         }
     }
@@ -142,7 +142,7 @@
             let listeners = duty_listeners(gateway);
             let mut heard = 0;
             for listener in &listeners {
-                let own = tell_own(gateway, listener).await;
+                let own = announce_own(gateway, listener).await;
                 let others = pass_on(gateway, listener).await;
                 heard += usize::from(own && others);
             }
@@ -195,7 +195,7 @@
 }
 
 /// Tells the own counts; returns whether all of them were heard.
-async fn tell_own(gateway: &Gateway, listener: &DutyListener) -> bool {
+async fn announce_own(gateway: &Gateway, listener: &DutyListener) -> bool {
     let counts = ReceivedUsage {
         name: gateway.settings.node.name.to_string(),
         incarnation: gateway.incarnation,
