--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -77,7 +77,7 @@
         match heard.as_ref().map(|heard| &heard.verdict) {
             Some(HubDecision::Refused { wait_ms }) => Err(Duration::from_millis(*wait_ms)),
             Some(HubDecision::Unknown | HubDecision::Held) | None => match limited {
-                Some(account) => self.admit_alone(account, cost),
+                Some(account) => self.admit_standalone(account, cost),
                 None => Ok(()),
             },
             Some(HubDecision::Placed { .. } | HubDecision::NoUpstream) => {
@@ -90,7 +90,7 @@
         }
     }
 
-    fn admit_alone(&self, account: &AccountTerms, cost: f64) -> Result<(), Duration> {
+    fn admit_standalone(&self, account: &AccountTerms, cost: f64) -> Result<(), Duration> {
         let now_ms = self.steady_ms();
         let limit = self.quotas.lock().limit_of(account);
         let told = self.peers.lock().received_quota(&account.name);
