--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -27,7 +27,7 @@
         sequence += 1;
         if gateway.tick_peers() {
             let told = announce_to_hubs(&gateway, &mut quota_announcer, sequence).await;
-            listeners.note_told(told);
+            listeners.record_announced(told);
         } else if let Some(told) = listeners.to_announce() {
             let digest = own_digest(&gateway, gateway.domain().as_str(), MEMBERS_EVERY_MS);
             send_all(&gateway, &[digest_packet(digest)], told).await;
--- a/src/cluster/hubs/former_listeners.rs
+++ b/src/cluster/hubs/former_listeners.rs
@@ -14,7 +14,7 @@
 
 impl FormerListeners {
     /// Notes whom the daemon told as a hub, which it still is.
-    pub fn note_told(&mut self, addresses: BTreeSet<SocketAddr>) {
+    pub fn record_announced(&mut self, addresses: BTreeSet<SocketAddr>) {
         self.addresses = addresses;
         self.left = TELLINGS;
     }
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -72,7 +72,7 @@
     }
 
     /// Notes that another daemon hears it.
-    pub(super) fn note_told(&mut self, entry: DaemonEntry, now_ms: u64) {
+    pub(super) fn record_announced(&mut self, entry: DaemonEntry, now_ms: u64) {
         self.told_ms = Some(now_ms);
         if self.last_seen_ms.is_none() {
             self.set_entry(entry);
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -70,7 +70,7 @@
         }
         for entry in known {
             if entry.name != self.own.name {
-                self.change(&entry, |peer| peer.note_told(entry.clone(), now_ms));
+                self.change(&entry, |peer| peer.record_announced(entry.clone(), now_ms));
             }
         }
         self.loads.take();
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -421,7 +421,7 @@
     for lost in 0..4 {
         let mut peers = PeerTable::new(entry("own", "a", 1));
         let mut listeners = FormerListeners::default();
-        listeners.note_told(BTreeSet::from([address(1)]));
+        listeners.record_announced(BTreeSet::from([address(1)]));
         let mut digest = digest_of("n", 1);
         digest.status.is_hub = true;
         digest.dependents = 3;
