--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -58,7 +58,7 @@
     }
 
     /// Notes that a hub decided on a request of an account.
-    pub fn note_decided(&mut self, account: &ClientAccount) {
+    pub fn record_decided(&mut self, account: &ClientAccount) {
         if let Some(standalone) = self.accounts.get_mut(account) {
             standalone.unreported_since_ms = None;
         }
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -82,7 +82,7 @@
             },
             Some(HubDecision::Placed { .. } | HubDecision::NoUpstream) => {
                 if let Some(account) = limited {
-                    self.standalone_quotas.lock().note_decided(&account.name);
+                    self.standalone_quotas.lock().record_decided(&account.name);
                 }
                 *context.placed.lock() = heard.and_then(|h| self.asked_placement(&h, false));
                 Ok(())
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -353,7 +353,7 @@
     let part = limit.rate * 10.0 / DAEMONS as f64;
     assert!(let_in <= part && let_in >= 0.9 * part, "{let_in} of {part}");
     // What was earned before a hub decided again was the hub's to give.
-    standalone.note_decided(&account);
+    standalone.record_decided(&account);
     assert!(!standalone.admit(&account, 100.0, None, DAEMONS, &limit, 60_000));
 }
 
