--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -87,7 +87,7 @@
         {
             return false;
         }
-        self.note_life(digest.incarnation);
+        self.record_incarnation(digest.incarnation);
         self.set_entry(digest.daemon.clone());
         self.last_seen_ms = Some(now_ms);
         self.every_ms = u64::from(digest.every_ms);
@@ -112,7 +112,7 @@
         if self.incarnation == report.incarnation && report.sequence <= self.report_sequence {
             return false;
         }
-        self.note_life(report.incarnation);
+        self.record_incarnation(report.incarnation);
         self.report_sequence = report.sequence;
         self.set_entry(report.daemon.clone());
         self.last_seen_ms = Some(now_ms);
@@ -126,7 +126,7 @@
         self.entry = entry;
     }
 
-    fn note_life(&mut self, incarnation: u64) {
+    fn record_incarnation(&mut self, incarnation: u64) {
         if self.incarnation != incarnation {
             self.incarnation = incarnation;
             self.report_sequence = 0;
