--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -141,7 +141,7 @@
         self.examined.get()
     }
 
-    fn note_looked_at(&self) {
+    fn count_examined(&self) {
         self.examined.set(self.examined.get() + 1);
     }
 
@@ -151,12 +151,12 @@
         names: impl Iterator<Item = &'a Arc<str>>,
     ) -> impl Iterator<Item = &'a Peer> {
         let peers = names.filter_map(|name| self.peers.get(name));
-        peers.inspect(|_| self.note_looked_at())
+        peers.inspect(|_| self.count_examined())
     }
 
     /// Returns all peers.
     pub(super) fn all(&self) -> impl Iterator<Item = &Peer> {
-        self.peers.values().inspect(|_| self.note_looked_at())
+        self.peers.values().inspect(|_| self.count_examined())
     }
 
     /// Returns those that said last that they are hubs.
