--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -243,7 +243,7 @@
     /// Notes up to which kind of extension a daemon knows all, as its digests and reports
     /// tell. One that doesn't tell may only have had no room for it, or have said the same
     /// in an earlier version beside: for the rest of its life it knows what it knew.
-    pub fn note_level(&mut self, name: &str, level: u8) {
+    pub fn record_level(&mut self, name: &str, level: u8) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.level = peer.level.max(level);
         }
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -78,7 +78,7 @@
             let name = digest.daemon.name.clone();
             let mut peers = gateway.peers.lock();
             peers.apply_digest(digest, now_ms);
-            peers.note_level(&name, level);
+            peers.record_level(&name, level);
         }
         Datagram::Quotas(part) => apply_quotas(gateway, &part, now_ms),
         Datagram::Loads(part) => {
@@ -89,7 +89,10 @@
         }
         Datagram::Report(report) => {
             apply_report(gateway, &report, now_ms).await;
-            gateway.peers.lock().note_level(&report.daemon.name, level);
+            gateway
+                .peers
+                .lock()
+                .record_level(&report.daemon.name, level);
         }
         Datagram::AdmissionQuery(ask) => answer_query(gateway, ask, from).await,
         Datagram::Answer(answer) => {
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -367,7 +367,7 @@
         let mut digest = Digest::new(entry(hub, domain, n), 1, 1);
         digest.every_ms = 250;
         table.apply_digest(digest, 1_000);
-        table.note_level(hub, *level);
+        table.record_level(hub, *level);
     }
     table.tick(1, 1_100);
     table
@@ -419,7 +419,7 @@
 #[test]
 fn a_digest_that_does_not_tell_takes_nothing_back() {
     let mut table = table("a1", "a", &[("a2", "a", 1)]);
-    table.note_level("a2", 0);
+    table.record_level("a2", 0);
     assert_eq!(
         table.permit_issuer(1, "a", false),
         PermitIssuer::Other(address(0))
