--- a/src/cluster/feed/feed_forms.rs
+++ b/src/cluster/feed/feed_forms.rs
@@ -22,7 +22,7 @@
     }
 
     /// Notes that a daemon does not tell updates.
-    pub fn note_refused(&mut self, daemon: SocketAddr) {
+    pub fn record_refused(&mut self, daemon: SocketAddr) {
         self.refused = Some(daemon);
     }
 }
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -159,7 +159,7 @@
         }
         match self.query_updates(daemon).await {
             Err(e) if lacks_path(&e) => {
-                self.forms.note_refused(daemon);
+                self.forms.record_refused(daemon);
                 self.query_by_offsets(daemon).await
             }
             heard => heard,
--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -77,7 +77,7 @@
     let mut forms = FeedForms::default();
     assert!(forms.supports_updates(new, table.level_at(new)), "told of");
     assert!(forms.supports_updates(landed, table.level_at(landed)));
-    forms.note_refused(landed);
+    forms.record_refused(landed);
     assert!(!forms.supports_updates(landed, table.level_at(landed)));
     assert!(forms.supports_updates(new, table.level_at(new)));
     assert!(!forms.supports_updates(new, UPDATES_LEVEL - 1), "it told");
