--- a/src/upstreams/removed_upstreams.rs
+++ b/src/upstreams/removed_upstreams.rs
@@ -20,7 +20,7 @@
     }
 
     /// Notes that a life that is gone had said that it leaves.
-    pub(super) fn note_left(&mut self, id: &UpstreamId) {
+    pub(super) fn record_left(&mut self, id: &UpstreamId) {
         if self.went.contains(id) {
             self.had_left.insert(id.clone());
         }
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -131,7 +131,7 @@
     /// away, or may not have taken the word.
     pub fn mark_leaving(&mut self, id: &UpstreamId) -> bool {
         let Some(known) = self.get(id).cloned() else {
-            self.removed_ids.note_left(id);
+            self.removed_ids.record_left(id);
             return false;
         };
         if self.has_own_source {
