--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -140,7 +140,7 @@
         };
         if let Err(wait_ms) = taken {
             let now_ms = self.steady_ms();
-            self.limits.lock().note_used_up(id, wait_ms, now_ms);
+            self.limits.lock().record_used_up(id, wait_ms, now_ms);
         }
         let outcome = if taken.is_ok() { "granted" } else { "denied" };
         metrics::counter!(PERMITS, "outcome" => outcome).increment(1);
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -188,7 +188,7 @@
 
     /// Notes that there is no permit for a while. Of several waits the shortest counts:
     /// who was sent away first is first in line.
-    pub fn note_used_up(&mut self, id: &UpstreamId, wait_ms: u64, now_ms: u64) {
+    pub fn record_used_up(&mut self, id: &UpstreamId, wait_ms: u64, now_ms: u64) {
         if let Some(entry) = self.upstreams.get_mut(id) {
             let until_ms = now_ms + wait_ms;
             entry.used_up_until_ms = match now_ms < entry.used_up_until_ms {
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -122,7 +122,7 @@
             asked += 1;
             match issuer.take(&u("u"), PermitShare::ALL, now_ms) {
                 Ok(()) => times.push(now_ms),
-                Err(wait_ms) => limit_table.note_used_up(&u("u"), wait_ms, now_ms),
+                Err(wait_ms) => limit_table.record_used_up(&u("u"), wait_ms, now_ms),
             }
         }
         let used = times.len();
