--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -76,7 +76,7 @@
             let head = self.current.as_ref()?.answer.head.clone();
             match self.step().await {
                 Ok(step) => {
-                    self.gateway.note_run(&self.context);
+                    self.gateway.record_run(&self.context);
                     if matches!(step, Step::Events(_))
                         && let Some(sent) = &self.current
                     {
--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -55,7 +55,7 @@
                     attempts.may_have_run = true;
                     return None;
                 }
-                gateway.note_run(context);
+                gateway.record_run(context);
                 gateway.note_whole_answer(context, head.status);
                 return Some((head, body));
             }
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -227,7 +227,7 @@
     }
 
     /// Notes that a request began to run.
-    pub fn note_run(&self, context: &RequestContext) {
+    pub fn record_run(&self, context: &RequestContext) {
         let Some(terms) = &context.account else {
             return;
         };
