--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -80,7 +80,7 @@
         time_ms: Option<f64>,
     ) {
         let route = name_hash(&context.route.name) as u32;
-        self.note_version(context, upstream, route, time_ms);
+        self.record_version(context, upstream, route, time_ms);
     }
 
     /// Notes the whole time of a stream for a roll-out.
@@ -91,10 +91,10 @@
         time_ms: f64,
     ) {
         let route = name_hash(&context.route.name) as u32 ^ WHOLE_TIMES;
-        self.note_version(context, upstream, route, Some(time_ms));
+        self.record_version(context, upstream, route, Some(time_ms));
     }
 
-    fn note_version(
+    fn record_version(
         &self,
         context: &RequestContext,
         upstream: &Upstream,
