--- a/src/gateway/cut_offs.rs
+++ b/src/gateway/cut_offs.rs
@@ -43,7 +43,7 @@
     /// Notes that an upstream ended the connection that a request ran on, and finds out
     /// whether the upstream has ended: one connection is opened for all requests that
     /// were cut off there. One that comes up is used for the next request.
-    pub(super) fn note_cut_off(
+    pub(super) fn record_cut_off(
         self: &Arc<Self>,
         fingerprint: RequestFingerprint,
         ran: Duration,
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -74,7 +74,7 @@
             );
             let sent_at = *context.sent_at.lock();
             let ran = sent_at.map_or(Duration::ZERO, BootInstant::elapsed);
-            self.note_cut_off(fingerprint, ran, upstream);
+            self.record_cut_off(fingerprint, ran, upstream);
         }
         metrics::counter!(FAILED_SENDS, "run" => failure.kind()).increment(1);
         if !matches!(failure, SendFailure::NotSent(_)) {
