--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes that an upstream ended under requests.
-    pub(super) fn note_upstream_end(
+    pub(super) fn record_upstream_crash(
         &self,
         upstream: &UpstreamId,
         requests: impl Iterator<Item = (RequestFingerprint, CutOff)>,
--- a/src/gateway/cut_offs.rs
+++ b/src/gateway/cut_offs.rs
@@ -88,7 +88,7 @@
         requests.len(),
         listed(&requests)
     );
-    gateway.note_upstream_end(&upstream.id, requests.into_iter());
+    gateway.record_upstream_crash(&upstream.id, requests.into_iter());
 }
 
 /// Finds out whether an upstream takes connections and keeps them; returns how it fails to.
