--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -58,7 +58,7 @@
 
     /// Notes that a request was answered whole. Only a success shows that it ran: an
     /// upstream that is full or late answers with a failure, too, and lives.
-    pub(super) fn note_whole_answer(&self, context: &RequestContext, status: StatusCode) {
+    pub(super) fn record_complete_answer(&self, context: &RequestContext, status: StatusCode) {
         let mut crashes = self.crashes.lock();
         if status.is_success()
             && !crashes.is_empty()
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -257,7 +257,7 @@
                     );
                     sent.active.ended_whole();
                     self.gateway
-                        .note_whole_answer(&self.context, sent.answer.head.status);
+                        .record_complete_answer(&self.context, sent.answer.head.status);
                     let time_ms = sent.active.age_ms();
                     self.gateway
                         .record_complete(&self.context, &sent.upstream, time_ms);
--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -56,7 +56,7 @@
                     return None;
                 }
                 gateway.record_run(context);
-                gateway.note_whole_answer(context, head.status);
+                gateway.record_complete_answer(context, head.status);
                 return Some((head, body));
             }
             Err(failure) => failure,
