--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -228,7 +228,7 @@
         let Some(placement) = self.choose_permitted(&request, &ask.request).await else {
             return HubDecision::NoUpstream;
         };
-        self.note_cached(&request.prompt, &placement.upstream);
+        self.record_cached(&request.prompt, &placement.upstream);
         HubDecision::Placed {
             upstream: placement.upstream.id.to_string(),
             unread_tokens: placement.unread_tokens,
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -132,7 +132,7 @@
         return Err(SendFailure::NotSent("the upstream rests".into()));
     }
     *context.sent_at.lock() = Some(BootInstant::now());
-    gateway.note_cached(&context.prompt, upstream);
+    gateway.record_cached(&context.prompt, upstream);
     let request = build_request(gateway, context, upstream, last_event_id);
     let sent_ms = gateway.steady_ms();
     let answer = OpenAnswer::open(&gateway.pool, &upstream.id, connection, request).await?;
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -7,7 +7,7 @@
 /// What is learned of upstreams from how requests fare there.
 impl Gateway {
     /// Notes that an upstream reads a request's prompt.
-    pub fn note_cached(&self, prompt: &Prompt, upstream: &Upstream) {
+    pub fn record_cached(&self, prompt: &Prompt, upstream: &Upstream) {
         let parts = prompt.parts.iter().map(|p| p.chain);
         let now_ms = self.steady_ms();
         self.caches.lock().note(&upstream.id, parts, now_ms);
