--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -164,7 +164,7 @@
     }
     let timeout = CONNECT_TIMEOUT.min(context.time_left());
     let connected = UpstreamPool::connect(upstream.address, timeout).await;
-    gateway.note_reach(upstream, connected.is_ok());
+    gateway.record_reach(upstream, connected.is_ok());
     connected
 }
 
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -14,7 +14,7 @@
     }
 
     /// Notes whether a connection to an upstream came up.
-    pub fn note_reach(&self, upstream: &Upstream, reached: bool) {
+    pub fn record_reach(&self, upstream: &Upstream, reached: bool) {
         let now_ms = self.steady_ms();
         if reached {
             return self.domain_reach.lock().note_reached(&upstream.domain);
