--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -17,7 +17,7 @@
     pub fn record_reach(&self, upstream: &Upstream, reached: bool) {
         let now_ms = self.steady_ms();
         if reached {
-            return self.domain_reach.lock().note_reached(&upstream.domain);
+            return self.domain_reach.lock().record_reached(&upstream.domain);
         }
         self.loads
             .lock()
--- a/src/policy/placement/domain_reach.rs
+++ b/src/policy/placement/domain_reach.rs
@@ -44,7 +44,7 @@
     }
 
     /// Notes that an upstream of a domain was reached.
-    pub fn note_reached(&mut self, domain: &FailureDomain) {
+    pub fn record_reached(&mut self, domain: &FailureDomain) {
         self.domains.remove(domain);
     }
 
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -380,6 +380,6 @@
     assert!(!reach.is_avoided(&domain, 900), "tried again");
     reach.record_unreachable(&domain, &id(3), 900);
     assert!(reach.is_avoided(&domain, 1_700), "for longer now");
-    reach.note_reached(&domain);
+    reach.record_reached(&domain);
     assert!(!reach.is_avoided(&domain, 1_700));
 }
