--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -305,7 +305,7 @@
 
     fn fail_at(&mut self, upstream: &Arc<Upstream>, failure: SendFailure) -> Option<()> {
         self.gateway
-            .note_send_failure(&self.context, upstream, &failure);
+            .record_send_failure(&self.context, upstream, &failure);
         let goes_on = self
             .attempts
             .may_go_on(&self.gateway, &self.context, &upstream.id, failure);
--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -61,7 +61,7 @@
             }
             Err(failure) => failure,
         };
-        gateway.note_send_failure(context, upstream, &failure);
+        gateway.record_send_failure(context, upstream, &failure);
         if !attempts.may_go_on(gateway, context, &upstream.id, failure) {
             return None;
         }
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -58,7 +58,7 @@
     }
 
     /// Notes that a send failed.
-    pub fn note_send_failure(
+    pub fn record_send_failure(
         self: &Arc<Self>,
         context: &RequestContext,
         upstream: &Arc<Upstream>,
