--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -26,7 +26,7 @@
     }
 
     /// Notes that a call to the source, begun at `began_ms`, failed.
-    pub fn note_source_failure(&self, began_ms: u64) {
+    pub fn record_source_failure(&self, began_ms: u64) {
         self.source.lock().record_failure(began_ms);
     }
 
