--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -26,7 +26,12 @@
 impl Gateway {
     /// Notes what an answer's head says of how much its upstream takes, whose request was
     /// sent at `sent_ms`.
-    pub(super) fn note_named_limit(&self, upstream: &Upstream, headers: &HeaderMap, sent_ms: u64) {
+    pub(super) fn record_named_limit(
+        &self,
+        upstream: &Upstream,
+        headers: &HeaderMap,
+        sent_ms: u64,
+    ) {
         let values = headers.get_all(&self.names.upstream_limit);
         let named = NamedLimit::read(values.iter().map(|value| value.as_bytes()));
         match named {
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -139,7 +139,7 @@
     active.progress();
     check_owner(gateway, context, &answer)?;
     gateway.note_words(context, upstream, &answer.head);
-    gateway.note_named_limit(upstream, &answer.head.headers, sent_ms);
+    gateway.record_named_limit(upstream, &answer.head.headers, sent_ms);
     check_run(gateway, &answer)?;
     Ok(Sent {
         upstream: upstream.clone(),
