--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -50,7 +50,7 @@
     /// Sets whether this daemon reads the source itself.
     pub fn set_reads_source(&self, reads: bool) {
         if !reads {
-            self.source.lock().note_not_calling();
+            self.source.lock().record_not_calling();
         }
         self.reads_source.send_if_modified(|old| {
             let changed = *old != reads;
--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -48,7 +48,7 @@
 
     /// Notes that the source is no longer called: whether it could be reached
     /// isn't known then.
-    pub fn note_not_calling(&mut self) {
+    pub fn record_not_calling(&mut self) {
         self.failing_since_ms = None;
     }
 
