--- a/src/logs/line_budget.rs
+++ b/src/logs/line_budget.rs
@@ -45,7 +45,7 @@
         let write = *used < most;
         *used += u32::from(write);
         if !write {
-            self.note_dropped(part, 1);
+            self.record_dropped(part, 1);
         }
         Verdict {
             write,
@@ -54,7 +54,7 @@
     }
 
     /// Notes lines that were dropped elsewhere.
-    pub fn note_dropped(&mut self, part: &str, lines: u64) {
+    pub fn record_dropped(&mut self, part: &str, lines: u64) {
         *self.dropped.entry(part.to_string()).or_default() += lines;
     }
 }
--- a/src/logs/log_writer.rs
+++ b/src/logs/log_writer.rs
@@ -90,7 +90,7 @@
             return;
         };
         if let Err(TrySendError::Full(_)) = self.orders.try_send(Order::Line(text)) {
-            budget.note_dropped(part, 1);
+            budget.record_dropped(part, 1);
         }
     }
 }
