--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 struct HolderView {
     heard: BTreeMap<u64, BTreeMap<String, u32>>,
-    heard_whole_before: u64,
+    acknowledged_before: u64,
     /// Parts that were sent, by number.
     sent: HashMap<u64, UsagePart>,
 }
@@ -64,7 +64,7 @@
         for (window, counts) in lacking {
             split.extend(in_parts(counts).into_iter().map(|part| (window, part)));
         }
-        if split.is_empty() && complete_before > view.heard_whole_before {
+        if split.is_empty() && complete_before > view.acknowledged_before {
             split.push((window, Vec::new()));
         }
         let mut parts = Vec::new();
@@ -92,7 +92,7 @@
         let Some(part) = view.sent.remove(&heard.number) else {
             return;
         };
-        view.heard_whole_before = view.heard_whole_before.max(part.complete_before);
+        view.acknowledged_before = view.acknowledged_before.max(part.complete_before);
         if part.counts.is_empty() {
             // Kept, windows without counts would push out those that have some, which
             // would be told for ever.
