--- a/src/cluster/membership/peer_sources.rs
+++ b/src/cluster/membership/peer_sources.rs
@@ -41,10 +41,11 @@
 
     /// Takes in that a daemon has a version of the configuration, or will soon.
     pub fn apply_peer_config(&mut self, address: SocketAddr, version: u64) {
-        let told = self.told_config.entry(address).or_default();
+        let told = self.announced_config.entry(address).or_default();
         *told = version.max(*told);
-        let newest = self.told_config.values().copied().max();
-        self.told_config.retain(|_, told| Some(*told) == newest);
+        let newest = self.announced_config.values().copied().max();
+        self.announced_config
+            .retain(|_, told| Some(*told) == newest);
         let name = self.index.at(address);
         if let Some(peer) = name.and_then(|name| self.peers.get_mut(name)) {
             peer.status.config_version = peer.status.config_version.max(version);
@@ -60,14 +61,17 @@
     /// than `version`: those of the own failure domain and those told of it
     /// lately, or all if there are none.
     pub fn config_holders(&self, version: u64) -> Vec<SocketAddr> {
-        let told = self.told_config.values().copied().max();
+        let told = self.announced_config.values().copied().max();
         let newest = self.newest_config().max(told).filter(|n| *n > version);
         let has_it = |p: &&Peer| Some(p.status.config_version) == newest;
         let (near, far): (Vec<_>, Vec<_>) = self
             .live()
             .filter(has_it)
             .partition(|p| p.entry.domain == self.own.domain);
-        let told = self.told_config.iter().filter(|(_, v)| Some(**v) == newest);
+        let told = self
+            .announced_config
+            .iter()
+            .filter(|(_, v)| Some(**v) == newest);
         let mut holders: BTreeSet<SocketAddr> = told.map(|(address, _)| *address).collect();
         holders.extend(near.iter().map(|p| p.entry.address));
         if holders.is_empty() {
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -31,7 +31,7 @@
     /// How many peers were looked at so far.
     examined: Cell<u64>,
     /// Daemons that were told a configuration lately, by what tellers say.
-    pub(super) told_config: HashMap<SocketAddr, u64>,
+    pub(super) announced_config: HashMap<SocketAddr, u64>,
     pub(super) now_ms: u64,
     /// The loads of all other hubs; none after a change.
     pub(super) loads: RefCell<Option<LoadSums>>,
@@ -47,7 +47,7 @@
             peers: BTreeMap::new(),
             index: PeerIndex::default(),
             examined: Cell::new(0),
-            told_config: HashMap::new(),
+            announced_config: HashMap::new(),
             now_ms: 0,
             loads: RefCell::default(),
         }
