--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -30,7 +30,7 @@
             reader.read_to(position + u64::from(leaving));
         });
         let mut news = None;
-        let told_ms = timed(|| news = Some(reader.update_since(Some(known))));
+        let announced_ms = timed(|| news = Some(reader.update_since(Some(known))));
         let news = news.expect("told");
         let mut packed = Default::default();
         let packed_ms = timed(|| {
@@ -42,7 +42,7 @@
             black_box(follower.ready_list(&service));
         });
         println!(
-            "{upstreams} upstreams, of which half leave: {read_ms:.2} ms to take in, {told_ms:.2} \
+            "{upstreams} upstreams, of which half leave: {read_ms:.2} ms to take in, {announced_ms:.2} \
              to gather for a follower, {packed_ms:.2} to pack into {} bytes, {applied_ms:.2} to \
              apply, {listed_ms:.2} to list those that are ready",
             packed.len()
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -27,7 +27,7 @@
     /// When it was heard last.
     pub(super) last_seen_ms: Option<u64>,
     /// When another told last that it hears it.
-    told_ms: Option<u64>,
+    announced_ms: Option<u64>,
     /// How often it tells of itself, in milliseconds.
     every_ms: u64,
     /// Its state, as told last.
@@ -62,7 +62,7 @@
             entry,
             incarnation: 0,
             last_seen_ms: None,
-            told_ms: Some(now_ms),
+            announced_ms: Some(now_ms),
             every_ms: 0,
             status: DaemonStatus::default(),
             hub: None,
@@ -73,7 +73,7 @@
 
     /// Notes that another daemon hears it.
     pub(super) fn record_announced(&mut self, entry: DaemonEntry, now_ms: u64) {
-        self.told_ms = Some(now_ms);
+        self.announced_ms = Some(now_ms);
         if self.last_seen_ms.is_none() {
             self.set_entry(entry);
         }
@@ -178,7 +178,9 @@
     pub(super) fn is_live(&self, now_ms: u64) -> bool {
         match self.last_seen_ms {
             Some(_) => !self.is_silent(now_ms),
-            None => self.told_ms.is_some_and(|told| now_ms < told + TOLD_MS),
+            None => self
+                .announced_ms
+                .is_some_and(|told| now_ms < told + TOLD_MS),
         }
     }
 
@@ -214,6 +216,6 @@
 
     /// Returns when it was last heard or told of.
     pub(super) fn last_ms(&self) -> u64 {
-        self.last_seen_ms.max(self.told_ms).unwrap_or(0)
+        self.last_seen_ms.max(self.announced_ms).unwrap_or(0)
     }
 }
--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -18,7 +18,7 @@
     quota: StandaloneQuota,
     demand: DemandMeter,
     /// When what it was told last was told: what it spent counts from there.
-    told_ms: u64,
+    announced_ms: u64,
     /// Since when it has decided by itself without having been told of the account.
     unreported_since_ms: Option<u64>,
 }
@@ -77,9 +77,9 @@
     ) -> bool {
         let standalone = self.accounts.entry(account.clone()).or_default();
         let told = told.unwrap_or_else(|| standalone.untold(daemons, now_ms));
-        if standalone.told_ms != told.at_ms {
+        if standalone.announced_ms != told.at_ms {
             // What a hub had heard of by then it has counted.
-            standalone.told_ms = told.at_ms;
+            standalone.announced_ms = told.at_ms;
             standalone.quota.spent = self.untold.get(account).copied().unwrap_or(0.0);
         }
         let own_demand = standalone.demand.per_s(now_ms);
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -308,11 +308,11 @@
     };
     let account = ClientAccount::from("a");
     let mut standalone = StandaloneQuotas::default();
-    let let_in = |standalone: &mut StandaloneQuotas, told_ms: u64, until_ms: u64| {
+    let let_in = |standalone: &mut StandaloneQuotas, announced_ms: u64, until_ms: u64| {
         let mut units = 0.0;
-        for now_ms in (told_ms..until_ms).step_by(100) {
+        for now_ms in (announced_ms..until_ms).step_by(100) {
             standalone.record_demand(&account, 100.0, now_ms);
-            if standalone.admit(&account, 100.0, Some(told(told_ms)), 8, &limit, now_ms) {
+            if standalone.admit(&account, 100.0, Some(told(announced_ms)), 8, &limit, now_ms) {
                 units += 100.0;
             }
             if now_ms % 500 == 0 {
