--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -12,7 +12,7 @@
 const LOADS_PERIODS: f64 = 4.0;
 /// How long one counts as alive that others hear, in milliseconds: hubs name
 /// some of those that they hear every second or two.
-const TOLD_MS: u64 = 4_000;
+const ANNOUNCED_MS: u64 = 4_000;
 
 /// Another daemon, as one sees it. Times are milliseconds of the daemon's
 /// steady clock.
@@ -180,7 +180,7 @@
             Some(_) => !self.is_silent(now_ms),
             None => self
                 .announced_ms
-                .is_some_and(|told| now_ms < told + TOLD_MS),
+                .is_some_and(|told| now_ms < told + ANNOUNCED_MS),
         }
     }
 
