--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -134,7 +134,7 @@
     ) -> Result<(DirectoryCursor, bool, Bytes), FeedError> {
         let (told, is_complete) = {
             let directory = self.gateway.directory.read();
-            (directory.told(), directory.is_usage_complete(known))
+            (directory.told(), directory.sends_full(known))
         };
         let since = known.filter(|_| !is_complete).map(|k| k.revision);
         if let Some(packed) = self.packed.lock().get(told.revision, since) {
