--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -44,7 +44,7 @@
     let Some(peer) = drawn_holder(gateway) else {
         return;
     };
-    match ask(gateway, client, peer).await {
+    match query(gateway, client, peer).await {
         Ok(ConfigAnswer::NoLater) => {}
         Ok(ConfigAnswer::Busy { version, told }) => {
             lack.record_deferred(gateway.steady_ms());
@@ -72,7 +72,7 @@
     holders.get(index).copied()
 }
 
-async fn ask(
+async fn query(
     gateway: &Gateway,
     client: &HttpClient,
     peer: SocketAddr,
--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -56,7 +56,7 @@
             return local_response(StatusCode::BAD_REQUEST, "expected a short question");
         };
         let answer = match decode::<ConfigQuery>(&body.to_bytes()) {
-            Ok(ask) => self.answer_query(ask),
+            Ok(query) => self.answer_query(query),
             Err(e) => return local_response(StatusCode::BAD_REQUEST, &e.to_string()),
         };
         answer.unwrap_or_else(|e| {
@@ -65,11 +65,11 @@
         })
     }
 
-    fn answer_query(&self, ask: ConfigQuery) -> Result<Response<AnswerBody>, FeedError> {
+    fn answer_query(&self, query: ConfigQuery) -> Result<Response<AnswerBody>, FeedError> {
         // Read before the configuration: a place that is too early only has a
         // version read once more, one that is too late would hide a version.
         let position = *self.gateway.config_position.lock();
-        let Some(table) = self.gateway.table().filter(|t| t.version() > ask.version) else {
+        let Some(table) = self.gateway.table().filter(|t| t.version() > query.version) else {
             return self.short(&ConfigAnswer::NoLater);
         };
         let Ok(permit) = self.permits.clone().try_acquire_owned() else {
@@ -77,7 +77,7 @@
             let told = self.state.lock().to.iter().copied().collect();
             return self.short(&ConfigAnswer::Busy { version, told });
         };
-        let packed = self.packed(table.config(), ask.address)?;
+        let packed = self.packed(table.config(), query.address)?;
         self.reply(&ConfigAnswer::Config { packed, position }, Some(permit))
     }
 
--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -62,12 +62,12 @@
         else {
             return local_response(StatusCode::BAD_REQUEST, "expected a short question");
         };
-        let ask = match decode::<FeedQuery>(&body.to_bytes()) {
-            Ok(ask) => ask,
+        let query = match decode::<FeedQuery>(&body.to_bytes()) {
+            Ok(query) => query,
             Err(e) => return local_response(StatusCode::BAD_REQUEST, &e.to_string()),
         };
-        self.wait_for_news(ask).await;
-        match told(self, ask).and_then(|told| encode(&told)) {
+        self.wait_for_news(query).await;
+        match told(self, query).and_then(|told| encode(&told)) {
             Ok(bytes) => {
                 self.gateway.control.note(ControlKind::News, bytes.len());
                 Response::new(full_body(bytes))
@@ -79,41 +79,42 @@
         }
     }
 
-    async fn wait_for_news(&self, ask: FeedQuery) {
+    async fn wait_for_news(&self, query: FeedQuery) {
         let gateway = &self.gateway;
         let mut news = gateway.news.subscribe();
         let is_new = |_: &u64| {
-            let same_incarnation = ask.incarnation == gateway.incarnation;
-            let same = same_incarnation && ask.told.revision == gateway.directory.read().revision();
+            let same_incarnation = query.incarnation == gateway.incarnation;
+            let same =
+                same_incarnation && query.told.revision == gateway.directory.read().revision();
             let version = gateway.config_version();
-            !same || version > ask.config_version
+            !same || version > query.config_version
         };
-        let wait = Duration::from_millis(ask.wait_ms.min(MAX_WAIT_MS));
+        let wait = Duration::from_millis(query.wait_ms.min(MAX_WAIT_MS));
         // No news in time is an answer, too.
         let _ = tokio::time::timeout(wait, news.wait_for(is_new)).await;
     }
 
     /// Returns what the asker knows of this life's directory.
-    fn known(&self, ask: FeedQuery) -> Option<DirectoryCursor> {
-        (ask.incarnation == self.gateway.incarnation).then_some(ask.told)
+    fn known(&self, query: FeedQuery) -> Option<DirectoryCursor> {
+        (query.incarnation == self.gateway.incarnation).then_some(query.told)
     }
 
     /// Returns the version of the configuration in force, and the configuration if it is
     /// news and small.
-    fn config_for(&self, ask: FeedQuery) -> (u64, Option<RoutingConfig>) {
+    fn config_for(&self, query: FeedQuery) -> (u64, Option<RoutingConfig>) {
         let table = self.gateway.table();
         let version = table.as_ref().map_or(0, |t| t.version());
-        let newer = table.filter(|t| t.version() > ask.config_version);
+        let newer = table.filter(|t| t.version() > query.config_version);
         let newer = newer.filter(|t| t.config().size() <= MAX_TOLD_CONFIG);
         (version, newer.map(|t| t.config().as_ref().clone()))
     }
 
-    fn update_for(&self, ask: FeedQuery) -> Result<FeedUpdate, FeedError> {
+    fn update_for(&self, query: FeedQuery) -> Result<FeedUpdate, FeedError> {
         let gateway = &self.gateway;
         // Read before the configuration: it may be too early, but not too late.
         let config_position = *gateway.config_position.lock();
-        let (config_version, config) = self.config_for(ask);
-        let (told, is_complete, packed) = self.packed_since(self.known(ask))?;
+        let (config_version, config) = self.config_for(query);
+        let (told, is_complete, packed) = self.packed_since(self.known(query))?;
         Ok(FeedUpdate {
             incarnation: gateway.incarnation,
             source_age_ms: gateway.source_age_ms(),
@@ -148,17 +149,17 @@
         Ok((news.told, news.is_complete, packed))
     }
 
-    fn reply_to(&self, ask: FeedQuery) -> Result<FeedReply, FeedError> {
+    fn reply_to(&self, query: FeedQuery) -> Result<FeedReply, FeedError> {
         let gateway = &self.gateway;
         let config_position = *gateway.config_position.lock();
-        let (config_version, config) = self.config_for(ask);
+        let (config_version, config) = self.config_for(query);
         Ok(FeedReply {
             incarnation: gateway.incarnation,
             source_age_ms: gateway.source_age_ms(),
             config_version,
             config,
             config_position,
-            changes: gateway.directory.read().changes_since(self.known(ask)),
+            changes: gateway.directory.read().changes_since(self.known(query)),
             rollouts: gateway.announced_rollouts(),
         })
     }
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -126,7 +126,7 @@
             };
             return tokio::time::sleep(pause).await;
         };
-        match self.ask(daemon).await {
+        match self.query(daemon).await {
             Ok(heard) => {
                 let stale_ms = self.gateway.read_schedule.stale_ms();
                 let is_stale = heard.source_age_ms.is_none_or(|age| age > stale_ms);
@@ -152,7 +152,7 @@
         tokio::time::sleep(FAILURE_PAUSE * failed.min(MAX_PAUSES) as u32).await;
     }
 
-    async fn ask(&mut self, daemon: SocketAddr) -> Result<Heard, FeedError> {
+    async fn query(&mut self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let level = self.gateway.peers.lock().level_at(daemon);
         if !self.forms.supports_updates(daemon, level) {
             return self.query_by_offsets(daemon).await;
@@ -186,7 +186,7 @@
         let known = self.known.filter(is_same);
         let (incarnation, told) = known.map_or_else(Default::default, |k| (k.incarnation, k.told));
         let newest_config = *self.gateway.newest_config.borrow();
-        let ask = FeedQuery {
+        let query = FeedQuery {
             incarnation,
             told,
             config_version: newest_config.max(self.gateway.config_version()),
@@ -197,8 +197,8 @@
                 0
             },
         };
-        let timeout = FEED_TIMEOUT + Duration::from_millis(ask.wait_ms);
-        let body = encode(&ask)?;
+        let timeout = FEED_TIMEOUT + Duration::from_millis(query.wait_ms);
+        let body = encode(&query)?;
         Ok(self.client.post(daemon, path, body, timeout).await?)
     }
 
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -65,7 +65,7 @@
 impl HubClient {
     /// Asks the hubs whether a request may be let in and where it shall run;
     /// none if none of them answers in time.
-    pub async fn ask(
+    pub async fn query(
         &self,
         gateway: &Gateway,
         request: &str,
@@ -74,7 +74,7 @@
     ) -> Option<ReceivedDecision> {
         let hubs = self.hubs_to_query(gateway);
         let (open, mut answers) = self.open();
-        let ask = AdmissionQuery {
+        let query = AdmissionQuery {
             name: gateway.settings.node.name.to_string(),
             incarnation: gateway.incarnation,
             id: open.id,
@@ -82,9 +82,9 @@
             quota,
             place,
         };
-        let max_wait_ms = ask.quota.as_ref().map_or(0, |q| q.max_wait_ms);
+        let max_wait_ms = query.quota.as_ref().map_or(0, |q| q.max_wait_ms);
         let hold = Duration::from_millis(u64::from(max_wait_ms)) + HOLD_GRACE;
-        let datagram = Datagram::AdmissionQuery(ask);
+        let datagram = Datagram::AdmissionQuery(query);
         for hub in hubs {
             match self.query_hub(gateway, hub, &datagram, &mut answers).await {
                 // It said that it would answer later.
@@ -105,12 +105,12 @@
         &self,
         gateway: &Gateway,
         hub: SocketAddr,
-        ask: &Datagram,
+        query: &Datagram,
         answers: &mut mpsc::UnboundedReceiver<ReceivedDecision>,
     ) -> Option<ReceivedDecision> {
         for time in 1..=ASKED_TIMES {
             let asked_at = BootInstant::now();
-            gateway.send_datagram(ask, hub).await;
+            gateway.send_datagram(query, hub).await;
             let wait = self.timeout(hub) * time;
             if let Ok(Some(heard)) = tokio::time::timeout(wait, answers.recv()).await {
                 // The time to an answer is known only if it was asked once.
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -43,7 +43,7 @@
 /// A placement that no report has counted in yet.
 #[derive(Debug)]
 struct Booking {
-    ask: u64,
+    query: u64,
     upstream: UpstreamId,
     tokens: u64,
     at_ms: u64,
@@ -95,7 +95,7 @@
         if member.loads.apply(part) {
             member.loads_ms = now_ms;
             let counted = member.loads.counted;
-            member.booked.retain(|b| b.ask > counted);
+            member.booked.retain(|b| b.query > counted);
         }
     }
 
@@ -112,20 +112,20 @@
     }
 
     /// Returns the answer that a question already got.
-    pub fn known_answer(&mut self, ask: &AdmissionQuery, now_ms: u64) -> Option<HubDecision> {
-        let member = self.member(&ask.name, ask.incarnation, now_ms);
+    pub fn known_answer(&mut self, query: &AdmissionQuery, now_ms: u64) -> Option<HubDecision> {
+        let member = self.member(&query.name, query.incarnation, now_ms);
         member.leans = true;
-        if let Some(quota) = &ask.quota {
+        if let Some(quota) = &query.quota {
             let account = ClientAccount::from(quota.account.as_str());
             member.accounts.insert(account, now_ms);
         }
-        let known = member.answers.iter().find(|(id, _)| *id == ask.id);
+        let known = member.answers.iter().find(|(id, _)| *id == query.id);
         known.map(|(_, verdict)| verdict.clone())
     }
 
     /// Remembers an answer, and counts the request in where it was placed.
-    pub fn record_answer(&mut self, ask: &AdmissionQuery, verdict: &HubDecision, now_ms: u64) {
-        let member = self.member(&ask.name, ask.incarnation, now_ms);
+    pub fn record_answer(&mut self, query: &AdmissionQuery, verdict: &HubDecision, now_ms: u64) {
+        let member = self.member(&query.name, query.incarnation, now_ms);
         if let HubDecision::Placed {
             upstream,
             unread_tokens,
@@ -133,14 +133,14 @@
         } = verdict
         {
             member.booked.push(Booking {
-                ask: ask.id,
+                query: query.id,
                 upstream: UpstreamId::from(upstream.as_str()),
                 tokens: *unread_tokens,
                 at_ms: now_ms,
             });
         }
-        member.answers.retain(|(id, _)| *id != ask.id);
-        member.answers.push_back((ask.id, verdict.clone()));
+        member.answers.retain(|(id, _)| *id != query.id);
+        member.answers.push_back((query.id, verdict.clone()));
         if member.answers.len() > REMEMBERED_ANSWERS {
             member.answers.pop_front();
         }
--- a/src/cluster/hubs/mod.rs
+++ b/src/cluster/hubs/mod.rs
@@ -1,6 +1,5 @@
 //! What hubs and the daemons that ask them tell each other.
 
-mod ask;
 mod cooldowns_part;
 mod digest;
 mod digest_announcer;
@@ -9,12 +8,13 @@
 mod hub_client;
 mod loads_part;
 mod member_table;
+mod query;
 mod query_answers;
 mod report;
 mod report_announcer;
 
 pub use {
-    ask::*, cooldowns_part::*, digest::*, event_log::*, former_listeners::*, hub_client::*,
-    loads_part::*, member_table::*, report::*,
+    cooldowns_part::*, digest::*, event_log::*, former_listeners::*, hub_client::*, loads_part::*,
+    member_table::*, query::*, report::*,
 };
 pub(super) use {digest_announcer::*, query_answers::*, report_announcer::*};
--- a/src/cluster/hubs/query_answers.rs
+++ b/src/cluster/hubs/query_answers.rs
@@ -7,44 +7,47 @@
 /// request is held or a permit has to be asked for.
 pub(in crate::cluster) async fn answer_query(
     gateway: &Arc<Gateway>,
-    ask: AdmissionQuery,
+    query: AdmissionQuery,
     from: SocketAddr,
 ) {
     let now_ms = gateway.steady_ms();
-    let known = gateway.members.lock().known_answer(&ask, now_ms);
+    let known = gateway.members.lock().known_answer(&query, now_ms);
     let verdict = match known {
         Some(verdict) => verdict,
         None => {
-            let mut decision = Box::pin(decide(gateway.clone(), ask.clone()));
+            let mut decision = Box::pin(decide(gateway.clone(), query.clone()));
             match futures_util::poll!(decision.as_mut()) {
                 std::task::Poll::Ready(verdict) => verdict,
                 std::task::Poll::Pending => {
                     // Ends by itself when the request has been held long enough.
-                    tokio::spawn(answer_later(gateway.clone(), ask.clone(), decision, from));
+                    tokio::spawn(answer_later(gateway.clone(), query.clone(), decision, from));
                     HubDecision::Held
                 }
             }
         }
     };
-    answer(gateway, &ask, verdict, from).await;
+    answer(gateway, &query, verdict, from).await;
 }
 
 async fn answer_later(
     gateway: Arc<Gateway>,
-    ask: AdmissionQuery,
+    query: AdmissionQuery,
     decision: std::pin::Pin<Box<impl Future<Output = HubDecision> + Send>>,
     to: SocketAddr,
 ) {
     let verdict = decision.await;
-    answer(&gateway, &ask, verdict, to).await;
+    answer(&gateway, &query, verdict, to).await;
 }
 
-async fn answer(gateway: &Gateway, ask: &AdmissionQuery, verdict: HubDecision, to: SocketAddr) {
+async fn answer(gateway: &Gateway, query: &AdmissionQuery, verdict: HubDecision, to: SocketAddr) {
     let now_ms = gateway.steady_ms();
-    gateway.members.lock().record_answer(ask, &verdict, now_ms);
+    gateway
+        .members
+        .lock()
+        .record_answer(query, &verdict, now_ms);
     let answer = Answer {
-        id: ask.id,
-        incarnation: ask.incarnation,
+        id: query.id,
+        incarnation: query.incarnation,
         verdict,
     };
     // What this daemon places has a permit where that is needed.
@@ -53,27 +56,27 @@
 }
 
 /// Decides for another daemon whether a request is let in, and where it runs.
-async fn decide(gateway: Arc<Gateway>, ask: AdmissionQuery) -> HubDecision {
+async fn decide(gateway: Arc<Gateway>, query: AdmissionQuery) -> HubDecision {
     let Some(table) = gateway.table() else {
         return HubDecision::Unknown;
     };
-    let service = ask.place.service.as_str().into();
+    let service = query.place.service.as_str().into();
     if table.find_service(&service).is_none() {
         return HubDecision::Unknown;
     }
-    if let Some(quota) = &ask.quota {
+    if let Some(quota) = &query.quota {
         let mut accounts = table.config().accounts.iter();
         let Some(account) = accounts.find(|t| t.name.as_str() == quota.account) else {
             return HubDecision::Unknown;
         };
         let max_wait = Duration::from_millis(u64::from(quota.max_wait_ms));
         if let Err(wait) = gateway.admit(account, quota.cost, max_wait).await {
-            gateway.log_refusal(account, quota.cost, wait, &ask.request);
+            gateway.log_refusal(account, quota.cost, wait, &query.request);
             return HubDecision::Refused {
                 wait_ms: wait.as_millis() as u64,
             };
         }
     }
     let domain = gateway.domain().clone();
-    gateway.place_queried(&ask, service, domain).await
+    gateway.place_queried(&query, service, domain).await
 }
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -81,12 +81,12 @@
     async fn query_seed(&mut self, now_ms: u64) -> bool {
         let gateway = &self.gateway;
         let seeds = &gateway.settings.peers.seeds;
-        let Some(ask) = self.seed_backoff.ask(seeds.len(), gateway.draw(), now_ms) else {
+        let Some(query) = self.seed_backoff.query(seeds.len(), gateway.draw(), now_ms) else {
             return false;
         };
-        let seed = seeds[ask.seed];
+        let seed = seeds[query.seed];
         if seed != gateway.settings.listen.peers {
-            let mut report = own_report(gateway, seed, ask.every_ms);
+            let mut report = own_report(gateway, seed, query.every_ms);
             (report.wants_digest, report.wants_all) = (true, true);
             gateway.send_packet(&report_packet(report), seed).await;
         }
--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -15,10 +15,10 @@
 /// Answers a daemon's question for a permit.
 pub(in crate::cluster) fn answer_permit_query(
     gateway: &Arc<Gateway>,
-    ask: PermitQuery,
+    query: PermitQuery,
     from: SocketAddr,
 ) {
-    let Some(limit) = ask.limit.known() else {
+    let Some(limit) = query.limit.known() else {
         return;
     };
     gateway.apply_limit(&limit, None);
@@ -26,14 +26,14 @@
     // It may have to ask another daemon first: nothing else waits for that.
     tokio::spawn(async move {
         let id = limit.upstream;
-        let taken = match ask.is_passed_on {
+        let taken = match query.is_passed_on {
             true => gateway.issue_permit(&id),
             false => gateway.take_permit(&id, true).await,
         };
         let known = gateway.limits.lock().known(&id, gateway.steady_ms());
         let answer = PermitAnswer {
-            incarnation: ask.incarnation,
-            id: ask.id,
+            incarnation: query.incarnation,
+            id: query.id,
             is_granted: taken.is_ok(),
             wait_ms: taken
                 .err()
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -43,7 +43,7 @@
 impl PermitClient {
     /// Asks the daemon that issues permits for one; none if it doesn't answer in time,
     /// or did not lately.
-    pub async fn ask(
+    pub async fn query(
         &self,
         gateway: &Gateway,
         issuer: SocketAddr,
@@ -52,13 +52,13 @@
     ) -> Option<PermitAnswer> {
         let (open, answer, max_wait) = self.open(issuer, gateway.steady_ms())?;
         let asked_at = BootInstant::now();
-        let ask = Extension::PermitQuery(PermitQuery {
+        let query = Extension::PermitQuery(PermitQuery {
             incarnation: gateway.incarnation,
             id: open.id,
             is_passed_on,
             limit,
         });
-        gateway.send_packet(&ask.into(), issuer).await;
+        gateway.send_packet(&query.into(), issuer).await;
         let answer = tokio::time::timeout(max_wait, answer).await;
         let answer = answer.ok().and_then(Result::ok);
         let mut state = self.state.lock();
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -61,7 +61,7 @@
             }
             Extension::Limits(part) => apply_limits(gateway, &part),
             Extension::Leaving(part) => apply_leaving(gateway, &part),
-            Extension::PermitQuery(ask) => answer_permit_query(gateway, ask, from),
+            Extension::PermitQuery(query) => answer_permit_query(gateway, query, from),
             Extension::PermitAnswer(answer) => {
                 if answer.incarnation == gateway.incarnation {
                     gateway.permit_client.apply(answer);
@@ -94,7 +94,7 @@
                 .lock()
                 .record_level(&report.daemon.name, level);
         }
-        Datagram::AdmissionQuery(ask) => answer_query(gateway, ask, from).await,
+        Datagram::AdmissionQuery(query) => answer_query(gateway, query, from).await,
         Datagram::Answer(answer) => {
             if answer.incarnation == gateway.incarnation {
                 gateway.hub_client.apply(answer, has_permit);
--- a/src/cluster/messages/extension.rs
+++ b/src/cluster/messages/extension.rs
@@ -55,7 +55,7 @@
         match self {
             Self::Level(level) => append(bytes, LEVEL, level),
             Self::Limits(part) => append(bytes, LIMITS, part),
-            Self::PermitQuery(ask) => append(bytes, PERMIT_ASK, ask),
+            Self::PermitQuery(query) => append(bytes, PERMIT_ASK, query),
             Self::PermitAnswer(answer) => append(bytes, PERMIT_ANSWER, answer),
             Self::HasPermit => append(bytes, HAS_PERMIT, &()),
             Self::Leaving(part) => append(bytes, LEAVING, part),
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -208,7 +208,7 @@
     /// Places a request of another daemon, and takes its prompt as kept there.
     pub async fn place_queried(
         &self,
-        ask: &AdmissionQuery,
+        query: &AdmissionQuery,
         service: ServiceName,
         domain: FailureDomain,
     ) -> HubDecision {
@@ -217,15 +217,15 @@
         };
         let request = super::PlaceRequest {
             service,
-            target_ms: ask.place.target_ms as f64,
-            prompt: super::Prompt::from_ask(&ask.place),
-            tried: typed(&ask.place.tried),
-            avoided: typed(&ask.place.avoided),
+            target_ms: query.place.target_ms as f64,
+            prompt: super::Prompt::from_ask(&query.place),
+            tried: typed(&query.place.tried),
+            avoided: typed(&query.place.avoided),
             in_cooldown: Vec::new(),
             domain,
-            apart_by: ask.place.apart_by,
+            apart_by: query.place.apart_by,
         };
-        let Some(placement) = self.choose_permitted(&request, &ask.request).await else {
+        let Some(placement) = self.choose_permitted(&request, &query.request).await else {
             return HubDecision::NoUpstream;
         };
         self.record_cached(&request.prompt, &placement.upstream);
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -121,7 +121,7 @@
             PermitIssuer::Own => self.issue_permit(id),
             PermitIssuer::Other(issuer) => {
                 let limit = AnnouncedLimit::of(&known);
-                let answer = self.permit_client.ask(self, issuer, limit, is_passed_on);
+                let answer = self.permit_client.query(self, issuer, limit, is_passed_on);
                 match answer.await {
                     Some(answer) => {
                         let known = answer.limit.as_ref().and_then(AnnouncedLimit::known);
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -73,7 +73,7 @@
         });
         let place = self.asked_place(context, &[]);
         let request = context.id_text();
-        let heard = self.hub_client.ask(self, request, quota, place).await;
+        let heard = self.hub_client.query(self, request, quota, place).await;
         match heard.as_ref().map(|heard| &heard.verdict) {
             Some(HubDecision::Refused { wait_ms }) => Err(Duration::from_millis(*wait_ms)),
             Some(HubDecision::Unknown | HubDecision::Held) | None => match limited {
@@ -159,7 +159,7 @@
         }
         if !self.is_hub() {
             let place = self.asked_place(context, tried);
-            let answer = self.hub_client.ask(self, context.id_text(), None, place);
+            let answer = self.hub_client.query(self, context.id_text(), None, place);
             let heard = answer.await;
             let is_repeat = !tried.is_empty();
             let placement = heard.and_then(|h| self.asked_placement(&h, is_repeat));
