--- a/src/policy/placement/cheapest_on_target.rs
+++ b/src/policy/placement/cheapest_on_target.rs
@@ -23,15 +23,15 @@
 
     fn choose(
         &self,
-        ask: &RequestNeeds,
+        needs: &RequestNeeds,
         upstreams: &[UpstreamView],
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
-        let indexes = candidates(ask, upstreams);
+        let indexes = candidates(needs, upstreams);
         lowest(&indexes, rng, |i| {
-            let estimate = Estimate::of(ask, &upstreams[i]);
+            let estimate = Estimate::of(needs, &upstreams[i]);
             let price = upstreams[i].price_micros as f64;
-            let late = MISS_WEIGHT * price.max(1.0) * estimate.miss(ask);
+            let late = MISS_WEIGHT * price.max(1.0) * estimate.miss(needs);
             let recompute = RECOMPUTE_PRICE_SHARE * price * estimate.expected_recompute;
             estimate.cost_micros + late + recompute
         })
--- a/src/policy/placement/estimate.rs
+++ b/src/policy/placement/estimate.rs
@@ -15,39 +15,40 @@
 
 impl Estimate {
     /// Estimates from the last report, own newer dispatches counted in.
-    pub fn of(ask: &RequestNeeds, u: &UpstreamView) -> Self {
+    pub fn of(needs: &RequestNeeds, u: &UpstreamView) -> Self {
         let running = (u.running + u.unreported).min(u.slots.max(1));
         let queued = (u.running + u.waiting + u.unreported).saturating_sub(u.slots);
         let batch = f64::from((running + 1).min(u.slots.max(1)));
         let between_tokens_ms = u.step_ms + u.step_ms_per_request * (batch - 1.0);
-        let prefill_ms = uncached_tokens(ask, u) / u.prefill_tokens_per_s.max(1.0) * 1_000.0;
-        let stay_ms = between_tokens_ms * f64::from(ask.expected_tokens.max(1));
+        let prefill_ms = uncached_tokens(needs, u) / u.prefill_tokens_per_s.max(1.0) * 1_000.0;
+        let stay_ms = between_tokens_ms * f64::from(needs.expected_tokens.max(1));
         let queue_ms = queue_wait_ms(queued, u, stay_ms, running);
         let busy_ms = prefill_ms + stay_ms / batch;
         Self {
             first_token_ms: queue_ms + prefill_ms + between_tokens_ms + u.round_trip_ms,
             between_tokens_ms,
             cost_micros: u.price_micros as f64 * busy_ms / 1_000.0,
-            expected_recompute: expected_recompute(ask, u, prefill_ms + stay_ms),
+            expected_recompute: expected_recompute(needs, u, prefill_ms + stay_ms),
         }
     }
 
     /// Returns whether both targets of the ask are met.
-    pub fn on_target(&self, ask: &RequestNeeds) -> bool {
-        self.first_token_ms <= ask.first_token_ms && self.between_tokens_ms <= ask.between_tokens_ms
+    pub fn on_target(&self, needs: &RequestNeeds) -> bool {
+        self.first_token_ms <= needs.first_token_ms
+            && self.between_tokens_ms <= needs.between_tokens_ms
     }
 
     /// Returns by how much the targets are missed, as a ratio; 0 if met.
-    pub fn miss(&self, ask: &RequestNeeds) -> f64 {
-        let first = self.first_token_ms / ask.first_token_ms.max(1.0);
-        let between = self.between_tokens_ms / ask.between_tokens_ms.max(1.0);
+    pub fn miss(&self, needs: &RequestNeeds) -> f64 {
+        let first = self.first_token_ms / needs.first_token_ms.max(1.0);
+        let between = self.between_tokens_ms / needs.between_tokens_ms.max(1.0);
         (first.max(1.0) - 1.0) + (between.max(1.0) - 1.0)
     }
 }
 
 /// Returns the tokens that the upstream has to take in before the next one.
-pub fn uncached_tokens(ask: &RequestNeeds, u: &UpstreamView) -> f64 {
-    let all = ask.prompt_tokens + ask.generated_tokens;
+pub fn uncached_tokens(needs: &RequestNeeds, u: &UpstreamView) -> f64 {
+    let all = needs.prompt_tokens + needs.generated_tokens;
     f64::from(all.saturating_sub(u.cached_tokens))
 }
 
@@ -61,8 +62,8 @@
 }
 
 /// The chance of a reclaim during the stay, times the tokens lost by one.
-fn expected_recompute(ask: &RequestNeeds, u: &UpstreamView, stay_ms: f64) -> f64 {
+fn expected_recompute(needs: &RequestNeeds, u: &UpstreamView, stay_ms: f64) -> f64 {
     let chance = 1.0 - (-u.hazard_per_s * stay_ms / 1_000.0).exp();
-    let prompt = f64::from(ask.prompt_tokens + ask.generated_tokens);
-    chance * (prompt + f64::from(ask.expected_tokens) / 2.0)
+    let prompt = f64::from(needs.prompt_tokens + needs.generated_tokens);
+    chance * (prompt + f64::from(needs.expected_tokens) / 2.0)
 }
--- a/src/policy/placement/keep_work.rs
+++ b/src/policy/placement/keep_work.rs
@@ -23,16 +23,16 @@
 
     fn choose(
         &self,
-        ask: &RequestNeeds,
+        needs: &RequestNeeds,
         upstreams: &[UpstreamView],
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
-        let indexes = candidates(ask, upstreams);
+        let indexes = candidates(needs, upstreams);
         lowest(&indexes, rng, |i| {
-            let estimate = Estimate::of(ask, &upstreams[i]);
-            uncached_tokens(ask, &upstreams[i])
+            let estimate = Estimate::of(needs, &upstreams[i]);
+            uncached_tokens(needs, &upstreams[i])
                 + estimate.expected_recompute
-                + MISS_TOKENS * estimate.miss(ask)
+                + MISS_TOKENS * estimate.miss(needs)
                 + TOKENS_PER_MICRO * estimate.cost_micros
         })
     }
--- a/src/policy/placement/naive.rs
+++ b/src/policy/placement/naive.rs
@@ -19,12 +19,12 @@
 
     fn choose(
         &self,
-        ask: &RequestNeeds,
+        needs: &RequestNeeds,
         upstreams: &[UpstreamView],
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
         let allowed: Vec<usize> = (0..upstreams.len())
-            .filter(|i| ask.allows(&upstreams[*i]))
+            .filter(|i| needs.allows(&upstreams[*i]))
             .collect();
         if allowed.is_empty() {
             return None;
--- a/src/policy/placement/placement_policy.rs
+++ b/src/policy/placement/placement_policy.rs
@@ -102,7 +102,7 @@
     /// Returns the index of the chosen upstream, or none if no one will do.
     fn choose(
         &self,
-        ask: &RequestNeeds,
+        needs: &RequestNeeds,
         upstreams: &[UpstreamView],
         rng: &mut dyn RngCore,
     ) -> Option<usize>;
@@ -146,8 +146,8 @@
 
 /// Returns the indexes of the upstreams that an ask allows and that are under
 /// their adaptive limit.
-pub fn candidates(ask: &RequestNeeds, upstreams: &[UpstreamView]) -> Vec<usize> {
-    let good = |u: &UpstreamView| ask.allows(u) && u.in_flight < u.limit;
+pub fn candidates(needs: &RequestNeeds, upstreams: &[UpstreamView]) -> Vec<usize> {
+    let good = |u: &UpstreamView| needs.allows(u) && u.in_flight < u.limit;
     (0..upstreams.len())
         .filter(|i| good(&upstreams[*i]))
         .collect()
--- a/src/policy/placement/spill.rs
+++ b/src/policy/placement/spill.rs
@@ -29,9 +29,9 @@
         self.upstreams.iter().map(|u| u.slots).sum()
     }
 
-    fn best(&self, ask: &RequestNeeds) -> Option<Estimate> {
-        let allowed = self.upstreams.iter().filter(|u| ask.allows(u));
-        let estimates = allowed.map(|u| Estimate::of(ask, u));
+    fn best(&self, needs: &RequestNeeds) -> Option<Estimate> {
+        let allowed = self.upstreams.iter().filter(|u| needs.allows(u));
+        let estimates = allowed.map(|u| Estimate::of(needs, u));
         estimates.min_by(|a, b| a.first_token_ms.total_cmp(&b.first_token_ms))
     }
 }
@@ -42,24 +42,24 @@
 /// Of several, one is drawn by its free slots: all daemons that see the same
 /// room would else fill the same domain at once.
 pub fn spill(
-    ask: &RequestNeeds,
+    needs: &RequestNeeds,
     here: &DomainUpstreams,
     waiting: u32,
     others: &[DomainUpstreams],
     rng: &mut dyn RngCore,
 ) -> Option<FailureDomain> {
-    let own = here.best(ask)?;
-    let stay_ms = own.between_tokens_ms * f64::from(ask.expected_tokens);
+    let own = here.best(needs)?;
+    let stay_ms = own.between_tokens_ms * f64::from(needs.expected_tokens);
     let turn_ms = f64::from(waiting) * stay_ms / f64::from(here.slots().max(1));
-    if own.first_token_ms + turn_ms <= ask.first_token_ms {
+    if own.first_token_ms + turn_ms <= needs.first_token_ms {
         return None;
     }
     let good: Vec<(&FailureDomain, u32)> = others
         .iter()
         .filter(|d| f64::from(d.free_slots()) >= FREE_SHARE * f64::from(d.slots()))
         .filter(|d| {
-            let best = d.best(ask);
-            best.is_some_and(|e| e.first_token_ms <= MARGIN * ask.first_token_ms)
+            let best = d.best(needs);
+            best.is_some_and(|e| e.first_token_ms <= MARGIN * needs.first_token_ms)
         })
         .map(|d| (&d.failure_domain, d.free_slots()))
         .collect();
--- a/src/policy/reclaim/stream_moves.rs
+++ b/src/policy/reclaim/stream_moves.rs
@@ -6,7 +6,7 @@
     /// The request.
     pub request: RequestId,
     /// What it asks; `generated_tokens` is what its answer has so far.
-    pub ask: RequestNeeds,
+    pub needs: RequestNeeds,
     /// Bytes of its KV cache.
     pub kv_bytes: u64,
 }
@@ -14,7 +14,7 @@
 impl StreamAtRisk {
     /// Returns the tokens that a fresh start elsewhere computes again.
     pub fn tokens_at_risk(&self) -> u32 {
-        self.ask.prompt_tokens + self.ask.generated_tokens
+        self.needs.prompt_tokens + self.needs.generated_tokens
     }
 }
 
@@ -75,14 +75,14 @@
         u
     };
     (0..targets.len())
-        .filter(|i| stream.ask.allows(&targets[*i]))
+        .filter(|i| stream.needs.allows(&targets[*i]))
         .filter(|i| {
             let u = loaded(*i);
             u.running + u.waiting + u.unreported < u.slots
         })
         .min_by(|a, b| {
-            let a = Estimate::of(&stream.ask, &loaded(*a));
-            let b = Estimate::of(&stream.ask, &loaded(*b));
+            let a = Estimate::of(&stream.needs, &loaded(*a));
+            let b = Estimate::of(&stream.needs, &loaded(*b));
             let key = |e: &Estimate| e.first_token_ms + e.expected_recompute;
             key(&a).total_cmp(&key(&b))
         })
