--- a/src/policy/hubs/seed_backoff.rs
+++ b/src/policy/hubs/seed_backoff.rs
@@ -35,20 +35,20 @@
 
     /// Returns what to ask now, if anything. `drawn` spreads the questions of daemons that
     /// started together.
-    pub fn ask(&mut self, seeds: usize, drawn: u64, now_ms: u64) -> Option<SeedQuery> {
+    pub fn next_query(&mut self, seeds: usize, drawn: u64, now_ms: u64) -> Option<SeedQuery> {
         if now_ms < self.due_ms || seeds == 0 {
             return None;
         }
         let pauses = std::iter::successors(Some(self.pause_ms), |ms| Some(doubled(*ms)));
-        let ask = SeedQuery {
+        let next_query = SeedQuery {
             seed: self.next % seeds,
             every_ms: pauses.take(seeds).sum(),
         };
-        self.next = ask.seed + 1;
+        self.next = next_query.seed + 1;
         let half_ms = self.pause_ms / 2;
         self.due_ms = now_ms + half_ms + drawn % (half_ms + 1);
         self.pause_ms = doubled(self.pause_ms);
-        Some(ask)
+        Some(next_query)
     }
 
     /// Begins anew: no daemon is heard any more.
