--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -74,7 +74,7 @@
         let place = self.asked_place(context, &[]);
         let request = context.id_text();
         let heard = self.hub_client.query(self, request, quota, place).await;
-        match heard.as_ref().map(|heard| &heard.verdict) {
+        match heard.as_ref().map(|heard| &heard.decision) {
             Some(HubDecision::Refused { wait_ms }) => Err(Duration::from_millis(*wait_ms)),
             Some(HubDecision::Unknown | HubDecision::Held) | None => match limited {
                 Some(account) => self.admit_standalone(account, cost),
@@ -131,7 +131,7 @@
             upstream,
             unread_tokens,
             waiting_tokens,
-        } = &heard.verdict
+        } = &heard.decision
         else {
             return None;
         };
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -150,11 +150,11 @@
         ("answer-held", HubDecision::Held),
         ("answer-unknown", HubDecision::Unknown),
     ];
-    let answers = verdicts.into_iter().map(|(kind, verdict)| {
+    let answers = verdicts.into_iter().map(|(kind, decision)| {
         let answer = Answer {
             id: 300,
             incarnation: 5,
-            verdict,
+            decision,
         };
         (kind, Datagram::Answer(answer))
     });
--- a/tests/decisions/table_fold.rs
+++ b/tests/decisions/table_fold.rs
@@ -109,8 +109,8 @@
     };
     row.weight = 0;
     let before = table.entries.clone();
-    let verdict = table.fold(1, TableRecord::Edit(a));
-    insta::assert_debug_snapshot!(verdict, @r#"
+    let decision = table.fold(1, TableRecord::Edit(a));
+    insta::assert_debug_snapshot!(decision, @r#"
     Invalid(
         "acme/assistant/txc-a: field `weight`: expected 1 to 1000, found 0",
     )
