--- a/src/app/reclaim_watch.rs
+++ b/src/app/reclaim_watch.rs
@@ -124,7 +124,7 @@
     let tokens = u64::from(ask.prompt_tokens + ask.generated_tokens);
     StreamAtRisk {
         request: r.spec.id,
-        ask,
+        needs: ask,
         kv_bytes: tokens * KV_BYTES_PER_TOKEN,
     }
 }
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedDecision {
     /// What is to be done.
-    pub verdict: HubDecision,
+    pub decision: HubDecision,
     /// Whether the placement has a permit, where its upstream names a limit: hubs of earlier
     /// builds know of none.
     pub has_permit: bool,
@@ -88,7 +88,7 @@
         for hub in hubs {
             match self.query_hub(gateway, hub, &datagram, &mut answers).await {
                 // It said that it would answer later.
-                Some(heard) if heard.verdict == HubDecision::Held => {
+                Some(heard) if heard.decision == HubDecision::Held => {
                     if let Some(heard) = decided_within(hold, &mut answers).await {
                         return Some(heard);
                     }
@@ -161,10 +161,10 @@
     pub fn apply(&self, answer: Answer, has_permit: bool) {
         let state = self.state.lock();
         if let Some(tx) = state.waiting.get(&answer.id) {
-            let verdict = answer.verdict;
+            let decision = answer.decision;
             // One that no longer waits has decided otherwise.
             let _ = tx.send(ReceivedDecision {
-                verdict,
+                decision,
                 has_permit,
             });
         }
@@ -210,7 +210,7 @@
     let decided = async {
         loop {
             let heard = answers.recv().await?;
-            if heard.verdict != HubDecision::Held {
+            if heard.decision != HubDecision::Held {
                 return Some(heard);
             }
         }
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -120,17 +120,17 @@
             member.accounts.insert(account, now_ms);
         }
         let known = member.answers.iter().find(|(id, _)| *id == query.id);
-        known.map(|(_, verdict)| verdict.clone())
+        known.map(|(_, decision)| decision.clone())
     }
 
     /// Remembers an answer, and counts the request in where it was placed.
-    pub fn record_answer(&mut self, query: &AdmissionQuery, verdict: &HubDecision, now_ms: u64) {
+    pub fn record_answer(&mut self, query: &AdmissionQuery, decision: &HubDecision, now_ms: u64) {
         let member = self.member(&query.name, query.incarnation, now_ms);
         if let HubDecision::Placed {
             upstream,
             unread_tokens,
             ..
-        } = verdict
+        } = decision
         {
             member.booked.push(Booking {
                 query: query.id,
@@ -140,7 +140,7 @@
             });
         }
         member.answers.retain(|(id, _)| *id != query.id);
-        member.answers.push_back((query.id, verdict.clone()));
+        member.answers.push_back((query.id, decision.clone()));
         if member.answers.len() > REMEMBERED_ANSWERS {
             member.answers.pop_front();
         }
--- a/src/cluster/hubs/query.rs
+++ b/src/cluster/hubs/query.rs
@@ -58,7 +58,7 @@
     /// Which life of the daemon asked.
     pub incarnation: u64,
     /// What is to be done.
-    pub verdict: HubDecision,
+    pub decision: HubDecision,
 }
 
 /// What a hub decided.
--- a/src/cluster/hubs/query_answers.rs
+++ b/src/cluster/hubs/query_answers.rs
@@ -12,43 +12,43 @@
 ) {
     let now_ms = gateway.steady_ms();
     let known = gateway.members.lock().known_answer(&query, now_ms);
-    let verdict = match known {
-        Some(verdict) => verdict,
+    let decision = match known {
+        Some(decision) => decision,
         None => {
-            let mut decision = Box::pin(decide(gateway.clone(), query.clone()));
-            match futures_util::poll!(decision.as_mut()) {
-                std::task::Poll::Ready(verdict) => verdict,
+            let mut pending = Box::pin(decide(gateway.clone(), query.clone()));
+            match futures_util::poll!(pending.as_mut()) {
+                std::task::Poll::Ready(decision) => decision,
                 std::task::Poll::Pending => {
                     // Ends by itself when the request has been held long enough.
-                    tokio::spawn(answer_later(gateway.clone(), query.clone(), decision, from));
+                    tokio::spawn(answer_later(gateway.clone(), query.clone(), pending, from));
                     HubDecision::Held
                 }
             }
         }
     };
-    answer(gateway, &query, verdict, from).await;
+    answer(gateway, &query, decision, from).await;
 }
 
 async fn answer_later(
     gateway: Arc<Gateway>,
     query: AdmissionQuery,
-    decision: std::pin::Pin<Box<impl Future<Output = HubDecision> + Send>>,
+    pending: std::pin::Pin<Box<impl Future<Output = HubDecision> + Send>>,
     to: SocketAddr,
 ) {
-    let verdict = decision.await;
-    answer(&gateway, &query, verdict, to).await;
+    let decision = pending.await;
+    answer(&gateway, &query, decision, to).await;
 }
 
-async fn answer(gateway: &Gateway, query: &AdmissionQuery, verdict: HubDecision, to: SocketAddr) {
+async fn answer(gateway: &Gateway, query: &AdmissionQuery, decision: HubDecision, to: SocketAddr) {
     let now_ms = gateway.steady_ms();
     gateway
         .members
         .lock()
-        .record_answer(query, &verdict, now_ms);
+        .record_answer(query, &decision, now_ms);
     let answer = Answer {
         id: query.id,
         incarnation: query.incarnation,
-        verdict,
+        decision,
     };
     // What this daemon places has a permit where that is needed.
     let packet = Packet::from(Datagram::Answer(answer)).with(Extension::HasPermit);
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -81,7 +81,10 @@
     async fn query_seed(&mut self, now_ms: u64) -> bool {
         let gateway = &self.gateway;
         let seeds = &gateway.settings.peers.seeds;
-        let Some(query) = self.seed_backoff.query(seeds.len(), gateway.draw(), now_ms) else {
+        let Some(query) = self
+            .seed_backoff
+            .next_query(seeds.len(), gateway.draw(), now_ms)
+        else {
             return false;
         };
         let seed = seeds[query.seed];
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -38,7 +38,7 @@
 
 struct Daemon {
     table: PeerTable,
-    read_schedule: SeedBackoff,
+    backoff: SeedBackoff,
     /// How long after the first ones it starts.
     lag_ms: u64,
 }
@@ -63,7 +63,7 @@
                 &format!("domain-{}", n % DOMAINS),
                 n,
             )),
-            read_schedule: SeedBackoff::new(rng.random()),
+            backoff: SeedBackoff::new(rng.random()),
             lag_ms: rng.random_range(0..4) * STEP_MS,
         });
         Self {
@@ -155,7 +155,7 @@
         if age_ms >= STARTING_MS && daemon.table.hears_hubs() {
             return;
         }
-        let Some(ask) = daemon.read_schedule.ask(SEEDS, drawn, self.now_ms) else {
+        let Some(ask) = daemon.backoff.next_query(SEEDS, drawn, self.now_ms) else {
             return;
         };
         if ask.seed != own {
@@ -229,10 +229,10 @@
 
 #[test]
 fn a_seed_that_does_not_answer_is_asked_again_and_others_meanwhile() {
-    let mut read_schedule = SeedBackoff::new(4);
+    let mut backoff = SeedBackoff::new(4);
     let mut asked = Vec::new();
     for now_ms in (0..10_000).step_by(50) {
-        if let Some(ask) = read_schedule.ask(3, 1, now_ms) {
+        if let Some(ask) = backoff.next_query(3, 1, now_ms) {
             assert!(ask.every_ms >= 700, "until it is asked again");
             asked.push((now_ms, ask.seed));
         }
@@ -243,8 +243,8 @@
     let pauses: Vec<u64> = pauses.collect();
     assert!(pauses.iter().all(|ms| *ms <= 1_600));
     assert!(*pauses.last().unwrap() >= 800);
-    read_schedule.restart(10_000);
-    assert!(read_schedule.ask(3, 1, 10_000).is_some(), "at once");
-    assert!(read_schedule.ask(3, 1, 10_100).is_some());
-    assert_eq!(read_schedule.ask(0, 1, 20_000), None, "there are none");
+    backoff.restart(10_000);
+    assert!(backoff.next_query(3, 1, 10_000).is_some(), "at once");
+    assert!(backoff.next_query(3, 1, 10_100).is_some());
+    assert_eq!(backoff.next_query(0, 1, 20_000), None, "there are none");
 }
--- a/tests/decisions/reclaim.rs
+++ b/tests/decisions/reclaim.rs
@@ -11,7 +11,7 @@
 fn stream(n: u128, tokens: u32, kv_bytes: u64) -> StreamAtRisk {
     StreamAtRisk {
         request: RequestId::from_uuid(Uuid::from_u128(n)),
-        ask: RequestNeeds {
+        needs: RequestNeeds {
             prompt_tokens: tokens,
             expected_tokens: 50,
             ..ask()
