--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -21,7 +21,7 @@
         let listing = (0..upstreams).map(|n| upstream(n, u64::from(n) + 1, false));
         reader.replace(listing.collect(), position, None);
         let whole = reader.update_since(None);
-        let known = whole.told;
+        let known = whole.cursor;
         follower.apply_update(whole);
         let read_ms = timed(|| {
             for n in 0..leaving {
--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -85,7 +85,7 @@
         let is_new = |_: &u64| {
             let same_incarnation = query.incarnation == gateway.incarnation;
             let same =
-                same_incarnation && query.told.revision == gateway.directory.read().revision();
+                same_incarnation && query.cursor.revision == gateway.directory.read().revision();
             let version = gateway.config_version();
             !same || version > query.config_version
         };
@@ -96,7 +96,7 @@
 
     /// Returns what the asker knows of this life's directory.
     fn known(&self, query: FeedQuery) -> Option<DirectoryCursor> {
-        (query.incarnation == self.gateway.incarnation).then_some(query.told)
+        (query.incarnation == self.gateway.incarnation).then_some(query.cursor)
     }
 
     /// Returns the version of the configuration in force, and the configuration if it is
@@ -114,7 +114,7 @@
         // Read before the configuration: it may be too early, but not too late.
         let config_position = *gateway.config_position.lock();
         let (config_version, config) = self.config_for(query);
-        let (told, is_complete, packed) = self.packed_since(self.known(query))?;
+        let (cursor, is_complete, packed) = self.packed_since(self.known(query))?;
         Ok(FeedUpdate {
             incarnation: gateway.incarnation,
             source_age_ms: gateway.source_age_ms(),
@@ -122,31 +122,31 @@
             config,
             config_position,
             rollouts: gateway.announced_rollouts(),
-            told,
+            cursor,
             is_complete,
             packed,
         })
     }
 
-    /// Returns what is told of the directory, whether that is the whole, and its upstreams.
+    /// Returns the cursor of the directory, whether the update holds all of it, and the packed upstreams.
     fn packed_since(
         &self,
         known: Option<DirectoryCursor>,
     ) -> Result<(DirectoryCursor, bool, Bytes), FeedError> {
-        let (told, is_complete) = {
+        let (cursor, is_complete) = {
             let directory = self.gateway.directory.read();
-            (directory.told(), directory.sends_full(known))
+            (directory.cursor(), directory.sends_full(known))
         };
         let since = known.filter(|_| !is_complete).map(|k| k.revision);
-        if let Some(packed) = self.packed.lock().get(told.revision, since) {
-            return Ok((told, is_complete, packed));
+        if let Some(packed) = self.packed.lock().get(cursor.revision, since) {
+            return Ok((cursor, is_complete, packed));
         }
         let news = self.gateway.directory.read().update_since(known);
         let packed = pack_upstreams(&news.upstreams, &news.removed_ids)?;
         let since = known.filter(|_| !news.is_complete).map(|k| k.revision);
         let mut kept = self.packed.lock();
-        kept.keep(news.told.revision, since, packed.clone());
-        Ok((news.told, news.is_complete, packed))
+        kept.keep(news.cursor.revision, since, packed.clone());
+        Ok((news.cursor, news.is_complete, packed))
     }
 
     fn reply_to(&self, query: FeedQuery) -> Result<FeedReply, FeedError> {
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -43,7 +43,7 @@
 struct Known {
     daemon: SocketAddr,
     incarnation: u64,
-    told: DirectoryCursor,
+    cursor: DirectoryCursor,
     /// Whether it tells changes without words that only say that an upstream lives.
     sends_updates: bool,
 }
@@ -67,10 +67,10 @@
 }
 
 impl ReceivedDirectory {
-    fn told(&self) -> DirectoryCursor {
+    fn cursor(&self) -> DirectoryCursor {
         match self {
-            Self::Changes(changes) => changes.told,
-            Self::News(news) => news.told,
+            Self::Changes(changes) => changes.cursor,
+            Self::News(news) => news.cursor,
         }
     }
 }
@@ -184,11 +184,12 @@
     ) -> Result<Bytes, FeedError> {
         let is_same = |k: &Known| k.daemon == daemon && k.sends_updates == sends_updates;
         let known = self.known.filter(is_same);
-        let (incarnation, told) = known.map_or_else(Default::default, |k| (k.incarnation, k.told));
+        let (incarnation, cursor) =
+            known.map_or_else(Default::default, |k| (k.incarnation, k.cursor));
         let newest_config = *self.gateway.newest_config.borrow();
         let query = FeedQuery {
             incarnation,
-            told,
+            cursor,
             config_version: newest_config.max(self.gateway.config_version()),
             // One that can't be reached is asked again soon, one that is stale, too.
             wait_ms: if self.tries == SourceTries::default() {
@@ -207,7 +208,7 @@
         self.known = Some(Known {
             daemon,
             incarnation: heard.incarnation,
-            told: heard.directory.told(),
+            cursor: heard.directory.cursor(),
             sends_updates: matches!(heard.directory, ReceivedDirectory::News(_)),
         });
         if let Some(config) = heard.config {
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -30,7 +30,7 @@
     /// The life of the daemon that told what is known.
     pub incarnation: u64,
     /// What is known of its directory.
-    pub told: DirectoryCursor,
+    pub cursor: DirectoryCursor,
     /// The version of the configuration that is known of.
     pub config_version: u64,
     /// How long to wait for news, in milliseconds.
@@ -90,7 +90,7 @@
     /// The newest roll-out of each service.
     pub rollouts: Vec<Rollout>,
     /// What is told of its directory.
-    pub told: DirectoryCursor,
+    pub cursor: DirectoryCursor,
     /// Whether these are all upstreams that there are, or only those that changed.
     pub is_complete: bool,
     /// The upstreams, and the ids of those that are gone, packed: a whole directory is
@@ -119,7 +119,7 @@
     pub fn directory(&self) -> Result<DirectoryUpdate, PackError> {
         let (upstreams, removed_ids) = unpack(&self.packed)?;
         Ok(DirectoryUpdate {
-            told: self.told,
+            cursor: self.cursor,
             is_complete: self.is_complete,
             upstreams,
             removed_ids,
--- a/src/upstreams/directory_changes.rs
+++ b/src/upstreams/directory_changes.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryChanges {
     /// What is told with this.
-    pub told: DirectoryCursor,
+    pub cursor: DirectoryCursor,
     /// From this offset of the source on, up to the position, these are all upstreams
     /// that there are; 0 if it is the whole directory.
     pub all_since: u64,
--- a/src/upstreams/directory_update.rs
+++ b/src/upstreams/directory_update.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryUpdate {
     /// What is told with this.
-    pub told: DirectoryCursor,
+    pub cursor: DirectoryCursor,
     /// Whether these are all upstreams that there are, or only those that changed.
     pub is_complete: bool,
     /// Upstreams as they are now.
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -323,7 +323,7 @@
             }
         };
         DirectoryUpdate {
-            told: self.told(),
+            cursor: self.cursor(),
             is_complete: self.sends_full(last),
             upstreams,
             removed_ids,
@@ -336,7 +336,7 @@
     }
 
     /// Returns what is told with the news of this moment.
-    pub fn told(&self) -> DirectoryCursor {
+    pub fn cursor(&self) -> DirectoryCursor {
         DirectoryCursor {
             revision: self.revision,
             position: self.position,
@@ -346,7 +346,7 @@
     /// Takes in news of the daemon that is followed, as of its position. What is known from
     /// elsewhere and should have been told by then is gone, too.
     pub fn apply_update(&mut self, news: DirectoryUpdate) {
-        let position = news.told.position;
+        let position = news.cursor.position;
         if position == 0 {
             let told = news.upstreams.into_iter();
             return self.take_unshared(told.map(|present| present.upstream).collect());
@@ -387,7 +387,7 @@
         };
         let removed_ids = (!is_complete).then(|| self.removed_ids.since(last.revision));
         DirectoryChanges {
-            told: DirectoryCursor {
+            cursor: DirectoryCursor {
                 revision: self.revision,
                 position,
             },
@@ -416,7 +416,7 @@
     /// taken in of that daemon before: what it passed over since, by a listing, it can't
     /// name as gone, so what it doesn't have of that part of the source is gone, too.
     pub fn apply(&mut self, changes: DirectoryChanges) {
-        let position = changes.told.position;
+        let position = changes.cursor.position;
         if position == 0 {
             return self.take_unshared(changes.upstreams);
         }
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -62,7 +62,7 @@
         }
         theirs.read_to(offset + 1);
         let changes = theirs.changes_since(known);
-        known = Some(changes.told);
+        known = Some(changes.cursor);
         own.apply(changes);
         let state = |d: &UpstreamDirectory| {
             let mut all: Vec<_> = d.all().map(|b| (b.id.clone(), b.draining)).collect();
@@ -94,7 +94,7 @@
     theirs.replace(vec![upstream(0, 5), upstream(1, 6)], 7, None);
     let mut own = UpstreamDirectory::default();
     own.apply(theirs.changes_since(None));
-    let known = theirs.changes_since(None).told;
+    let known = theirs.changes_since(None).cursor;
     // An entry that says nothing new is no change that is told.
     theirs.upsert(upstream(0, 9));
     theirs.remove(upstream(0, 0).id.as_str(), 10);
@@ -127,7 +127,7 @@
     own.apply(theirs.changes_since(None));
     assert!(own.get(&upstream(1, 0).id).is_none(), "it was gone there");
     assert!(own.is_ready(&upstream(2, 0).id), "it is new");
-    let known = theirs.changes_since(None).told;
+    let known = theirs.changes_since(None).cursor;
     theirs.upsert(upstream(2, 8));
     theirs.read_to(9);
     own.apply(theirs.changes_since(Some(known)));
@@ -143,7 +143,7 @@
     reader.replace(vec![upstream(0, 1)], 2, None);
     let mut own = UpstreamDirectory::default();
     own.apply(reader.changes_since(None));
-    let known = reader.changes_since(None).told;
+    let known = reader.changes_since(None).cursor;
     reader.upsert(upstream(1, 2));
     reader.read_to(3);
     let mut late = UpstreamDirectory::default();
@@ -180,7 +180,7 @@
         theirs.replace(listing.collect(), position, None);
         let mut own = UpstreamDirectory::default();
         own.apply(theirs.changes_since(None));
-        let mut known = theirs.changes_since(None).told;
+        let mut known = theirs.changes_since(None).cursor;
         for n in 0..fleet {
             let mut leaving = upstream(n, position);
             leaving.draining = true;
@@ -195,7 +195,7 @@
                     changes.all_since, 0,
                     "told one by one, after {n} of {fleet}"
                 );
-                known = changes.told;
+                known = changes.cursor;
                 own.apply(changes);
             }
         }
@@ -211,7 +211,7 @@
 fn what_went_first_is_forgotten_first() {
     let mut theirs = UpstreamDirectory::default();
     theirs.replace(vec![upstream(0, 1)], 2, None);
-    let early = theirs.changes_since(None).told;
+    let early = theirs.changes_since(None).cursor;
     let mut late = early;
     for n in 1..10_000_u32 {
         let position = 2 * u64::from(n);
@@ -219,7 +219,7 @@
         theirs.remove(upstream(n, 0).id.as_str(), position + 1);
         theirs.read_to(position + 2);
         if n == 9_000 {
-            late = theirs.changes_since(None).told;
+            late = theirs.changes_since(None).cursor;
         }
     }
     assert_eq!(theirs.changes_since(Some(early)).all_since, 0, "the whole");
@@ -240,7 +240,7 @@
         let mut own = UpstreamDirectory::default();
         let whole = theirs.update_since(None);
         assert!(whole.is_complete);
-        let mut known = whole.told;
+        let mut known = whole.cursor;
         own.apply_update(whole);
         for n in 0..fleet {
             theirs.upsert(upstream(n, position));
@@ -253,7 +253,7 @@
             (0, 0),
             "of {fleet}"
         );
-        known = news.told;
+        known = news.cursor;
         own.apply_update(news);
         let mut leaving = upstream(3, position);
         leaving.draining = true;
@@ -282,7 +282,7 @@
     theirs.replace(vec![upstream(0, 1)], 2, None);
     let mut own = UpstreamDirectory::default();
     let whole = theirs.update_since(None);
-    let known = whole.told;
+    let known = whole.cursor;
     own.apply_update(whole);
     own.remove(upstream(0, 0).id.as_str(), 5);
     own.read_to(6);
@@ -309,7 +309,7 @@
         config: None,
         config_position: Some(12),
         rollouts: Vec::new(),
-        told: news.told,
+        cursor: news.cursor,
         is_complete: news.is_complete,
         packed,
     };
@@ -353,7 +353,7 @@
             }
             let other = (own + 1) % READERS_OF_ALL;
             let news = readers[other].update_since(known[own]);
-            known[own] = Some(news.told);
+            known[own] = Some(news.cursor);
             count += news.upstreams.len();
             readers[own].apply_update(news);
         }
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -179,11 +179,11 @@
         match daemon.news.take() {
             None => {}
             Some((from, HeartbeatPayload::Landed(changes))) => {
-                daemon.known = Some((from, changes.told));
+                daemon.known = Some((from, changes.cursor));
                 daemon.directory.apply(changes);
             }
             Some((from, HeartbeatPayload::New(news))) => {
-                daemon.known = Some((from, news.told));
+                daemon.known = Some((from, news.cursor));
                 daemon.directory.apply_update(news);
             }
         }
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -248,7 +248,7 @@
 pub fn feed_ask() -> FeedQuery {
     FeedQuery {
         incarnation: 5,
-        told: DirectoryCursor {
+        cursor: DirectoryCursor {
             revision: 41,
             position: 900,
         },
@@ -266,7 +266,7 @@
         config: None,
         config_position: Some(12),
         changes: DirectoryChanges {
-            told: DirectoryCursor {
+            cursor: DirectoryCursor {
                 revision: 42,
                 position: 905,
             },
--- a/tests/decisions/lives.rs
+++ b/tests/decisions/lives.rs
@@ -45,7 +45,7 @@
     let mut directory = UpstreamDirectory::default();
     directory.upsert(upstream(1_000, 1, 5));
     directory.read_to(6);
-    let told = directory.changes_since(None).told;
+    let told = directory.changes_since(None).cursor;
     directory.upsert(upstream(2_000, 2, 6));
     assert_eq!(
         ready(&directory),
