--- a/src/app/claim_desk.rs
+++ b/src/app/claim_desk.rs
@@ -26,7 +26,7 @@
 const READ_WAIT_MS: u64 = 2_000;
 const READ_PAUSE: Duration = Duration::from_millis(250);
 
-/// How an append ended.
+/// The outcome of appending a claim record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimAppendOutcome {
     /// It is in the log at this offset.
--- a/src/clock/suspension.rs
+++ b/src/clock/suspension.rs
@@ -17,7 +17,7 @@
 /// Counts the times that the machine was resumed.
 static RESUMES: LazyLock<watch::Sender<u64>> = LazyLock::new(|| watch::Sender::new(0));
 
-/// Tells a suspension by two clocks, one of which stands still meanwhile.
+/// Detects that the machine was suspended, by two clocks of which one stands still meanwhile.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SuspensionDetector {
     apart_ms: Option<u64>,
--- a/src/cluster/configs/config_message.rs
+++ b/src/cluster/configs/config_message.rs
@@ -8,7 +8,7 @@
 /// when the messages change.
 pub const CONFIG_PATH: &str = "/cluster/config/1";
 
-/// A daemon's question for a configuration.
+/// A daemon's query for a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigQuery {
     /// The version that it has; only a later one is wanted.
--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -21,7 +21,7 @@
 /// of telling.
 const MAX_NAMED: usize = 16;
 
-/// Tells other daemons the configuration, a few at a time.
+/// Serves the configuration to other daemons, a few at a time.
 #[derive(Debug)]
 pub struct ConfigServer {
     gateway: Arc<Gateway>,
--- a/src/cluster/crashes/crashes_part.rs
+++ b/src/cluster/crashes/crashes_part.rs
@@ -16,7 +16,7 @@
     pub ends: Vec<AnnouncedCrash>,
 }
 
-/// An upstream that ended under a request.
+/// A crash of an upstream under a request, as it is announced.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AnnouncedCrash {
     /// The request's fingerprint.
--- a/src/cluster/duties/duty_backends.rs
+++ b/src/cluster/duties/duty_backends.rs
@@ -9,7 +9,7 @@
     displaydoc::Display,
 };
 
-/// How a call to a shared log or an API for duties failed.
+/// Why a call to a shared log or to an API that duties use failed.
 #[derive(Clone, Debug, Display, thiserror::Error)]
 pub enum BackendError {
     /// not done: {0}
@@ -29,7 +29,7 @@
     pub records: Vec<Bytes>,
 }
 
-/// How an append under a condition ended.
+/// The outcome of a conditional append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
     /// The record is in the topic.
@@ -61,7 +61,7 @@
     ) -> Result<AppendOutcome, BackendError>;
 }
 
-/// How a write of a record ended.
+/// The outcome of writing a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// It is written.
@@ -152,7 +152,7 @@
     pub count: u32,
 }
 
-/// How an order ended.
+/// The outcome of a fleet order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// It was taken.
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -24,7 +24,7 @@
 /// How long a daemon's question may be.
 pub const MAX_ASK_BYTES: usize = 1_024;
 
-/// A daemon's question what has changed.
+/// A daemon's query for the changes since its cursor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FeedQuery {
     /// The life of the daemon that told what is known.
--- a/src/cluster/hubs/cooldowns_part.rs
+++ b/src/cluster/hubs/cooldowns_part.rs
@@ -4,14 +4,14 @@
     std::time::Duration,
 };
 
-/// Upstreams that want nothing from a daemon, as it tells the hub that places for it.
+/// Upstreams in cooldown for a daemon, as it announces them to the hub that places its requests.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CooldownsPart {
     /// The upstreams.
     pub cooldowns: Vec<AnnouncedCooldown>,
 }
 
-/// How much rest an upstream wants of the daemon that tells it.
+/// An upstream in cooldown for the daemon that announces it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AnnouncedCooldown {
     /// The upstream.
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -22,7 +22,7 @@
 /// ask others for a permit, for as long as [`PermitClient`](crate::cluster::PermitDesk) waits at most.
 const HOLD_GRACE: Duration = Duration::from_millis(200);
 
-/// A daemon's questions to the hubs of its failure domain.
+/// Sends this daemon's admission queries to the hubs of its failure domain.
 #[derive(Debug, Default)]
 pub struct HubClient {
     state: Mutex<ClientState>,
@@ -37,7 +37,7 @@
     hubs: HashMap<SocketAddr, HubContact>,
 }
 
-/// What a hub decided, as this daemon heard it.
+/// A hub's decision as received by the daemon that sent the query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedDecision {
     /// What is to be done.
--- a/src/cluster/hubs/loads_part.rs
+++ b/src/cluster/hubs/loads_part.rs
@@ -5,7 +5,7 @@
     std::collections::HashMap,
 };
 
-/// What a daemon has at one upstream.
+/// The load that a daemon has at one upstream.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AnnouncedLoad {
     /// The upstream.
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -49,7 +49,7 @@
     at_ms: u64,
 }
 
-/// What a report told that was not known.
+/// The changes that a report brought.
 #[derive(Debug, Default, PartialEq)]
 pub struct ReportChanges {
     /// What happened to requests.
--- a/src/cluster/hubs/query.rs
+++ b/src/cluster/hubs/query.rs
@@ -1,7 +1,7 @@
 use bincode::{Decode, Encode};
 
-/// A daemon's question to a hub of its failure domain: may a request in, and
-/// where shall it run?
+/// A daemon's query to a hub of its failure domain: whether a request is admitted, and
+/// to which upstream it goes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AdmissionQuery {
     /// The daemon's name.
@@ -18,7 +18,7 @@
     pub place: PlacementQuery,
 }
 
-/// What a request would take of a client account's quota.
+/// The cost of a request, counted against a client account's quota.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct QuotaQuery {
     /// The account.
@@ -61,7 +61,7 @@
     pub decision: HubDecision,
 }
 
-/// What a hub decided.
+/// A hub's decision on an admission query.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum HubDecision {
     /// It is let in and may run.
--- a/src/cluster/leaving/leaving_queue.rs
+++ b/src/cluster/leaving/leaving_queue.rs
@@ -4,7 +4,7 @@
 /// times in a row are lost once in 10,000 where one in ten is.
 const TELLINGS: u8 = 4;
 
-/// Upstreams that leave, as far as others are still to be told.
+/// Leaving upstreams that are still to be announced to other daemons.
 #[derive(Debug, Default)]
 pub struct LeavingQueue {
     due: BTreeMap<UpstreamId, Telling>,
@@ -16,7 +16,7 @@
     announces_to_hubs: bool,
 }
 
-/// Upstreams that leave, to tell.
+/// Leaving upstreams to announce next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeavingToAnnounce {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
--- a/src/cluster/limits/limits_part.rs
+++ b/src/cluster/limits/limits_part.rs
@@ -16,7 +16,7 @@
     pub limits: Vec<AnnouncedLimit>,
 }
 
-/// What an upstream takes.
+/// An upstream's limit as it is announced.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AnnouncedLimit {
     /// The upstream.
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -14,7 +14,7 @@
 /// stand in another failure domain, and may have to ask once more itself.
 const PATIENCE_FACTOR: f64 = 2.0;
 
-/// A daemon's questions for permits to send requests to upstreams that name a limit.
+/// Sends this daemon's queries for permits for upstreams that name a limit.
 #[derive(Debug, Default)]
 pub struct PermitClient {
     state: Mutex<ClientState>,
--- a/src/cluster/limits/permit_query.rs
+++ b/src/cluster/limits/permit_query.rs
@@ -3,8 +3,8 @@
     bincode::{Decode, Encode},
 };
 
-/// A daemon's question for a permit to send one request to an upstream that names a limit,
-/// to the daemon that issues these.
+/// A daemon's query for a permit to send one request to an upstream that names a limit. It is
+/// sent to the daemon that issues the permits of that upstream.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PermitQuery {
     /// Which life of the daemon asks.
--- a/src/cluster/quotas/quotas_part.rs
+++ b/src/cluster/quotas/quotas_part.rs
@@ -20,7 +20,7 @@
     pub quotas: Vec<AnnouncedAccount>,
 }
 
-/// What is told of one account.
+/// A client account's quota state as a hub announces it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AnnouncedAccount {
     /// The account.
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -25,7 +25,7 @@
 /// How many windows are told: as many as are kept.
 const TOLD_WINDOWS: usize = 8;
 
-/// What holders of the duties have heard of the counts of one life of a daemon.
+/// The usage counts of one incarnation of a daemon that holders of the duties have acknowledged.
 #[derive(Debug, Default)]
 pub struct UsageAnnouncer {
     last_number: u64,
--- a/src/cluster/usage/usage_part.rs
+++ b/src/cluster/usage/usage_part.rs
@@ -22,7 +22,7 @@
     pub counts: AnnouncedCounts,
 }
 
-/// The holder's word that it has heard a part.
+/// The acknowledgement of a usage part by the holder of the duties.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct UsageAck {
     /// Which life of the holder.
--- a/src/cluster/versions/versions_part.rs
+++ b/src/cluster/versions/versions_part.rs
@@ -27,7 +27,7 @@
     counts: HashMap<u32, VersionCounts>,
 }
 
-/// What was heard of answers during roll-outs, by service.
+/// Answer counts received during rollouts, by service.
 #[derive(Debug, Default)]
 pub struct VersionCountTable {
     heard: HashMap<(String, String), Heard>,
--- a/src/logs/story.rs
+++ b/src/logs/story.rs
@@ -6,7 +6,7 @@
 /// A source of log lines, with its name.
 pub type LogSource = (String, Box<dyn BufRead>);
 
-/// A log line, and who wrote it.
+/// A log line with the source that wrote it.
 #[derive(Clone, Debug)]
 pub struct SourcedLine {
     /// The line.
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -65,7 +65,7 @@
     Appended(Option<u64>),
 }
 
-/// What a heartbeat carries.
+/// The payload of a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeartbeatPayload {
     /// The sender.
@@ -169,7 +169,7 @@
     pub tokens: usize,
 }
 
-/// What a daemon tells of the table.
+/// An update of the table for another daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum TableUpdate {
     /// The records that the asker lacks.
--- a/src/policy/cooldowns/retry_after.rs
+++ b/src/policy/cooldowns/retry_after.rs
@@ -3,7 +3,7 @@
 /// The longest text that is read as a time, in bytes: more digits say nothing.
 const MAX_TEXT_BYTES: usize = 32;
 
-/// What a refusal says of when its upstream may be asked again.
+/// When an upstream that refused a request may be sent requests again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfter {
     /// It names no time.
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -9,7 +9,7 @@
 /// Requests that began to run, by client account.
 pub type AccountCounts = BTreeMap<ClientAccount, u64>;
 
-/// What was heard of the counts of one life of another daemon.
+/// Usage counts of one incarnation of another daemon, as received from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedUsage {
     /// The daemon's name.
--- a/src/policy/fleet/plan.rs
+++ b/src/policy/fleet/plan.rs
@@ -42,7 +42,7 @@
     pub reclaimable: u32,
 }
 
-/// How many upstreams the demand needs.
+/// The number of upstreams that the demand needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetDemand {
     /// By the highest demand of late: what cheap upstreams are ordered for.
--- a/src/policy/hubs/seed_backoff.rs
+++ b/src/policy/hubs/seed_backoff.rs
@@ -14,7 +14,7 @@
     due_ms: u64,
 }
 
-/// A question to a seed.
+/// A query to a seed daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedQuery {
     /// Which of the seeds.
--- a/src/policy/limits/known_limit.rs
+++ b/src/policy/limits/known_limit.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Limits to tell.
+/// Limits to announce next.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LimitsToAnnounce {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -20,7 +20,7 @@
 /// placed by itself, which tells them apart.
 const ENDS_IN_COMPANY: usize = 2;
 
-/// An upstream that ended under a request, as daemons tell each other.
+/// A crash of an upstream under a request, as daemons exchange it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownCrash {
     /// The request.
@@ -44,7 +44,7 @@
     pub ends: Vec<KnownCrash>,
 }
 
-/// Ends to tell.
+/// Crashes to announce next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashesToAnnounce {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -23,7 +23,7 @@
     pub demand: f64,
 }
 
-/// All client accounts' quotas as one daemon sees them.
+/// The quotas of all client accounts as one daemon sees them.
 #[derive(Clone, Debug, Default)]
 pub struct QuotaTable {
     bounds: QuotaBounds,
--- a/src/policy/quota/standalone.rs
+++ b/src/policy/quota/standalone.rs
@@ -1,6 +1,6 @@
 use super::QuotaLimit;
 
-/// What a daemon that asks others was told of a client account's quota.
+/// A client account's quota state as received from a hub.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReceivedQuota {
     /// What was left of it.
--- a/src/rollouts/evaluator.rs
+++ b/src/rollouts/evaluator.rs
@@ -19,7 +19,7 @@
 /// How many, to get more than its first small share.
 const FIRST_ANSWERS: u64 = 60;
 
-/// What is known of a new version.
+/// The assessment of a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Assessment {
     /// Too little.
--- a/src/upstreams/directory_changes.rs
+++ b/src/upstreams/directory_changes.rs
@@ -4,7 +4,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What a daemon was told of another's directory.
+/// The position up to which a daemon knows another's directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryCursor {
     /// The revision that was told.
--- a/src/upstreams/newest_incarnations.rs
+++ b/src/upstreams/newest_incarnations.rs
@@ -1,6 +1,6 @@
 use {crate::names::UpstreamId, std::collections::HashMap};
 
-/// The newest life of each upstream that was heard of, also of those that are gone.
+/// The newest known incarnation of each upstream, also of removed ones.
 #[derive(Clone, Debug, Default)]
 pub struct NewestIncarnations {
     by_upstream: HashMap<Box<str>, UpstreamId>,
--- a/src/upstreams/removed_upstreams.rs
+++ b/src/upstreams/removed_upstreams.rs
@@ -1,6 +1,6 @@
 use {super::revision_index::RevisionIndex, crate::names::UpstreamId, std::collections::HashSet};
 
-/// Lives of upstreams that are gone, in the order in which they went.
+/// Incarnations of removed upstreams, in the order of their removal.
 #[derive(Debug, Default)]
 pub(super) struct RemovedUpstreams {
     went: RevisionIndex,
