--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -29,7 +29,7 @@
     in_line: u32,
     /// Until when there is no permit, as far as is known.
     used_up_until_ms: u64,
-    tellings: u8,
+    announcements_left: u8,
     announces_to_hubs: bool,
 }
 
@@ -124,7 +124,7 @@
     /// hubs (true), only those that report to it (false), or nobody. Returns whether it is
     /// news.
     pub fn apply(&mut self, told: &KnownLimit, passes_on: Option<bool>, now_ms: u64) -> bool {
-        let tellings = passes_on.map_or(0, |_| TELLINGS);
+        let announcements_left = passes_on.map_or(0, |_| TELLINGS);
         let announces_to_hubs = passes_on == Some(true);
         let at_ms = now_ms.saturating_sub(told.age_ms);
         let Some(entry) = self.upstreams.get_mut(&told.upstream) else {
@@ -138,7 +138,7 @@
                 permits: PermitBucket::new(now_ms),
                 in_line: 0,
                 used_up_until_ms: 0,
-                tellings,
+                announcements_left,
                 announces_to_hubs,
             };
             self.upstreams.insert(told.upstream.clone(), entry);
@@ -147,11 +147,12 @@
         let is_other = told.rate != entry.rate;
         if !told.supersedes(entry.version, entry.rate) {
             if is_other {
-                (entry.tellings, entry.announces_to_hubs) = (TELLINGS, true);
+                (entry.announcements_left, entry.announces_to_hubs) = (TELLINGS, true);
             }
             return false;
         }
-        (entry.tellings, entry.announces_to_hubs) = (tellings, announces_to_hubs);
+        (entry.announcements_left, entry.announces_to_hubs) =
+            (announcements_left, announces_to_hubs);
         entry.version = told.version;
         match is_other {
             true => entry.change(told.rate, at_ms, now_ms),
@@ -213,9 +214,12 @@
     /// Returns the news to tell next, at most some.
     pub fn to_announce(&mut self, most: usize, now_ms: u64) -> LimitsToAnnounce {
         let mut told = LimitsToAnnounce::default();
-        let due = self.upstreams.iter_mut().filter(|(_, e)| e.tellings > 0);
+        let due = self
+            .upstreams
+            .iter_mut()
+            .filter(|(_, e)| e.announcements_left > 0);
         for (id, entry) in due.take(most) {
-            entry.tellings -= 1;
+            entry.announcements_left -= 1;
             let known = entry.known(id, now_ms);
             if entry.announces_to_hubs {
                 told.hubs.push(known.clone());
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -110,7 +110,7 @@
             ran_ms,
             is_cleared: false,
             is_own: true,
-            tellings: TELLINGS,
+            announcements_left: TELLINGS,
             announces_to_hubs: true,
         });
         true
@@ -124,7 +124,7 @@
         if now_ms >= at_ms + self.kept_ms() {
             return false;
         }
-        let tellings = passes_on.map_or(0, |_| TELLINGS);
+        let announcements_left = passes_on.map_or(0, |_| TELLINGS);
         let announces_to_hubs = passes_on == Some(true);
         let suspect = self.suspect(told.fingerprint);
         let is_same = |end: &&mut UpstreamCrash| end.is_same(&told.upstream, at_ms, TOLD_APART_MS);
@@ -132,7 +132,7 @@
             let is_change = told.is_cleared && !known.is_cleared;
             if is_change {
                 known.is_cleared = true;
-                known.tellings = tellings;
+                known.announcements_left = announcements_left;
                 known.announces_to_hubs = announces_to_hubs;
             }
             return is_change;
@@ -143,7 +143,7 @@
             ran_ms: told.ran_ms,
             is_cleared: told.is_cleared,
             is_own: false,
-            tellings,
+            announcements_left,
             announces_to_hubs,
         });
         true
@@ -208,7 +208,7 @@
         let mut due: Vec<(usize, u64, RequestFingerprint)> = self
             .suspects
             .iter()
-            .filter(|(_, suspect)| suspect.ends.iter().any(|end| end.tellings > 0))
+            .filter(|(_, suspect)| suspect.ends.iter().any(|end| end.announcements_left > 0))
             .map(|(fingerprint, suspect)| (suspect.count(), suspect.last_ms(), *fingerprint))
             .collect();
         due.sort_unstable_by(|a, b| b.cmp(a));
@@ -217,11 +217,15 @@
             let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
                 continue;
             };
-            for end in suspect.ends.iter_mut().filter(|end| end.tellings > 0) {
+            for end in suspect
+                .ends
+                .iter_mut()
+                .filter(|end| end.announcements_left > 0)
+            {
                 if told.members.len() >= most {
                     return told;
                 }
-                end.tellings -= 1;
+                end.announcements_left -= 1;
                 let known = known_end(fingerprint, end, now_ms);
                 if end.announces_to_hubs {
                     told.hubs.push(known.clone());
--- a/src/policy/quarantine/suspect.rs
+++ b/src/policy/quarantine/suspect.rs
@@ -16,7 +16,7 @@
     /// Whether this daemon saw it.
     pub is_own: bool,
     /// How often it is still told.
-    pub tellings: u8,
+    pub announcements_left: u8,
     /// Whether other hubs are told, too.
     pub announces_to_hubs: bool,
 }
@@ -64,12 +64,12 @@
     }
 
     /// Notes that it was answered whole; returns whether that is news.
-    pub fn clear(&mut self, tellings: u8) -> bool {
+    pub fn clear(&mut self, announcements_left: u8) -> bool {
         let open = self.ends.iter_mut().filter(|end| !end.is_cleared);
         open.map(|end| {
             end.is_cleared = true;
             end.announces_to_hubs = true;
-            end.tellings = tellings;
+            end.announcements_left = announcements_left;
         })
         .count()
             > 0
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -248,8 +248,8 @@
 #[test]
 fn news_are_told_some_times_and_passed_on_as_far_as_they_have_to() {
     let mut limit_table = book_of(1.0);
-    let tellings = (0..9).filter(|_| !limit_table.to_announce(9, 0).hubs.is_empty());
-    assert_eq!(tellings.count(), 4);
+    let announcements_left = (0..9).filter(|_| !limit_table.to_announce(9, 0).hubs.is_empty());
+    assert_eq!(announcements_left.count(), 4);
     let mut hub = LimitTable::default();
     hub.apply(&told(Some(1.0), 1), Some(false), 0);
     let news = hub.to_announce(9, 0);
