--- a/src/cluster/leaving/leaving_queue.rs
+++ b/src/cluster/leaving/leaving_queue.rs
@@ -2,7 +2,7 @@
 
 /// How often news of an upstream that leaves are told: a datagram may be lost. Three of four
 /// times in a row are lost once in 10,000 where one in ten is.
-const TELLINGS: u8 = 4;
+const ANNOUNCEMENTS: u8 = 4;
 
 /// Leaving upstreams that are still to be announced to other daemons.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
     /// Notes an upstream to tell others of: the daemons that report to this one, and hubs,
     /// unless a hub told it.
     pub fn note(&mut self, id: UpstreamId, announces_to_hubs: bool) {
-        let left = TELLINGS;
+        let left = ANNOUNCEMENTS;
         self.due.insert(
             id,
             Telling {
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -2,7 +2,7 @@
 
 /// How often news of a limit are told: a datagram may be lost. Three of four times in a row
 /// are lost once in 10,000 where one in ten is.
-const TELLINGS: u8 = 4;
+const ANNOUNCEMENTS: u8 = 4;
 /// For how long it is known that a limit has lapsed, in milliseconds: as long as daemons
 /// that were cut off are known, which may still tell of it.
 const LAPSED_KEPT_MS: u64 = 60_000;
@@ -124,7 +124,7 @@
     /// hubs (true), only those that report to it (false), or nobody. Returns whether it is
     /// news.
     pub fn apply(&mut self, told: &KnownLimit, passes_on: Option<bool>, now_ms: u64) -> bool {
-        let announcements_left = passes_on.map_or(0, |_| TELLINGS);
+        let announcements_left = passes_on.map_or(0, |_| ANNOUNCEMENTS);
         let announces_to_hubs = passes_on == Some(true);
         let at_ms = now_ms.saturating_sub(told.age_ms);
         let Some(entry) = self.upstreams.get_mut(&told.upstream) else {
@@ -147,7 +147,7 @@
         let is_other = told.rate != entry.rate;
         if !told.supersedes(entry.version, entry.rate) {
             if is_other {
-                (entry.announcements_left, entry.announces_to_hubs) = (TELLINGS, true);
+                (entry.announcements_left, entry.announces_to_hubs) = (ANNOUNCEMENTS, true);
             }
             return false;
         }
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -11,7 +11,7 @@
 const TOLD_APART_MS: u64 = 3_000;
 /// How often an end is told that this daemon saw, or that it passes on: a datagram may be
 /// lost. Three of four times in a row are lost once in 10,000 where one in ten is.
-const TELLINGS: u8 = 4;
+const ANNOUNCEMENTS: u8 = 4;
 /// How many requests are kept, which bounds memory. A domain that is lost cuts off some
 /// hundred requests; of those, it is enough to keep the last ones.
 const MAX_SUSPECTS: usize = 512;
@@ -110,7 +110,7 @@
             ran_ms,
             is_cleared: false,
             is_own: true,
-            announcements_left: TELLINGS,
+            announcements_left: ANNOUNCEMENTS,
             announces_to_hubs: true,
         });
         true
@@ -124,7 +124,7 @@
         if now_ms >= at_ms + self.kept_ms() {
             return false;
         }
-        let announcements_left = passes_on.map_or(0, |_| TELLINGS);
+        let announcements_left = passes_on.map_or(0, |_| ANNOUNCEMENTS);
         let announces_to_hubs = passes_on == Some(true);
         let suspect = self.suspect(told.fingerprint);
         let is_same = |end: &&mut UpstreamCrash| end.is_same(&told.upstream, at_ms, TOLD_APART_MS);
@@ -152,7 +152,7 @@
     /// Notes that a request was answered whole; returns whether that is news.
     pub fn record_complete(&mut self, fingerprint: RequestFingerprint) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
-        suspect.is_some_and(|suspect| suspect.clear(TELLINGS))
+        suspect.is_some_and(|suspect| suspect.clear(ANNOUNCEMENTS))
     }
 
     /// Returns whether more than one upstream ended under a request that it may have ended:
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -312,14 +312,14 @@
 fn what_hubs_tell_each_other_grows_with_the_accounts_in_use() {
     const HUBS: usize = 15;
     const IN_USE: usize = 20;
-    const TELLINGS: usize = 400;
+    const ANNOUNCEMENTS: usize = 400;
     for accounts in [40, 333, 2_000] {
         let all: Vec<AnnouncedAccount> = (0..accounts).map(told_account).collect();
         let mut news = QuotaAnnouncer::default();
         let listeners: BTreeSet<Listener> = (0..HUBS).map(|n| (address(n), 1)).collect();
         let mut told = HashMap::<String, usize>::new();
         let mut count = 0;
-        for n in 0..TELLINGS {
+        for n in 0..ANNOUNCEMENTS {
             let mut now = all.clone();
             now[n % IN_USE].admitted += n as f64;
             // The number of daemons that are heard moves all the time.
@@ -331,9 +331,12 @@
             }
         }
         assert_eq!(told.len(), accounts);
-        let by_turns = TELLINGS * accounts / 8;
-        assert!(count <= by_turns + 5 * accounts + 5 * TELLINGS, "{count}");
-        assert!(told.values().all(|times| *times >= TELLINGS / 8));
+        let by_turns = ANNOUNCEMENTS * accounts / 8;
+        assert!(
+            count <= by_turns + 5 * accounts + 5 * ANNOUNCEMENTS,
+            "{count}"
+        );
+        assert!(told.values().all(|times| *times >= ANNOUNCEMENTS / 8));
         // One that started anew needs to know what is left of each.
         let mut anew = listeners.clone();
         anew.remove(&(address(3), 1));
