--- a/src/policy/sources/mod.rs
+++ b/src/policy/sources/mod.rs
@@ -4,6 +4,6 @@
 mod missing_config;
 mod read_schedule;
 mod role;
-mod source_silence;
+mod source_health;
 
-pub use {contact::*, missing_config::*, read_schedule::*, role::*, source_silence::*};
+pub use {contact::*, missing_config::*, read_schedule::*, role::*, source_health::*};
