--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -414,5 +414,5 @@
     }
     world.replicators.mark(world, cell);
     let mut board = world.score.lock();
-    board.note(&cell.spec(), &ending, score, recomputed);
+    board.record(&cell.spec(), &ending, score, recomputed);
 }
--- a/src/app/score_board.rs
+++ b/src/app/score_board.rs
@@ -159,7 +159,7 @@
 
 impl ScoreBoard {
     /// Notes a request that ended.
-    pub fn note(&mut self, spec: &RequestSpec, ending: &Ending, run: &RunScore, recomputed: u64) {
+    pub fn record(&mut self, spec: &RequestSpec, ending: &Ending, run: &RunScore, recomputed: u64) {
         let key = ScoreKey {
             policy: spec.policy.clone(),
             account: spec.account.clone(),
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -319,7 +319,7 @@
             );
             let boot_ms = self.boot_ms(&order);
             let now_ms = self.gateway.steady_ms();
-            self.scaler.note(&order, end, boot_ms, now_ms);
+            self.scaler.record(&order, end, boot_ms, now_ms);
         }
         Ok(())
     }
--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -75,7 +75,7 @@
             let there = directory.ready(&service.name).count() as u32;
             let known = self.known.entry(service.name.clone());
             let known = known.or_insert_with(|| KnownFleet::new(now_ms));
-            known.note(there, now_ms);
+            known.record(there, now_ms);
         }
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Notes how an order ended.
-    pub fn note(&mut self, order: &FleetOrder, end: OrderOutcome, boot_ms: u64, now_ms: u64) {
+    pub fn record(&mut self, order: &FleetOrder, end: OrderOutcome, boot_ms: u64, now_ms: u64) {
         let next_ms = match end {
             OrderOutcome::Taken => now_ms + boot_ms + AGAIN_AFTER_MS,
             OrderOutcome::NoneLeft => now_ms + NONE_LEFT_MS,
@@ -135,8 +135,8 @@
         let peaks = self.peaks.entry(service.name.clone());
         let peaks = peaks.or_insert_with(|| ServicePeaks::new(&policy));
         let mut need = FleetDemand {
-            steady: policy.needed(peaks.steady.note(load, now_ms)),
-            now: policy.needed(peaks.now.note(load, now_ms)),
+            steady: policy.needed(peaks.steady.record(load, now_ms)),
+            now: policy.needed(peaks.now.record(load, now_ms)),
         };
         if !watched || speed.is_none() {
             let known = self.known.get(&service.name);
--- a/src/cluster/hubs/event_log.rs
+++ b/src/cluster/hubs/event_log.rs
@@ -15,7 +15,7 @@
 
 impl EventLog {
     /// Notes an event.
-    pub fn note(&mut self, event: MemberEvent) {
+    pub fn record(&mut self, event: MemberEvent) {
         self.last += 1;
         self.waiting.push_back((self.last, 0, event));
         if self.waiting.len() > MAX_WAITING {
--- a/src/cluster/leaving/leaving_queue.rs
+++ b/src/cluster/leaving/leaving_queue.rs
@@ -28,7 +28,7 @@
 impl LeavingQueue {
     /// Notes an upstream to tell others of: the daemons that report to this one, and hubs,
     /// unless a hub told it.
-    pub fn note(&mut self, id: UpstreamId, announces_to_hubs: bool) {
+    pub fn record(&mut self, id: UpstreamId, announces_to_hubs: bool) {
         let left = ANNOUNCEMENTS;
         self.due.insert(
             id,
--- a/src/cluster/membership/spoken_versions.rs
+++ b/src/cluster/membership/spoken_versions.rs
@@ -22,7 +22,7 @@
 
 impl SpokenVersions {
     /// Notes the version of what a daemon sent.
-    pub fn note(&mut self, from: SocketAddr, version: u8, now_ms: u64) {
+    pub fn record(&mut self, from: SocketAddr, version: u8, now_ms: u64) {
         let spoken = self.spoken.entry(from).or_insert((version, now_ms));
         if version >= spoken.0 || now_ms >= spoken.1 + REPLACED_MS {
             *spoken = (version, now_ms);
--- a/src/cluster/messages/control_traffic.rs
+++ b/src/cluster/messages/control_traffic.rs
@@ -88,7 +88,7 @@
 
 impl ControlTraffic {
     /// Notes a message that is sent.
-    pub fn note(&self, kind: ControlKind, bytes: usize) {
+    pub fn record(&self, kind: ControlKind, bytes: usize) {
         let sent = &self.sent[kind as usize];
         sent.messages.fetch_add(1, Ordering::Relaxed);
         sent.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -54,7 +54,7 @@
     /// Notes what a request asks for.
     pub fn record_demand(&mut self, account: &ClientAccount, cost: f64, now_ms: u64) {
         let standalone = self.accounts.entry(account.clone()).or_default();
-        standalone.demand.note(cost, now_ms);
+        standalone.demand.record(cost, now_ms);
     }
 
     /// Notes that a hub decided on a request of an account.
--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -104,7 +104,7 @@
             .version_count_table
             .lock()
             .take(&rollout.service, rollout.order);
-        led.evaluator.note(&batch);
+        led.evaluator.record(&batch);
         let started_ms = match rollout.started_ms {
             0 => now_ms(),
             started_ms => started_ms,
--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -44,7 +44,7 @@
         let now_ms = self.steady_ms();
         let mut demand = self.demand.lock();
         let meter = demand.entry(service.clone()).or_default();
-        meter.note(work as f64, now_ms);
+        meter.record(work as f64, now_ms);
     }
 
     /// Returns the work a second that this daemon was offered, by service.
--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -24,7 +24,7 @@
     /// Notes that an upstream asked this daemon for rest.
     pub(super) fn start_cooldown(&self, id: &UpstreamId, rest: Duration) {
         let now_ms = self.steady_ms();
-        self.cooldowns.lock().note(id, rest, now_ms);
+        self.cooldowns.lock().record(id, rest, now_ms);
         let own = &self.settings.node.name;
         self.reported_cooldowns.lock().apply(own, id, rest, now_ms);
         self.report_early.notify_one();
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -232,7 +232,7 @@
             return;
         };
         let window = self.window_of(crate::names::now_ms());
-        self.usage.lock().note(window, terms);
+        self.usage.lock().record(window, terms);
     }
 
     /// Returns the window of a time in Unix milliseconds.
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -54,7 +54,7 @@
         for version in versions {
             match encode_for(*version) {
                 Ok(Some(bytes)) => {
-                    self.control.note(kind, bytes.len());
+                    self.control.record(kind, bytes.len());
                     // A failed send is a lost datagram.
                     let _ = socket.send_to(&bytes, to).await;
                 }
@@ -239,7 +239,7 @@
     /// Notes what happened to a request, for the hubs.
     pub(super) fn record_event(&self, event: impl FnOnce() -> MemberEvent) {
         if !self.is_hub() {
-            self.events.lock().note(event());
+            self.events.lock().record(event());
             self.report_early.notify_one();
         }
     }
--- a/src/gateway/send_notes.rs
+++ b/src/gateway/send_notes.rs
@@ -10,7 +10,7 @@
     pub fn record_cached(&self, prompt: &Prompt, upstream: &Upstream) {
         let parts = prompt.parts.iter().map(|p| p.chain);
         let now_ms = self.steady_ms();
-        self.caches.lock().note(&upstream.id, parts, now_ms);
+        self.caches.lock().record(&upstream.id, parts, now_ms);
     }
 
     /// Notes whether a connection to an upstream came up.
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -50,7 +50,7 @@
         if let Some(announces_to_hubs) = passes_on {
             self.leaving_queue
                 .lock()
-                .note(id.clone(), announces_to_hubs);
+                .record(id.clone(), announces_to_hubs);
         }
         if self.directory.read().is_left_until_its_end(id) {
             tokio::spawn(watch_for_end(self.clone(), id.clone()));
--- a/src/policy/cooldowns/cooldown_table.rs
+++ b/src/policy/cooldowns/cooldown_table.rs
@@ -15,7 +15,7 @@
 impl CooldownTable {
     /// Notes that an upstream asked for rest. Of several times the last end counts: answers
     /// may come late.
-    pub fn note(&mut self, id: &UpstreamId, rest: Duration, now_ms: u64) {
+    pub fn record(&mut self, id: &UpstreamId, rest: Duration, now_ms: u64) {
         let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
         let until_ms = now_ms.saturating_add(rest_ms);
         let known_ms = self.until_ms.entry(id.clone()).or_default();
--- a/src/policy/cooldowns/reported_cooldowns.rs
+++ b/src/policy/cooldowns/reported_cooldowns.rs
@@ -19,7 +19,7 @@
     /// Takes in how much rest an upstream still wants of a daemon.
     pub fn apply(&mut self, daemon: &BoxId, id: &UpstreamId, left: Duration, now_ms: u64) {
         let cooldowns = self.by_daemon.entry(daemon.clone()).or_default();
-        cooldowns.note(id, left, now_ms);
+        cooldowns.record(id, left, now_ms);
     }
 
     /// Returns the upstreams that want rest of so many daemons that it is no matter of one.
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -34,7 +34,7 @@
 
 impl UsageWindows {
     /// Notes a request that began here.
-    pub fn note(&mut self, window: u64, account: &ClientAccount) {
+    pub fn record(&mut self, window: u64, account: &ClientAccount) {
         let counts = self.own.entry(window).or_default();
         *counts.entry(account.clone()).or_default() += 1;
         trim(&mut self.own);
--- a/src/policy/engines/cache_memory.rs
+++ b/src/policy/engines/cache_memory.rs
@@ -13,7 +13,7 @@
 
 impl CacheMemory {
     /// Notes that parts were sent to an upstream.
-    pub fn note(&mut self, upstream: &UpstreamId, parts: impl Iterator<Item = u64>, now_ms: u64) {
+    pub fn record(&mut self, upstream: &UpstreamId, parts: impl Iterator<Item = u64>, now_ms: u64) {
         for part in parts {
             let sent = self.sent.entry(part).or_default();
             sent.insert(upstream.clone(), now_ms);
--- a/src/policy/fleet/demand.rs
+++ b/src/policy/fleet/demand.rs
@@ -10,7 +10,7 @@
 
 impl DemandMeter {
     /// Notes work that is offered.
-    pub fn note(&mut self, work: f64, now_ms: u64) {
+    pub fn record(&mut self, work: f64, now_ms: u64) {
         self.per_s = self.per_s(now_ms) + work * 1_000.0 / WINDOW_MS;
         self.at_ms = now_ms;
     }
@@ -41,7 +41,7 @@
     }
 
     /// Notes the demand and returns its peak.
-    pub fn note(&mut self, demand: f64, now_ms: u64) -> f64 {
+    pub fn record(&mut self, demand: f64, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let decayed = self.peak * (-age_ms / self.decay_ms).exp();
         self.peak = decayed.max(demand);
--- a/src/policy/fleet/known_fleet.rs
+++ b/src/policy/fleet/known_fleet.rs
@@ -25,7 +25,7 @@
     }
 
     /// Notes how many are known.
-    pub fn note(&mut self, known: u32, now_ms: u64) {
+    pub fn record(&mut self, known: u32, now_ms: u64) {
         if f64::from(known) > f64::from(self.known) * GROWTH {
             self.known = known;
             self.grew_ms = now_ms;
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -85,17 +85,17 @@
     ) -> bool {
         match named {
             NamedLimit::Unreadable => false,
-            NamedLimit::Rate(rate) => self.note(id, Some(rate), now_ms, now_ms),
+            NamedLimit::Rate(rate) => self.record(id, Some(rate), now_ms, now_ms),
             NamedLimit::Absent => {
                 let known = self.upstreams.get(id);
                 let lifts = known.is_some_and(|e| e.rate.is_some() && sent_ms >= e.at_ms);
-                lifts && self.note(id, None, sent_ms, now_ms)
+                lifts && self.record(id, None, sent_ms, now_ms)
             }
         }
     }
 
     /// Notes what an answer to this daemon's request says.
-    fn note(
+    fn record(
         &mut self,
         id: &UpstreamId,
         rate: Option<RequestRate>,
--- a/src/rollouts/evaluator.rs
+++ b/src/rollouts/evaluator.rs
@@ -46,13 +46,13 @@
 
 impl VersionEvaluator {
     /// Takes in the answers of a moment, by route.
-    pub fn note(&mut self, batch: &[(u32, VersionCounts)]) {
+    pub fn record(&mut self, batch: &[(u32, VersionCounts)]) {
         let mut sum = VersionCounts::default();
         for (route, counts) in batch {
             sum.add(*counts);
-            self.routes.entry(*route).or_default().note(*counts);
+            self.routes.entry(*route).or_default().record(*counts);
         }
-        self.all.note(sum);
+        self.all.record(sum);
     }
 
     /// Returns what is known.
--- a/src/rollouts/evidence.rs
+++ b/src/rollouts/evidence.rs
@@ -47,7 +47,7 @@
 }
 
 impl UsualAnswers {
-    fn note(&mut self, counts: AnswerCounts, remembered: f64) {
+    fn record(&mut self, counts: AnswerCounts, remembered: f64) {
         self.answers += f64::from(counts.answers);
         self.bad += f64::from(counts.bad);
         if self.answers > remembered {
@@ -66,9 +66,9 @@
 
 impl Evidence {
     /// Takes in the answers of a moment.
-    pub fn note(&mut self, batch: VersionCounts) {
+    pub fn record(&mut self, batch: VersionCounts) {
         for (usual, remembered) in self.usual.iter_mut().zip(REMEMBERED) {
-            usual.note(batch.others, remembered);
+            usual.record(batch.others, remembered);
         }
         let (answers, bad) = (batch.target.answers, batch.target.bad);
         if answers == 0 {
--- a/src/rollouts/outcome_meter.rs
+++ b/src/rollouts/outcome_meter.rs
@@ -41,7 +41,7 @@
 
     /// Notes an answer; `time_ms` is the time to its head or first event, none if it
     /// failed.
-    pub fn note(&mut self, route: u32, is_target: bool, time_ms: Option<f64>) {
+    pub fn record(&mut self, route: u32, is_target: bool, time_ms: Option<f64>) {
         let is_counted = self.counts.contains_key(&route) || self.counts.len() < MAX_ROUTES;
         let route = if is_counted { route } else { OTHER_ROUTES };
         let usual = self.usual.entry(route).or_default();
@@ -50,11 +50,11 @@
         let is_bad = time_ms.is_none_or(|ms| is_known && ms > limit_ms);
         let counts = self.counts.entry(route).or_default();
         match is_target {
-            true => counts.target.note(is_bad),
+            true => counts.target.record(is_bad),
             false => {
-                counts.others.note(is_bad);
+                counts.others.record(is_bad);
                 if let Some(ms) = time_ms {
-                    usual.note(ms);
+                    usual.record(ms);
                 }
             }
         }
@@ -72,7 +72,7 @@
 }
 
 impl UsualTime {
-    fn note(&mut self, ms: f64) {
+    fn record(&mut self, ms: f64) {
         self.answers = self.answers.saturating_add(1);
         let weight = (1.0 / f64::from(self.answers)).max(WEIGHT);
         self.mean_ms += weight * (ms - self.mean_ms);
--- a/src/rollouts/version_counts.rs
+++ b/src/rollouts/version_counts.rs
@@ -11,7 +11,7 @@
 
 impl AnswerCounts {
     /// Adds an answer.
-    pub fn note(&mut self, is_bad: bool) {
+    pub fn record(&mut self, is_bad: bool) {
         self.answers += 1;
         self.bad += u32::from(is_bad);
     }
--- a/src/upstreams/newest_incarnations.rs
+++ b/src/upstreams/newest_incarnations.rs
@@ -19,7 +19,7 @@
     }
 
     /// Notes a life; returns the one before if it was another.
-    pub fn note(&mut self, id: &UpstreamId) -> Option<UpstreamId> {
+    pub fn record(&mut self, id: &UpstreamId) -> Option<UpstreamId> {
         let before = self.by_upstream.insert(id.upstream().into(), id.clone());
         before.filter(|before| before != id)
     }
--- a/src/upstreams/removed_upstreams.rs
+++ b/src/upstreams/removed_upstreams.rs
@@ -12,8 +12,8 @@
 
 impl RemovedUpstreams {
     /// Notes that a life went with a revision of the directory.
-    pub(super) fn note(&mut self, id: &UpstreamId, was_leaving: bool, revision: u64) {
-        self.went.note(id, revision);
+    pub(super) fn record(&mut self, id: &UpstreamId, was_leaving: bool, revision: u64) {
+        self.went.record(id, revision);
         if was_leaving {
             self.had_left.insert(id.clone());
         }
--- a/src/upstreams/revision_index.rs
+++ b/src/upstreams/revision_index.rs
@@ -13,7 +13,7 @@
 
 impl RevisionIndex {
     /// Notes that something happened to an upstream with a revision.
-    pub(super) fn note(&mut self, id: &UpstreamId, revision: u64) {
+    pub(super) fn record(&mut self, id: &UpstreamId, revision: u64) {
         self.forget(id);
         self.revisions.insert(id.clone(), revision);
         self.by_revision.insert(revision, id.clone());
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -88,7 +88,7 @@
             _ => {}
         }
         self.removed_ids.forget(&id);
-        if let Some(before) = self.lives.note(&id) {
+        if let Some(before) = self.lives.record(&id) {
             self.forget(&before);
         }
         let leaves = upstream.draining && known.as_ref().is_none_or(|known| !known.draining);
@@ -173,7 +173,7 @@
 
     fn note_changed(&mut self, id: &UpstreamId) {
         self.revision += 1;
-        self.changed.note(id, self.revision);
+        self.changed.record(id, self.revision);
     }
 
     /// Returns what was learned since this was last called.
@@ -228,7 +228,7 @@
         self.notes.removed_ids.push((id.clone(), upstream.offset));
         // What a file lists again is there again.
         let left_for_good = upstream.draining && !self.has_own_source;
-        self.removed_ids.note(id, left_for_good, self.revision);
+        self.removed_ids.record(id, left_for_good, self.revision);
         let most = MIN_GONE.max(GONE_PER_KNOWN * self.service_of.len());
         for forgotten in self.removed_ids.forget_first(most) {
             self.lives.forget(&forgotten);
--- a/tests/decisions/duties.rs
+++ b/tests/decisions/duties.rs
@@ -161,7 +161,7 @@
 fn usage_is_the_sum_of_what_each_life_counted() {
     let terms = ClientAccount::from("t");
     let mut usage = UsageWindows::default();
-    usage.note(3, &terms);
+    usage.record(3, &terms);
     usage.merge("b", 1, &[(3, counts(5))]);
     // Told again, later and out of order.
     usage.merge("b", 1, &[(3, counts(7))]);
--- a/tests/decisions/fleet.rs
+++ b/tests/decisions/fleet.rs
@@ -213,9 +213,9 @@
 #[test]
 fn a_peak_of_demand_is_kept_for_a_while() {
     let mut peak = DemandPeak::new(30_000.0);
-    assert_eq!(peak.note(90.0, 0), 90.0);
-    assert!(peak.note(10.0, 5_000) > 70.0);
-    assert!(peak.note(10.0, 200_000) < 11.0);
+    assert_eq!(peak.record(90.0, 0), 90.0);
+    assert!(peak.record(10.0, 5_000) > 70.0);
+    assert!(peak.record(10.0, 200_000) < 11.0);
 }
 
 /// Orders that are placed while a daemon learns, step by step, what is there: the platform
@@ -231,7 +231,7 @@
         for now_ms in (0..60_000).step_by(LOOK_MS as usize) {
             let part = (now_ms as f64 / f64::from(known_after_ms)).min(1.0);
             let known = (f64::from(THERE) * part) as u32;
-            fleet.note(known, now_ms);
+            fleet.record(known, now_ms);
             if fleet.is_settled(now_ms) {
                 settled_ms.get_or_insert(now_ms);
                 assert!(known >= THERE / 100 * 97, "{known} of {THERE}");
@@ -245,13 +245,13 @@
 #[test]
 fn a_few_upstreams_that_come_and_go_are_no_growth() {
     let mut fleet = KnownFleet::new(0);
-    fleet.note(100, 0);
+    fleet.record(100, 0);
     for now_ms in (0..2_000).step_by(250) {
         assert!(!fleet.is_settled(now_ms));
-        fleet.note(100 + u32::from(now_ms % 500 == 0), now_ms);
+        fleet.record(100 + u32::from(now_ms % 500 == 0), now_ms);
     }
     assert!(fleet.is_settled(2_000));
-    fleet.note(130, 2_250);
+    fleet.record(130, 2_250);
     assert!(!fleet.is_settled(2_250));
     assert!(fleet.is_settled(4_250));
 }
--- a/tests/decisions/leaving.rs
+++ b/tests/decisions/leaving.rs
@@ -12,8 +12,8 @@
 #[test]
 fn news_of_one_that_leaves_are_lost_with_one_datagram_or_told_for_ever() {
     let mut news = LeavingQueue::default();
-    news.note(id("a"), true);
-    news.note(id("b"), false);
+    news.record(id("a"), true);
+    news.record(id("b"), false);
     for _ in 0..4 {
         assert!(!news.is_empty());
         let told = LeavingToAnnounce {
@@ -30,7 +30,7 @@
 fn many_that_leave_at_once_hide_some_of_them() {
     let mut news = LeavingQueue::default();
     for n in 0..100 {
-        news.note(id(&format!("u{n}")), true);
+        news.record(id(&format!("u{n}")), true);
     }
     let mut told = Vec::new();
     while !news.is_empty() {
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -106,7 +106,7 @@
     }
     let mut log = EventLog::default();
     for n in 0..48 {
-        log.note(MemberEvent::FirstEvent {
+        log.record(MemberEvent::FirstEvent {
             service: format!("service-with-a-name-{n}"),
             unread_tokens: 123_456,
             after_ms: 1_234.5,
--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -131,17 +131,17 @@
         &[7, 6],
         "nothing is known of it"
     );
-    spoken.note(at(1), 6, 0);
-    spoken.note(at(2), 7, 0);
+    spoken.record(at(1), 6, 0);
+    spoken.record(at(2), 7, 0);
     assert_eq!(spoken.for_daemon(at(1), 100), &[6]);
     assert_eq!(spoken.for_daemon(at(2), 100), &[7]);
     // It knows nothing of this daemon either, and tells it everything twice.
-    spoken.note(at(2), 6, 100);
+    spoken.record(at(2), 6, 100);
     assert_eq!(spoken.for_daemon(at(2), 100), &[7]);
     // It was replaced by an earlier build, and by a later one.
-    spoken.note(at(2), 6, 4_000);
+    spoken.record(at(2), 6, 4_000);
     assert_eq!(spoken.for_daemon(at(2), 4_000), &[6]);
-    spoken.note(at(2), 7, 4_100);
+    spoken.record(at(2), 7, 4_100);
     assert_eq!(spoken.for_daemon(at(2), 4_100), &[7]);
     // It has been silent for long: whatever is there now understands one of both.
     assert_eq!(spoken.for_daemon(at(2), 60_000), &[7, 6]);
@@ -209,7 +209,7 @@
                             continue;
                         }
                         last_seen_ms[to][from] = now_ms;
-                        spoken[to].note(at(from as u16), version, now_ms);
+                        spoken[to].record(at(from as u16), version, now_ms);
                     }
                 }
             }
--- a/tests/decisions/rests.rs
+++ b/tests/decisions/rests.rs
@@ -40,8 +40,8 @@
 #[test]
 fn a_later_word_cuts_a_rest_short() {
     let mut cooldowns = CooldownTable::default();
-    cooldowns.note(&id("a"), seconds(3.0), 1_000);
-    cooldowns.note(&id("a"), seconds(1.0), 1_500);
+    cooldowns.record(&id("a"), seconds(3.0), 1_000);
+    cooldowns.record(&id("a"), seconds(1.0), 1_500);
     assert_eq!(cooldowns.left(&id("a"), 2_000), Some(seconds(2.0)));
     assert!(cooldowns.is_in_cooldown(&id("a"), 3_999));
     assert!(!cooldowns.is_in_cooldown(&id("a"), 4_000), "it is over");
@@ -51,18 +51,18 @@
 #[test]
 fn a_rest_of_no_time_or_of_all_time_overflows() {
     let mut cooldowns = CooldownTable::default();
-    cooldowns.note(&id("a"), Duration::ZERO, 1_000);
+    cooldowns.record(&id("a"), Duration::ZERO, 1_000);
     assert!(!cooldowns.is_in_cooldown(&id("a"), 1_000));
-    cooldowns.note(&id("b"), Duration::MAX, 1_000);
+    cooldowns.record(&id("b"), Duration::MAX, 1_000);
     assert!(cooldowns.is_in_cooldown(&id("b"), u64::MAX - 1));
 }
 
 #[test]
 fn rests_that_are_over_and_upstreams_that_are_gone_are_kept() {
     let mut cooldowns = CooldownTable::default();
-    cooldowns.note(&id("over"), seconds(1.0), 0);
-    cooldowns.note(&id("gone"), seconds(9.0), 0);
-    cooldowns.note(&id("kept"), seconds(9.0), 0);
+    cooldowns.record(&id("over"), seconds(1.0), 0);
+    cooldowns.record(&id("gone"), seconds(9.0), 0);
+    cooldowns.record(&id("kept"), seconds(9.0), 0);
     cooldowns.retain(|known| *known != id("gone"), 2_000);
     let kept: Vec<_> = cooldowns.in_cooldown(0).map(|(id, _)| id.clone()).collect();
     assert_eq!(kept, [id("kept")]);
--- a/tests/decisions/rollouts.rs
+++ b/tests/decisions/rollouts.rs
@@ -135,16 +135,16 @@
                 true => {
                     outcome.target += 1;
                     outcome.bad += u64::from(is_bad);
-                    counts.target.note(is_bad);
+                    counts.target.record(is_bad);
                 }
-                false => counts.others.note(is_bad),
+                false => counts.others.record(is_bad),
             }
         }
         if state != RolloutState::InProgress {
             continue;
         }
         let batch: Vec<_> = (1..).zip(batch).collect();
-        evaluator.note(&batch);
+        evaluator.record(&batch);
         let is_there = now_ms >= BOOT_MS;
         state = steps.next(RolloutView {
             elapsed_ms: now_ms,
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -309,9 +309,9 @@
         let kept = caches.kept_parts(parts, now_ms);
         kept.get(&UpstreamId::from(upstream)).copied()
     };
-    caches.note(&UpstreamId::from("u1"), [first].into_iter(), 0);
-    caches.note(&UpstreamId::from("u2"), [second].into_iter(), 0);
-    caches.note(&UpstreamId::from("u3"), [first, second].into_iter(), 0);
+    caches.record(&UpstreamId::from("u1"), [first].into_iter(), 0);
+    caches.record(&UpstreamId::from("u2"), [second].into_iter(), 0);
+    caches.record(&UpstreamId::from("u3"), [first, second].into_iter(), 0);
     assert_eq!(kept(&caches, "u1", 10), Some(1));
     assert_eq!(
         kept(&caches, "u2", 10),
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -18,7 +18,7 @@
         let mut teller = UsageAnnouncer::default();
         for n in 0..60 {
             let account = ClientAccount::from(format!("tenant-{}", (daemon + n) % 40).as_str());
-            own.note(7 + n as u64 % 2, &account);
+            own.record(7 + n as u64 % 2, &account);
         }
         true_total += 30;
         let name = format!("n{daemon}");
@@ -59,7 +59,7 @@
 #[test]
 fn a_new_holder_of_the_duties_is_told_all_again() {
     let mut own = UsageWindows::default();
-    own.note(7, &ClientAccount::from("t"));
+    own.record(7, &ClientAccount::from("t"));
     let mut teller = UsageAnnouncer::default();
     let heard = |parts: &[UsagePart], incarnation| UsageAck {
         holder_incarnation: incarnation,
@@ -127,7 +127,7 @@
 #[test]
 fn what_was_heard_is_not_told_again_after_many_empty_windows() {
     let mut own = UsageWindows::default();
-    own.note(7, &ClientAccount::from("t"));
+    own.record(7, &ClientAccount::from("t"));
     let mut teller = UsageAnnouncer::default();
     let mut told = Vec::new();
     for window in 8..40 {
