--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -50,13 +50,13 @@
 /// A question that is open until its request is counted, or over.
 #[derive(Debug)]
 struct OpenQuery<'a> {
-    desk: &'a HubClient,
+    client: &'a HubClient,
     id: u64,
 }
 
 impl Drop for OpenQuery<'_> {
     fn drop(&mut self) {
-        let mut state = self.desk.state.lock();
+        let mut state = self.client.state.lock();
         state.open.remove(&self.id);
         state.waiting.remove(&self.id);
     }
@@ -129,7 +129,7 @@
         state.open.insert(id);
         state.waiting.insert(id, tx);
         drop(state);
-        (OpenQuery { desk: self, id }, rx)
+        (OpenQuery { client: self, id }, rx)
     }
 
     fn hubs_to_query(&self, gateway: &Gateway) -> Vec<SocketAddr> {
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -30,13 +30,13 @@
 /// A question that is open.
 #[derive(Debug)]
 struct OpenQuery<'a> {
-    desk: &'a PermitClient,
+    client: &'a PermitClient,
     id: u64,
 }
 
 impl Drop for OpenQuery<'_> {
     fn drop(&mut self) {
-        self.desk.state.lock().waiting.remove(&self.id);
+        self.client.state.lock().waiting.remove(&self.id);
     }
 }
 
@@ -89,7 +89,7 @@
         state.waiting.insert(id, tx);
         let max_wait_ms = contact.timeout_ms() * PATIENCE_FACTOR;
         let max_wait = Duration::from_secs_f64(max_wait_ms / 1_000.0);
-        Some((OpenQuery { desk: self, id }, rx, max_wait))
+        Some((OpenQuery { client: self, id }, rx, max_wait))
     }
 
     /// Takes in an answer.
