--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         box_watch::*, claim_desk::*, duties::do_duties, heartbeat::*, load_watch::watch_loads,
-        peer_desk::PeerDesk, reclaim_watch::watch_reclaims, sweep::*, table_watch::*, *,
+        peer_service::PeerDesk, reclaim_watch::watch_reclaims, sweep::*, table_watch::*, *,
     },
     crate::{
         caller::serve_callers, clock::watch_for_suspensions, conf::Settings, engine::*, names::*,
--- a/src/app/mod.rs
+++ b/src/app/mod.rs
@@ -15,7 +15,7 @@
 mod load_watch;
 mod locate;
 mod model_loads;
-mod peer_desk;
+mod peer_service;
 mod reclaim_watch;
 mod replacements;
 mod replicate;
--- a/src/app/sweep.rs
+++ b/src/app/sweep.rs
@@ -1,5 +1,5 @@
 use {
-    super::{peer_desk::own, *},
+    super::{peer_service::own, *},
     crate::{names::*, peer::*, policy::*, requests::*},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
