--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         box_watch::*, claim_desk::*, duties::do_duties, heartbeat::*, load_watch::watch_loads,
-        peer_service::PeerDesk, reclaim_watch::watch_reclaims, sweep::*, table_watch::*, *,
+        peer_service::PeerService, reclaim_watch::watch_reclaims, sweep::*, table_watch::*, *,
     },
     crate::{
         caller::serve_callers, clock::watch_for_suspensions, conf::Settings, engine::*, names::*,
@@ -65,7 +65,7 @@
             world.me.incarnation
         );
         let mut tasks = JoinSet::new();
-        let desk = Arc::new(PeerDesk::new(world.clone()));
+        let desk = Arc::new(PeerService::new(world.clone()));
         tasks.spawn(watch_for_suspensions());
         tasks.spawn(serve_peers(peers, tls, desk));
         tasks.spawn(serve_callers(callers, world.clone()));
--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -11,11 +11,11 @@
 const MAX_HELD_FACTOR: usize = 8;
 
 /// What this daemon does for its peers.
-pub struct PeerDesk {
+pub struct PeerService {
     world: Arc<World>,
 }
 
-impl PeerDesk {
+impl PeerService {
     /// Makes the desk.
     pub fn new(world: Arc<World>) -> Self {
         Self { world }
@@ -226,7 +226,7 @@
 }
 
 #[async_trait]
-impl PeerHandler for PeerDesk {
+impl PeerHandler for PeerService {
     async fn call(&self, call: PeerCall) -> PeerReply {
         match call {
             PeerCall::Ping => PeerReply::Alive(self.world.me.incarnation),
