--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        box_watch::*, claim_desk::*, duties::do_duties, heartbeat::*, load_watch::watch_loads,
+        box_watch::*, claim_client::*, duties::do_duties, heartbeat::*, load_watch::watch_loads,
         peer_service::PeerService, reclaim_watch::watch_reclaims, sweep::*, table_watch::*, *,
     },
     crate::{
--- a/src/app/mod.rs
+++ b/src/app/mod.rs
@@ -6,7 +6,7 @@
 mod app_error;
 mod attempt;
 mod box_watch;
-mod claim_desk;
+mod claim_client;
 mod daemon;
 mod duties;
 mod hand_over;
@@ -27,7 +27,7 @@
 mod world;
 
 pub use {
-    accept::*, admission_desk::*, answer_reader::*, app_error::*, box_watch::*, claim_desk::*,
+    accept::*, admission_desk::*, answer_reader::*, app_error::*, box_watch::*, claim_client::*,
     daemon::*, hand_over::*, hold::*, locate::*, replicate::*, score_board::*, table_watch::*,
     world::*,
 };
--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -166,11 +166,11 @@
 
     async fn append_claims(&self, records: Vec<ClaimRecord>) -> PeerReply {
         match self.world.claims.append(records).await {
-            Ok(super::claim_desk::ClaimAppendOutcome::At(offset)) => {
+            Ok(super::claim_client::ClaimAppendOutcome::At(offset)) => {
                 PeerReply::Appended(Some(offset))
             }
-            Ok(super::claim_desk::ClaimAppendOutcome::Unknown) => PeerReply::Appended(None),
-            Ok(super::claim_desk::ClaimAppendOutcome::NotTaken) | Err(_) => {
+            Ok(super::claim_client::ClaimAppendOutcome::Unknown) => PeerReply::Appended(None),
+            Ok(super::claim_client::ClaimAppendOutcome::NotTaken) | Err(_) => {
                 PeerReply::Refused("not taken".to_string())
             }
         }
