--- a/src/app/claim_client.rs
+++ b/src/app/claim_client.rs
@@ -50,7 +50,7 @@
 
 /// Claims of this box, and what the log says of all claims.
 #[derive(Default)]
-pub struct ClaimDesk {
+pub struct ClaimClient {
     fold: Mutex<ClaimFold>,
     folded_to: watch::Sender<u64>,
     outbox: Mutex<Vec<Pending>>,
@@ -64,7 +64,7 @@
     tx: oneshot::Sender<ClaimAppendOutcome>,
 }
 
-impl ClaimDesk {
+impl ClaimClient {
     /// Puts records into the next append.
     pub fn append(&self, records: Vec<ClaimRecord>) -> oneshot::Receiver<ClaimAppendOutcome> {
         let (tx, rx) = oneshot::channel();
--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -72,7 +72,7 @@
     /// Admission.
     pub admission: AdmissionDesk,
     /// Claims.
-    pub claims: ClaimDesk,
+    pub claims: ClaimClient,
     /// All requests.
     pub requests: RequestTable,
     /// What is sent to the holders of copies.
@@ -114,7 +114,7 @@
             stats: Mutex::default(),
             hints: Mutex::default(),
             admission: AdmissionDesk::default(),
-            claims: ClaimDesk::default(),
+            claims: ClaimClient::default(),
             requests: RequestTable::default(),
             replicators: Replicators::default(),
             score: Mutex::default(),
