--- a/src/app/mod.rs
+++ b/src/app/mod.rs
@@ -1,7 +1,7 @@
 //! The daemon: what connects decisions, tables and borders.
 
 mod accept;
-mod admission_desk;
+mod admission_control;
 mod answer_reader;
 mod app_error;
 mod attempt;
@@ -27,7 +27,7 @@
 mod world;
 
 pub use {
-    accept::*, admission_desk::*, answer_reader::*, app_error::*, box_watch::*, claim_client::*,
+    accept::*, admission_control::*, answer_reader::*, app_error::*, box_watch::*, claim_client::*,
     daemon::*, hand_over::*, hold::*, locate::*, replicate::*, score_board::*, table_watch::*,
     world::*,
 };
