--- a/src/app/accept.rs
+++ b/src/app/accept.rs
@@ -106,7 +106,7 @@
     let fair = !naive && spill.is_none() && world.settings.trial.queue;
     let tokens = tokens_of(&spec);
     let deadline_ms = spec.deadline_ms;
-    let admitted = AdmissionDesk::admit(world, c, tokens, deadline_ms, fair).await;
+    let admitted = AdmissionControl::admit(world, c, tokens, deadline_ms, fair).await;
     let admitted = admitted.map_err(|r| rejected(&r))?;
     earn_retry(world, &spec);
     let start = Start {
--- a/src/app/admission_control.rs
+++ b/src/app/admission_control.rs
@@ -26,7 +26,7 @@
 ///
 /// Lock order: `gates` before `queues`.
 #[derive(Debug, Default)]
-pub struct AdmissionDesk {
+pub struct AdmissionControl {
     gates: Mutex<BTreeMap<(ClientAccount, ServiceName), RowGate>>,
     queues: Mutex<BTreeMap<ServiceName, ServiceQueue>>,
     running: AtomicUsize,
@@ -48,7 +48,7 @@
     started_ms: u64,
 }
 
-impl AdmissionDesk {
+impl AdmissionControl {
     /// Admits a request, or refuses it at once.
     ///
     /// # Errors
@@ -205,7 +205,7 @@
 
 /// A wait for a turn; whoever drops it leaves the queue.
 struct Waiting<'a> {
-    desk: &'a AdmissionDesk,
+    desk: &'a AdmissionControl,
     service: &'a ServiceName,
     ticket: u64,
     rx: oneshot::Receiver<()>,
--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -70,7 +70,7 @@
     /// What upstreams are thought to have cached.
     pub hints: Mutex<CacheHints>,
     /// Admission.
-    pub admission: AdmissionDesk,
+    pub admission: AdmissionControl,
     /// Claims.
     pub claims: ClaimClient,
     /// All requests.
@@ -113,7 +113,7 @@
             links: LinkTable::new(tls, local_ip, silence_ms),
             stats: Mutex::default(),
             hints: Mutex::default(),
-            admission: AdmissionDesk::default(),
+            admission: AdmissionControl::default(),
             claims: ClaimClient::default(),
             requests: RequestTable::default(),
             replicators: Replicators::default(),
