--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -34,7 +34,7 @@
     /// Returns why it could not start.
     pub async fn start(settings: Settings) -> Result<Self, AppError> {
         let platform = Arc::new(PlatformHttp::new(settings.platform.address));
-        let borders = Borders {
+        let borders = Backends {
             engine: Arc::new(EngineHttp::default()),
             plain: Arc::new(PlainHttp::default()),
             log: platform.clone(),
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Returns why it could not start.
-    pub async fn start_with(settings: Settings, borders: Borders) -> Result<Self, AppError> {
+    pub async fn start_with(settings: Settings, borders: Backends) -> Result<Self, AppError> {
         let tls = PeerTls::from_settings(&settings.peers)?;
         let callers = listen(settings.listen.callers).await?;
         let peers = listen(settings.listen.peers).await?;
--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -13,7 +13,7 @@
 
 /// The systems outside, each behind a trait.
 #[derive(Clone)]
-pub struct Borders {
+pub struct Backends {
     /// Model engines.
     pub engine: Arc<dyn Engine>,
     /// Plain services.
@@ -84,7 +84,7 @@
     /// Where this daemon is in its life.
     pub phase: watch::Sender<Phase>,
     /// The systems outside.
-    pub borders: Borders,
+    pub borders: Backends,
     rng: Mutex<ChaCha8Rng>,
 }
 
@@ -92,7 +92,7 @@
     /// Makes the world of a daemon that has just started.
     pub fn new(
         settings: Settings,
-        borders: Borders,
+        borders: Backends,
         tls: Option<Arc<PeerTls>>,
         incarnation: u64,
     ) -> Self {
