--- a/src/logs/line_budget.rs
+++ b/src/logs/line_budget.rs
@@ -19,7 +19,7 @@
 
 /// What to do with a line.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct LineDecision {
     /// Whether to write it.
     pub write: bool,
     /// By part, the lines that were dropped in an earlier second; to be told
@@ -29,7 +29,7 @@
 
 impl LineBudget {
     /// Decides on a line of a part.
-    pub fn take(&mut self, part: &str, important: bool, now_ms: u64) -> Verdict {
+    pub fn take(&mut self, part: &str, important: bool, now_ms: u64) -> LineDecision {
         let mut told = BTreeMap::new();
         let second = now_ms / SECOND_MS;
         if second != self.second {
@@ -47,7 +47,7 @@
         if !write {
             self.record_dropped(part, 1);
         }
-        Verdict {
+        LineDecision {
             write,
             dropped: told,
         }
