--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -81,8 +81,8 @@
         let newest = report.events.iter().map(|(n, _)| *n).max();
         member.last_event = last_event.max(newest.unwrap_or(0));
         let mut alone = Vec::new();
-        if report.alone_batch > member.last_alone {
-            member.last_alone = report.alone_batch;
+        if report.standalone_batch > member.last_alone {
+            member.last_alone = report.standalone_batch;
             let typed = |(name, units): &(String, f64)| (ClientAccount::from(&**name), *units);
             alone = report.alone.iter().map(typed).collect();
         }
--- a/src/cluster/hubs/report.rs
+++ b/src/cluster/hubs/report.rs
@@ -25,10 +25,10 @@
     /// What happened lately, numbered in order: told twice, taken in once.
     pub events: Vec<(u64, MemberEvent)>,
     /// What it let in by itself, by client account; the same until the hub has
-    /// heard `alone_batch`.
+    /// heard `standalone_batch`.
     pub alone: Vec<(String, f64)>,
     /// The number of `alone`; 0 for none.
-    pub alone_batch: u64,
+    pub standalone_batch: u64,
 }
 
 /// What happened to a request of a daemon: hubs learn from it how upstreams
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -125,7 +125,7 @@
     report.leans_on_you = true;
     report.wants_all = wants_all;
     report.wants_digest |= wants_all;
-    (report.alone, report.alone_batch) = gateway.standalone_quotas.lock().to_announce(hub);
+    (report.alone, report.standalone_batch) = gateway.standalone_quotas.lock().to_announce(hub);
     let events = match report.alone.is_empty() {
         true => MAX_EVENTS,
         false => MAX_EVENTS / 2,
@@ -164,6 +164,6 @@
         status: gateway.status(),
         events: Vec::new(),
         alone: Vec::new(),
-        alone_batch: 0,
+        standalone_batch: 0,
     }
 }
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -27,7 +27,7 @@
         status: DaemonStatus::default(),
         events: Vec::new(),
         alone: Vec::new(),
-        alone_batch: 0,
+        standalone_batch: 0,
     }
 }
 
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -95,7 +95,7 @@
             status: DaemonStatus::default(),
             events: Vec::new(),
             alone: Vec::new(),
-            alone_batch: 0,
+            standalone_batch: 0,
         };
         self.send(to, Message::Report(report));
     }
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -164,7 +164,7 @@
             },
             events: Vec::new(),
             alone: Vec::new(),
-            alone_batch: 0,
+            standalone_batch: 0,
         };
         self.tables[to].apply_report(&report, self.now_ms);
         let answer = self.digest(to, &domain);
@@ -372,7 +372,7 @@
         },
         events: Vec::new(),
         alone: Vec::new(),
-        alone_batch: 0,
+        standalone_batch: 0,
     }
 }
 
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -106,7 +106,7 @@
         status: status(),
         events: (1..).zip(events).collect(),
         alone: vec![("t".into(), 17.5)],
-        alone_batch: 4,
+        standalone_batch: 4,
     }
 }
 
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -21,7 +21,7 @@
         status: DaemonStatus::default(),
         events: events.to_vec(),
         alone: vec![("t".into(), 100.0)],
-        alone_batch: alone,
+        standalone_batch: alone,
     }
 }
 
@@ -115,7 +115,7 @@
     let mut units = 0;
     for sequence in 1..=40 {
         let mut report = report(sequence, &log.to_announce(12), 0);
-        (report.alone, report.alone_batch) = standalone.to_announce(address(1));
+        (report.alone, report.standalone_batch) = standalone.to_announce(address(1));
         units += report.alone.len();
         let bytes = Datagram::Report(report).encode();
         assert!(bytes.is_ok(), "{bytes:?}");
