--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -127,14 +127,14 @@
         match rng.random_range(0..9) {
             0 | 1 => self.source.append(rng),
             2 => self.daemons[own].listing = Some(self.source.listing()),
-            3 => self.hear_listing(own),
+            3 => self.apply_listing(own),
             4 | 5 => self.read_on(own, rng),
             6 => self.ask(own, rng.random_range(0..DAEMONS)),
             _ => self.hear_news(own),
         }
     }
 
-    fn hear_listing(&mut self, own: usize) {
+    fn apply_listing(&mut self, own: usize) {
         let daemon = &mut self.daemons[own];
         if let Some((listing, end)) = daemon.listing.take() {
             daemon.directory.replace(listing, end as u64, None);
