--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -130,7 +130,7 @@
             3 => self.apply_listing(own),
             4 | 5 => self.read_on(own, rng),
             6 => self.ask(own, rng.random_range(0..DAEMONS)),
-            _ => self.hear_news(own),
+            _ => self.apply_batch(own),
         }
     }
 
@@ -174,7 +174,7 @@
         self.daemons[own].news = Some((other, news));
     }
 
-    fn hear_news(&mut self, own: usize) {
+    fn apply_batch(&mut self, own: usize) {
         let daemon = &mut self.daemons[own];
         match daemon.news.take() {
             None => {}
