--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -96,7 +96,7 @@
     /// When this account was opened.
     opened_ms: u64,
     /// Whether an older daemon has told what is left.
-    is_told: bool,
+    is_announced: bool,
     /// Whether a request waits for the next notice.
     is_turn_awaited: bool,
 }
@@ -122,7 +122,7 @@
             all_heard: false,
             own_slack: 0.0,
             opened_ms: now_ms,
-            is_told: false,
+            is_announced: false,
             is_turn_awaited: false,
         }
     }
@@ -139,11 +139,11 @@
             return;
         }
         let told = told - self.admitted;
-        self.level = match self.is_told {
+        self.level = match self.is_announced {
             true => self.level.min(told),
             false => told,
         };
-        self.is_told = true;
+        self.is_announced = true;
     }
 
     /// Takes out what was let in elsewhere and is this daemon's to count.
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -421,8 +421,9 @@
             return self.take_unshared(changes.upstreams);
         }
         let lacked = self.lacked_by(&changes.upstreams).into_iter();
-        let is_told = |id: &UpstreamId| self.get(id).is_some_and(|u| u.offset >= changes.all_since);
-        let mut removed_ids: Vec<UpstreamId> = lacked.filter(is_told).collect();
+        let is_announced =
+            |id: &UpstreamId| self.get(id).is_some_and(|u| u.offset >= changes.all_since);
+        let mut removed_ids: Vec<UpstreamId> = lacked.filter(is_announced).collect();
         removed_ids.extend(changes.removed_ids);
         for id in removed_ids {
             let is_older = self.get(&id).is_some_and(|known| known.offset < position);
