--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -5,7 +5,7 @@
     rand::{Rng, SeedableRng},
     rand_chacha::ChaCha8Rng,
     saddlepulley::{
-        cluster::{Listener, QuotaNews, ToldAccount},
+        cluster::{AnnouncedAccount, Listener, QuotaAnnouncer},
         names::ClientAccount,
         policy::*,
         routing::AccountTerms,
@@ -42,8 +42,8 @@
 /// cut off from all others at a time. Returns what was let in, by time.
 struct Fleet {
     terms: AccountTerms,
-    books: Vec<QuotaBook>,
-    news: Vec<QuotaNews>,
+    books: Vec<QuotaTable>,
+    news: Vec<QuotaAnnouncer>,
     lives: Vec<u64>,
     started_ms: Vec<u64>,
     heard: Vec<HashMap<usize, (u64, Vec<QuotaNotice>)>>,
@@ -58,8 +58,8 @@
     fn new(daemons: usize, seed: u64) -> Self {
         Self {
             terms: terms(),
-            books: vec![QuotaBook::new(BOUNDS); daemons],
-            news: (0..daemons).map(|_| QuotaNews::default()).collect(),
+            books: vec![QuotaTable::new(BOUNDS); daemons],
+            news: (0..daemons).map(|_| QuotaAnnouncer::default()).collect(),
             lives: (0..daemons as u64).collect(),
             started_ms: vec![0; daemons],
             heard: vec![HashMap::new(); daemons],
@@ -71,8 +71,8 @@
     }
 
     fn restart(&mut self, daemon: usize) {
-        self.books[daemon] = QuotaBook::new(BOUNDS);
-        self.news[daemon] = QuotaNews::default();
+        self.books[daemon] = QuotaTable::new(BOUNDS);
+        self.news[daemon] = QuotaAnnouncer::default();
         self.lives[daemon] += 1_000;
         self.started_ms[daemon] = self.admitted.last().map_or(0, |(at, _)| *at);
         self.heard[daemon].clear();
@@ -98,23 +98,23 @@
             let notices =
                 self.books[from].tick(std::slice::from_ref(&self.terms), &others, daemons, now_ms);
             let listeners = self.listeners_of(from);
-            let told = notices.iter().map(ToldAccount::of).collect();
+            let told = notices.iter().map(AnnouncedAccount::of).collect();
             let told = self.news[from].due(told, listeners);
-            let notices: Vec<_> = told.iter().map(ToldAccount::notice).collect();
+            let notices: Vec<_> = told.iter().map(AnnouncedAccount::notice).collect();
             for to in (0..daemons).filter(|to| *to != from) {
                 if cut(from, now_ms) || cut(to, now_ms) {
                     continue;
                 }
                 let node = from.to_string();
                 let is_younger = self.started_ms[from] >= self.started_ms[to];
-                let life = self.lives[from];
+                let incarnation = self.lives[from];
                 let heard = self.heard[to].entry(from).or_default();
                 heard.0 = now_ms;
                 if notices.is_empty() || self.rng.random_bool(self.loss) {
                     continue;
                 }
                 heard.1 = notices.clone();
-                self.books[to].hear(&node, life, &notices, is_younger, now_ms);
+                self.books[to].apply(&node, incarnation, &notices, is_younger, now_ms);
             }
         }
     }
@@ -129,7 +129,7 @@
 
     fn others_of(&self, at: usize, now_ms: u64) -> HashMap<ClientAccount, Vec<OtherDaemon>> {
         let mut others: HashMap<ClientAccount, Vec<OtherDaemon>> = HashMap::new();
-        for (from, (heard_ms, notices)) in &self.heard[at] {
+        for (from, (last_seen_ms, notices)) in &self.heard[at] {
             for notice in notices {
                 others
                     .entry(notice.account.clone())
@@ -137,9 +137,9 @@
                     .push(OtherDaemon {
                         node: from.to_string(),
                         weight: notice.weight,
-                        heard_ms: *heard_ms,
-                        late: now_ms > heard_ms + LATE_MS,
-                        silent: now_ms >= heard_ms + SILENT_MS,
+                        last_seen_ms: *last_seen_ms,
+                        late: now_ms > last_seen_ms + LATE_MS,
+                        silent: now_ms >= last_seen_ms + SILENT_MS,
                         replaced: false,
                     });
             }
@@ -156,7 +156,7 @@
             left -= cost;
             let start_part = 1.0 / daemons as f64;
             let at_ms = now_ms + self.rng.random_range(0..TICK_MS);
-            self.books[at].note_demand(&self.terms, cost, start_part, at_ms);
+            self.books[at].record_demand(&self.terms, cost, start_part, at_ms);
             match self.books[at].admit(&self.terms, cost, start_part, at_ms) {
                 Ok(()) => self.admitted.push((at_ms, cost)),
                 Err(_) => self.refused += cost,
@@ -312,14 +312,14 @@
 fn what_hubs_tell_each_other_grows_with_the_accounts_in_use() {
     const HUBS: usize = 15;
     const IN_USE: usize = 20;
-    const TELLINGS: usize = 400;
+    const ANNOUNCEMENTS: usize = 400;
     for accounts in [40, 333, 2_000] {
-        let all: Vec<ToldAccount> = (0..accounts).map(told_account).collect();
-        let mut news = QuotaNews::default();
+        let all: Vec<AnnouncedAccount> = (0..accounts).map(told_account).collect();
+        let mut news = QuotaAnnouncer::default();
         let listeners: BTreeSet<Listener> = (0..HUBS).map(|n| (address(n), 1)).collect();
         let mut told = HashMap::<String, usize>::new();
         let mut count = 0;
-        for n in 0..TELLINGS {
+        for n in 0..ANNOUNCEMENTS {
             let mut now = all.clone();
             now[n % IN_USE].admitted += n as f64;
             // The number of daemons that are heard moves all the time.
@@ -331,9 +331,12 @@
             }
         }
         assert_eq!(told.len(), accounts);
-        let by_turns = TELLINGS * accounts / 8;
-        assert!(count <= by_turns + 5 * accounts + 5 * TELLINGS, "{count}");
-        assert!(told.values().all(|times| *times >= TELLINGS / 8));
+        let by_turns = ANNOUNCEMENTS * accounts / 8;
+        assert!(
+            count <= by_turns + 5 * accounts + 5 * ANNOUNCEMENTS,
+            "{count}"
+        );
+        assert!(told.values().all(|times| *times >= ANNOUNCEMENTS / 8));
         // One that started anew needs to know what is left of each.
         let mut anew = listeners.clone();
         anew.remove(&(address(3), 1));
@@ -360,24 +363,27 @@
     let other = OtherDaemon {
         node: "b".into(),
         weight: 90_000.0,
-        heard_ms: 5_000,
+        last_seen_ms: 5_000,
         late: true,
         silent: false,
         replaced: false,
     };
     account.tick(10_000.0, std::slice::from_ref(&other), &limit, 5_000);
-    assert!(!account.should_tell(limit.burst));
+    assert!(!account.should_announce(limit.burst));
     let wait = account.admit(30_000.0, &limit, 5_001).unwrap_err();
-    assert_eq!(wait, QuotaWait::OutOfTurn, "larger than its part");
+    assert_eq!(wait, QuotaWait::NotYetDue, "larger than its part");
     assert!((100..=300).contains(&wait.retry_after_ms()));
-    assert!(account.should_tell(limit.burst), "others should hear soon");
+    assert!(
+        account.should_announce(limit.burst),
+        "others should hear soon"
+    );
     // What it left unused of its parts lets a larger request in, once.
     for now_ms in [5_250, 5_500] {
         account.tick(10_000.0, std::slice::from_ref(&other), &limit, now_ms);
     }
     assert_eq!(account.admit(30_000.0, &limit, 5_501), Ok(()));
     let wait = account.admit(30_000.0, &limit, 5_502).unwrap_err();
-    assert_eq!(wait, QuotaWait::OutOfTurn);
+    assert_eq!(wait, QuotaWait::NotYetDue);
 }
 
 #[test]
@@ -401,22 +407,22 @@
 fn what_was_charged_for_a_silent_daemon_is_given_back_when_it_is_heard() {
     let limit = exact(100_000.0, 100_000.0);
     let mut account = QuotaAccount::new(0.5, &limit, 0);
-    let others = |heard_ms: u64, silent: bool| {
+    let others = |last_seen_ms: u64, silent: bool| {
         [OtherDaemon {
             node: "b".into(),
             weight: 50_000.0,
-            heard_ms,
+            last_seen_ms,
             late: silent,
             silent,
             replaced: false,
         }]
     };
-    account.hear("b", 1, 0.0, false);
+    account.apply("b", 1, 0.0, false);
     account.tick(50_000.0, &others(2_000, false), &limit, 2_000);
     assert_eq!(account.level(), 100_000.0, "the bucket is full");
     account.tick(50_000.0, &others(2_000, true), &limit, 5_000);
     assert!(account.level() < 0.0, "charged: {}", account.level());
-    account.hear("b", 1, 0.0, false);
+    account.apply("b", 1, 0.0, false);
     account.tick(50_000.0, &others(5_000, false), &limit, 5_001);
     assert_eq!(account.level(), 100_000.0, "it had let nothing in");
 }
@@ -443,8 +449,12 @@
     for (offered, is_within) in [(0.5, true), (3.0, false)] {
         let mut fleet = Fleet::new(8, 1);
         fleet.run(6_000, offered, |_, _| false);
-        for book in &fleet.books {
-            assert_eq!(book.is_within_rate(&fleet.terms), is_within, "{offered}");
+        for quota_table in &fleet.books {
+            assert_eq!(
+                quota_table.is_within_rate(&fleet.terms),
+                is_within,
+                "{offered}"
+            );
         }
     }
 }
