--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -20,9 +20,9 @@
         let position = u64::from(upstreams) + 1;
         let listing = (0..upstreams).map(|n| upstream(n, u64::from(n) + 1, false));
         reader.replace(listing.collect(), position, None);
-        let whole = reader.news_since(None);
-        let known = whole.told;
-        follower.apply_news(whole);
+        let whole = reader.update_since(None);
+        let known = whole.cursor;
+        follower.apply_update(whole);
         let read_ms = timed(|| {
             for n in 0..leaving {
                 reader.upsert(upstream(n, position + u64::from(n), true));
@@ -30,19 +30,19 @@
             reader.read_to(position + u64::from(leaving));
         });
         let mut news = None;
-        let told_ms = timed(|| news = Some(reader.news_since(Some(known))));
+        let announced_ms = timed(|| news = Some(reader.update_since(Some(known))));
         let news = news.expect("told");
         let mut packed = Default::default();
         let packed_ms = timed(|| {
-            packed = pack_upstreams(&news.upstreams, &news.gone).expect("packed");
+            packed = pack_upstreams(&news.upstreams, &news.removed_ids).expect("packed");
         });
-        let applied_ms = timed(|| follower.apply_news(news));
+        let applied_ms = timed(|| follower.apply_update(news));
         let service = ServiceName::from("s");
         let listed_ms = timed(|| {
             black_box(follower.ready_list(&service));
         });
         println!(
-            "{upstreams} upstreams, of which half leave: {read_ms:.2} ms to take in, {told_ms:.2} \
+            "{upstreams} upstreams, of which half leave: {read_ms:.2} ms to take in, {announced_ms:.2} \
              to gather for a follower, {packed_ms:.2} to pack into {} bytes, {applied_ms:.2} to \
              apply, {listed_ms:.2} to list those that are ready",
             packed.len()
--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -48,7 +48,7 @@
 
 fn hear_all(table: &mut PeerTable, daemons: usize, sequence: u64) {
     for n in 1..daemons {
-        table.hear_report(&report(n, sequence), 1);
+        table.apply_report(&report(n, sequence), 1);
     }
 }
 
@@ -69,7 +69,7 @@
 fn report(n: usize, sequence: u64) -> Report {
     Report {
         daemon: entry(n),
-        life: 1,
+        incarnation: 1,
         sequence,
         every_ms: 500,
         leans_on_you: false,
@@ -78,6 +78,6 @@
         status: DaemonStatus::default(),
         events: Vec::new(),
         alone: Vec::new(),
-        alone_batch: 0,
+        standalone_batch: 0,
     }
 }
--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        box_watch::*, claim_desk::*, duties::do_duties, heartbeat::*, load_watch::watch_loads,
-        peer_desk::PeerDesk, reclaim_watch::watch_reclaims, sweep::*, table_watch::*, *,
+        box_watch::*, claim_client::*, duties::do_duties, heartbeat::*, load_watch::watch_loads,
+        peer_service::PeerService, reclaim_watch::watch_reclaims, sweep::*, table_watch::*, *,
     },
     crate::{
         caller::serve_callers, clock::watch_for_suspensions, conf::Settings, engine::*, names::*,
@@ -34,7 +34,7 @@
     /// Returns why it could not start.
     pub async fn start(settings: Settings) -> Result<Self, AppError> {
         let platform = Arc::new(PlatformHttp::new(settings.platform.address));
-        let borders = Borders {
+        let borders = Backends {
             engine: Arc::new(EngineHttp::default()),
             plain: Arc::new(PlainHttp::default()),
             log: platform.clone(),
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Returns why it could not start.
-    pub async fn start_with(settings: Settings, borders: Borders) -> Result<Self, AppError> {
+    pub async fn start_with(settings: Settings, borders: Backends) -> Result<Self, AppError> {
         let tls = PeerTls::from_settings(&settings.peers)?;
         let callers = listen(settings.listen.callers).await?;
         let peers = listen(settings.listen.peers).await?;
@@ -65,7 +65,7 @@
             world.me.incarnation
         );
         let mut tasks = JoinSet::new();
-        let desk = Arc::new(PeerDesk::new(world.clone()));
+        let desk = Arc::new(PeerService::new(world.clone()));
         tasks.spawn(watch_for_suspensions());
         tasks.spawn(serve_peers(peers, tls, desk));
         tasks.spawn(serve_callers(callers, world.clone()));
--- a/src/app/mod.rs
+++ b/src/app/mod.rs
@@ -1,12 +1,12 @@
 //! The daemon: what connects decisions, tables and borders.
 
 mod accept;
-mod admission_desk;
+mod admission_control;
 mod answer_reader;
 mod app_error;
 mod attempt;
 mod box_watch;
-mod claim_desk;
+mod claim_client;
 mod daemon;
 mod duties;
 mod hand_over;
@@ -15,7 +15,7 @@
 mod load_watch;
 mod locate;
 mod model_loads;
-mod peer_desk;
+mod peer_service;
 mod reclaim_watch;
 mod replacements;
 mod replicate;
@@ -27,7 +27,7 @@
 mod world;
 
 pub use {
-    accept::*, admission_desk::*, answer_reader::*, app_error::*, box_watch::*, claim_desk::*,
+    accept::*, admission_control::*, answer_reader::*, app_error::*, box_watch::*, claim_client::*,
     daemon::*, hand_over::*, hold::*, locate::*, replicate::*, score_board::*, table_watch::*,
     world::*,
 };
--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -1,9 +1,9 @@
 use {
     crate::{
-        cluster::{CONFIG_PATH, ConfigAnswer, ConfigAsk, FeedError, decode, encode},
+        cluster::{CONFIG_PATH, ConfigAnswer, ConfigQuery, FeedError, decode, encode},
         gateway::Gateway,
         http::HttpClient,
-        policy::ConfigLack,
+        policy::MissingConfig,
         routing::unpack_config,
     },
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -24,11 +24,11 @@
     let client = HttpClient::default();
     loop {
         gateway.until_lacking_config().await;
-        let mut lack = ConfigLack::new(gateway.steady_ms());
+        let mut lack = MissingConfig::new(gateway.steady_ms());
         while gateway.lacks_config() {
             let reads_source = *gateway.reads_source.borrow();
-            if lack.asks_daemons(reads_source, gateway.steady_ms()) {
-                ask_one(&gateway, &client, &mut lack).await;
+            if lack.queries_daemons(reads_source, gateway.steady_ms()) {
+                query_one(&gateway, &client, &mut lack).await;
             }
             gateway.set_reads_config(lack.needs_source(gateway.steady_ms()));
             if gateway.lacks_config() {
@@ -40,17 +40,17 @@
     }
 }
 
-async fn ask_one(gateway: &Gateway, client: &HttpClient, lack: &mut ConfigLack) {
+async fn query_one(gateway: &Gateway, client: &HttpClient, lack: &mut MissingConfig) {
     let Some(peer) = drawn_holder(gateway) else {
         return;
     };
-    match ask(gateway, client, peer).await {
+    match query(gateway, client, peer).await {
         Ok(ConfigAnswer::NoLater) => {}
         Ok(ConfigAnswer::Busy { version, told }) => {
-            lack.note_deferred(gateway.steady_ms());
+            lack.record_deferred(gateway.steady_ms());
             let mut peers = gateway.peers.lock();
             for holder in told {
-                peers.hear_config(holder, version);
+                peers.apply_peer_config(holder, version);
             }
         }
         Ok(ConfigAnswer::Config { packed, position }) => {
@@ -72,12 +72,12 @@
     holders.get(index).copied()
 }
 
-async fn ask(
+async fn query(
     gateway: &Gateway,
     client: &HttpClient,
     peer: SocketAddr,
 ) -> Result<ConfigAnswer, FeedError> {
-    let body = encode(&ConfigAsk {
+    let body = encode(&ConfigQuery {
         version: gateway.config_version(),
         address: gateway.settings.listen.peers,
     })?;
@@ -95,7 +95,7 @@
                 packed.len()
             );
             gateway.apply_config(config);
-            gateway.note_config_position(position);
+            gateway.record_config_position(position);
             gateway.check_ready();
         }
         Err(e) => {
--- a/src/cluster/configs/config_message.rs
+++ b/src/cluster/configs/config_message.rs
@@ -8,9 +8,9 @@
 /// when the messages change.
 pub const CONFIG_PATH: &str = "/cluster/config/1";
 
-/// A daemon's question for a configuration.
+/// A daemon's query for a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ConfigAsk {
+pub struct ConfigQuery {
     /// The version that it has; only a later one is wanted.
     pub version: u64,
     /// Where it listens for other daemons.
--- a/src/cluster/crashes/crashes_part.rs
+++ b/src/cluster/crashes/crashes_part.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         names::{RequestFingerprint, UpstreamId},
-        policy::KnownEnd,
+        policy::KnownCrash,
     },
     bincode::{Decode, Encode},
 };
@@ -13,12 +13,12 @@
     /// Whether a hub tells other hubs: these tell only those that report to them.
     pub among_hubs: bool,
     /// The ends.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<AnnouncedCrash>,
 }
 
-/// An upstream that ended under a request.
+/// A crash of an upstream under a request, as it is announced.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ToldEnd {
+pub struct AnnouncedCrash {
     /// The request's fingerprint.
     pub fingerprint: u128,
     /// The upstream.
@@ -31,9 +31,9 @@
     pub is_cleared: bool,
 }
 
-impl ToldEnd {
+impl AnnouncedCrash {
     /// Makes the message of what is known.
-    pub fn of(known: &KnownEnd) -> Self {
+    pub fn of(known: &KnownCrash) -> Self {
         Self {
             fingerprint: known.fingerprint.number(),
             upstream: known.upstream.to_string(),
@@ -44,8 +44,8 @@
     }
 
     /// Returns what is known by the message.
-    pub fn known(&self) -> KnownEnd {
-        KnownEnd {
+    pub fn known(&self) -> KnownCrash {
+        KnownCrash {
             fingerprint: RequestFingerprint::from_number(self.fingerprint),
             upstream: UpstreamId::from(self.upstream.as_str()),
             age_ms: u64::from(self.age_ms),
--- a/src/cluster/duties/duty_borders.rs
+++ b/src/cluster/duties/duty_backends.rs
@@ -9,9 +9,9 @@
     displaydoc::Display,
 };
 
-/// How a call to a shared log or an API for duties failed.
+/// Why a call to a shared log or to an API that duties use failed.
 #[derive(Clone, Debug, Display, thiserror::Error)]
-pub enum BorderError {
+pub enum BackendError {
     /// not done: {0}
     NotDone(String),
     /// may have been done: {0}
@@ -29,9 +29,9 @@
     pub records: Vec<Bytes>,
 }
 
-/// How an append under a condition ended.
+/// The outcome of a conditional append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AppendEnd {
+pub enum AppendOutcome {
     /// The record is in the topic.
     Taken,
     /// The topic ends elsewhere; nothing was done.
@@ -46,24 +46,24 @@
     /// # Errors
     ///
     /// Returns how the read failed.
-    async fn read(&self, topic: &str, from: u64) -> Result<TopicPage, BorderError>;
+    async fn read(&self, topic: &str, from: u64) -> Result<TopicPage, BackendError>;
 
     /// Appends a record if the topic ends at an offset.
     ///
     /// # Errors
     ///
-    /// [`BorderError::Unknown`] if it may be in the topic, or come into it later.
+    /// [`BackendError::Unknown`] if it may be in the topic, or come into it later.
     async fn append_at(
         &self,
         topic: &str,
         end: u64,
         record: Bytes,
-    ) -> Result<AppendEnd, BorderError>;
+    ) -> Result<AppendOutcome, BackendError>;
 }
 
-/// How a write of a record ended.
+/// The outcome of writing a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteEnd {
+pub enum WriteOutcome {
     /// It is written.
     Taken,
     /// It is not: this number comes next.
@@ -79,14 +79,14 @@
     /// # Errors
     ///
     /// Returns how the call failed.
-    async fn take_over(&self, fence: u64) -> Result<(), BorderError>;
+    async fn take_over(&self, fence: u64) -> Result<(), BackendError>;
 
     /// Reads what was written last of each service's roll-out.
     ///
     /// # Errors
     ///
     /// Returns how the read failed.
-    async fn read(&self) -> Result<Vec<Rollout>, BorderError>;
+    async fn read(&self) -> Result<Vec<Rollout>, BackendError>;
 
     /// Writes how far a roll-out is, unless a daemon with a later fence has written. Records of one
     /// fence are numbered from 1; one that is written again under its number counts once.
@@ -99,7 +99,7 @@
         rollout: &Rollout,
         fence: u64,
         number: u64,
-    ) -> Result<WriteEnd, BorderError>;
+    ) -> Result<WriteOutcome, BackendError>;
 }
 
 /// What was written of requests under which upstreams ended, from a position on.
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// Returns how the read failed.
-    async fn read_on(&self, from: Option<u64>) -> Result<QuarantinePage, BorderError>;
+    async fn read_on(&self, from: Option<u64>) -> Result<QuarantinePage, BackendError>;
 
     /// Writes the ends under a request, in place of what was written before; one without
     /// ends is dropped. `unix_ms` is the time.
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// Returns how the write failed.
-    async fn write(&self, record: &SuspectRecord, unix_ms: u64) -> Result<(), BorderError>;
+    async fn write(&self, record: &SuspectRecord, unix_ms: u64) -> Result<(), BackendError>;
 }
 
 /// In whose name a duty is done.
@@ -152,9 +152,9 @@
     pub count: u32,
 }
 
-/// How an order ended.
+/// The outcome of a fleet order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It was taken.
     Taken,
     /// No such upstreams are to be had there now.
@@ -174,12 +174,16 @@
         claim: &DutyClaim,
         window: u64,
         counts: &AccountCounts,
-    ) -> Result<(), BorderError>;
+    ) -> Result<(), BackendError>;
 
     /// Orders upstreams.
     ///
     /// # Errors
     ///
     /// Returns how the call failed.
-    async fn order(&self, claim: &DutyClaim, order: &FleetOrder) -> Result<OrderEnd, BorderError>;
+    async fn order(
+        &self,
+        claim: &DutyClaim,
+        order: &FleetOrder,
+    ) -> Result<OrderOutcome, BackendError>;
 }
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -6,7 +6,7 @@
         policy::SourceTries,
         rollouts::Rollout,
         routing::RoutingConfig,
-        upstreams::{DirectoryChanges, DirectoryNews, ToldDirectory},
+        upstreams::{DirectoryChanges, DirectoryCursor, DirectoryUpdate},
     },
     bytes::Bytes,
     http::StatusCode,
@@ -42,49 +42,49 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Known {
     daemon: SocketAddr,
-    life: u64,
-    told: ToldDirectory,
+    incarnation: u64,
+    cursor: DirectoryCursor,
     /// Whether it tells changes without words that only say that an upstream lives.
-    tells_updates: bool,
+    sends_updates: bool,
 }
 
 /// News of either kind.
 #[derive(Debug)]
 struct Heard {
-    life: u64,
+    incarnation: u64,
     source_age_ms: Option<u64>,
     config_version: u64,
     config: Option<RoutingConfig>,
     config_position: Option<u64>,
     rollouts: Vec<Rollout>,
-    directory: HeardDirectory,
+    directory: ReceivedDirectory,
 }
 
 #[derive(Debug)]
-enum HeardDirectory {
+enum ReceivedDirectory {
     Changes(DirectoryChanges),
-    News(DirectoryNews),
+    News(DirectoryUpdate),
 }
 
-impl HeardDirectory {
-    fn told(&self) -> ToldDirectory {
+impl ReceivedDirectory {
+    fn cursor(&self) -> DirectoryCursor {
         match self {
-            Self::Changes(changes) => changes.told,
-            Self::News(news) => news.told,
+            Self::Changes(changes) => changes.cursor,
+            Self::News(news) => news.cursor,
         }
     }
 }
 
-impl From<FeedNews> for Heard {
-    fn from(news: FeedNews) -> Self {
+impl From<FeedReply> for Heard {
+    fn from(news: FeedReply) -> Self {
         Self {
-            life: news.life,
+            incarnation: news.incarnation,
             source_age_ms: news.source_age_ms,
             config_version: news.config_version,
             config: news.config,
             config_position: news.config_position,
             rollouts: news.rollouts,
-            directory: HeardDirectory::Changes(news.changes),
+            directory: ReceivedDirectory::Changes(news.changes),
         }
     }
 }
@@ -94,8 +94,8 @@
 
     fn try_from(update: FeedUpdate) -> Result<Self, FeedError> {
         Ok(Self {
-            directory: HeardDirectory::News(update.directory()?),
-            life: update.life,
+            directory: ReceivedDirectory::News(update.directory()?),
+            incarnation: update.incarnation,
             source_age_ms: update.source_age_ms,
             config_version: update.config_version,
             config: update.config,
@@ -126,9 +126,9 @@
             };
             return tokio::time::sleep(pause).await;
         };
-        match self.ask(daemon).await {
+        match self.query(daemon).await {
             Ok(heard) => {
-                let stale_ms = self.gateway.pace.stale_ms();
+                let stale_ms = self.gateway.read_schedule.stale_ms();
                 let is_stale = heard.source_age_ms.is_none_or(|age| age > stale_ms);
                 self.take_in(daemon, heard);
                 match is_stale {
@@ -152,43 +152,44 @@
         tokio::time::sleep(FAILURE_PAUSE * failed.min(MAX_PAUSES) as u32).await;
     }
 
-    async fn ask(&mut self, daemon: SocketAddr) -> Result<Heard, FeedError> {
+    async fn query(&mut self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let level = self.gateway.peers.lock().level_at(daemon);
-        if !self.forms.asks_updates(daemon, level) {
-            return self.ask_by_offsets(daemon).await;
+        if !self.forms.supports_updates(daemon, level) {
+            return self.query_by_offsets(daemon).await;
         }
-        match self.ask_for_updates(daemon).await {
+        match self.query_updates(daemon).await {
             Err(e) if lacks_path(&e) => {
-                self.forms.note_refused(daemon);
-                self.ask_by_offsets(daemon).await
+                self.forms.record_refused(daemon);
+                self.query_by_offsets(daemon).await
             }
             heard => heard,
         }
     }
 
-    async fn ask_for_updates(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
+    async fn query_updates(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let answer = self.post(daemon, UPDATE_PATH, true).await?;
         decode::<FeedUpdate>(&answer)?.try_into()
     }
 
-    async fn ask_by_offsets(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
+    async fn query_by_offsets(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
         let answer = self.post(daemon, NEWS_PATH, false).await?;
-        Ok(decode::<FeedNews>(&answer)?.into())
+        Ok(decode::<FeedReply>(&answer)?.into())
     }
 
     async fn post(
         &self,
         daemon: SocketAddr,
         path: &str,
-        tells_updates: bool,
+        sends_updates: bool,
     ) -> Result<Bytes, FeedError> {
-        let is_same = |k: &Known| k.daemon == daemon && k.tells_updates == tells_updates;
+        let is_same = |k: &Known| k.daemon == daemon && k.sends_updates == sends_updates;
         let known = self.known.filter(is_same);
-        let (life, told) = known.map_or_else(Default::default, |k| (k.life, k.told));
+        let (incarnation, cursor) =
+            known.map_or_else(Default::default, |k| (k.incarnation, k.cursor));
         let newest_config = *self.gateway.newest_config.borrow();
-        let ask = FeedAsk {
-            life,
-            told,
+        let query = FeedQuery {
+            incarnation,
+            cursor,
             config_version: newest_config.max(self.gateway.config_version()),
             // One that can't be reached is asked again soon, one that is stale, too.
             wait_ms: if self.tries == SourceTries::default() {
@@ -197,8 +198,8 @@
                 0
             },
         };
-        let timeout = FEED_TIMEOUT + Duration::from_millis(ask.wait_ms);
-        let body = encode(&ask)?;
+        let timeout = FEED_TIMEOUT + Duration::from_millis(query.wait_ms);
+        let body = encode(&query)?;
         Ok(self.client.post(daemon, path, body, timeout).await?)
     }
 
@@ -206,27 +207,27 @@
         // The next changes count from these: all of them are taken in.
         self.known = Some(Known {
             daemon,
-            life: heard.life,
-            told: heard.directory.told(),
-            tells_updates: matches!(heard.directory, HeardDirectory::News(_)),
+            incarnation: heard.incarnation,
+            cursor: heard.directory.cursor(),
+            sends_updates: matches!(heard.directory, ReceivedDirectory::News(_)),
         });
         if let Some(config) = heard.config {
             log::info!(target: "config", "told by a daemon. version={} peer={daemon}", config.version);
             self.gateway.apply_config(config);
-            self.gateway.note_config_position(heard.config_position);
+            self.gateway.record_config_position(heard.config_position);
         }
         // What was told just now isn't asked for.
         let version = heard.config_version;
-        self.gateway.peers.lock().hear_config(daemon, version);
-        self.gateway.note_newest_config(version);
-        self.gateway.hear_rollouts(&heard.rollouts);
+        self.gateway.peers.lock().apply_peer_config(daemon, version);
+        self.gateway.record_newest_config(version);
+        self.gateway.apply_rollouts(&heard.rollouts);
         self.gateway
             .change_directory(|directory, _| match heard.directory {
-                HeardDirectory::Changes(changes) => directory.apply(changes),
-                HeardDirectory::News(news) => directory.apply_news(news),
+                ReceivedDirectory::Changes(changes) => directory.apply(changes),
+                ReceivedDirectory::News(news) => directory.apply_update(news),
             });
         if let Some(age_ms) = heard.source_age_ms {
-            self.gateway.note_relayed(age_ms);
+            self.gateway.record_relayed(age_ms);
         }
         self.gateway.check_ready();
     }
--- a/src/cluster/hubs/event_log.rs
+++ b/src/cluster/hubs/event_log.rs
@@ -15,7 +15,7 @@
 
 impl EventLog {
     /// Notes an event.
-    pub fn note(&mut self, event: MemberEvent) {
+    pub fn record(&mut self, event: MemberEvent) {
         self.last += 1;
         self.waiting.push_back((self.last, 0, event));
         if self.waiting.len() > MAX_WAITING {
@@ -24,7 +24,7 @@
     }
 
     /// Returns the events to tell next, with their numbers.
-    pub fn to_tell(&mut self, most: usize) -> Vec<(u64, MemberEvent)> {
+    pub fn to_announce(&mut self, most: usize) -> Vec<(u64, MemberEvent)> {
         let mut told = Vec::new();
         for (number, times, event) in self.waiting.iter_mut().take(most) {
             *times += 1;
@@ -35,7 +35,7 @@
     }
 
     /// Returns whether something waits to be told for the first time.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unannounced(&self) -> bool {
         self.waiting.iter().any(|(_, times, _)| *times == 0)
     }
 }
--- a/src/cluster/hubs/hub_desk.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::BootInstant,
-        cluster::{Answer, Ask, AskedPlace, AskedQuota, Datagram, Verdict},
+        cluster::{AdmissionQuery, Answer, Datagram, HubDecision, PlacementQuery, QuotaQuery},
         gateway::Gateway,
         policy::HubContact,
     },
@@ -19,29 +19,29 @@
 /// How often each is asked: a datagram may be lost.
 const ASKED_TIMES: u32 = 2;
 /// How much longer than its hold an answer may take that a hub holds back: it may have to
-/// ask others for a permit, for as long as [`PermitDesk`](crate::cluster::PermitDesk) waits at most.
+/// ask others for a permit, for as long as [`PermitClient`](crate::cluster::PermitDesk) waits at most.
 const HOLD_GRACE: Duration = Duration::from_millis(200);
 
-/// A daemon's questions to the hubs of its failure domain.
+/// Sends this daemon's admission queries to the hubs of its failure domain.
 #[derive(Debug, Default)]
-pub struct HubDesk {
-    state: Mutex<DeskState>,
+pub struct HubClient {
+    state: Mutex<ClientState>,
 }
 
 #[derive(Debug, Default)]
-struct DeskState {
+struct ClientState {
     last_id: u64,
     /// Questions whose requests are not counted at an upstream yet.
     open: BTreeSet<u64>,
-    waiting: HashMap<u64, mpsc::UnboundedSender<HeardVerdict>>,
+    waiting: HashMap<u64, mpsc::UnboundedSender<ReceivedDecision>>,
     hubs: HashMap<SocketAddr, HubContact>,
 }
 
-/// What a hub decided, as this daemon heard it.
+/// A hub's decision as received by the daemon that sent the query.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HeardVerdict {
+pub struct ReceivedDecision {
     /// What is to be done.
-    pub verdict: Verdict,
+    pub decision: HubDecision,
     /// Whether the placement has a permit, where its upstream names a limit: hubs of earlier
     /// builds know of none.
     pub has_permit: bool,
@@ -49,79 +49,79 @@
 
 /// A question that is open until its request is counted, or over.
 #[derive(Debug)]
-struct OpenAsk<'a> {
-    desk: &'a HubDesk,
+struct OpenQuery<'a> {
+    client: &'a HubClient,
     id: u64,
 }
 
-impl Drop for OpenAsk<'_> {
+impl Drop for OpenQuery<'_> {
     fn drop(&mut self) {
-        let mut state = self.desk.state.lock();
+        let mut state = self.client.state.lock();
         state.open.remove(&self.id);
         state.waiting.remove(&self.id);
     }
 }
 
-impl HubDesk {
+impl HubClient {
     /// Asks the hubs whether a request may be let in and where it shall run;
     /// none if none of them answers in time.
-    pub async fn ask(
+    pub async fn query(
         &self,
         gateway: &Gateway,
         request: &str,
-        quota: Option<AskedQuota>,
-        place: AskedPlace,
-    ) -> Option<HeardVerdict> {
-        let hubs = self.hubs_to_ask(gateway);
+        quota: Option<QuotaQuery>,
+        place: PlacementQuery,
+    ) -> Option<ReceivedDecision> {
+        let hubs = self.hubs_to_query(gateway);
         let (open, mut answers) = self.open();
-        let ask = Ask {
+        let query = AdmissionQuery {
             name: gateway.settings.node.name.to_string(),
-            life: gateway.incarnation,
+            incarnation: gateway.incarnation,
             id: open.id,
             request: request.to_string(),
             quota,
             place,
         };
-        let patience_ms = ask.quota.as_ref().map_or(0, |q| q.patience_ms);
-        let hold = Duration::from_millis(u64::from(patience_ms)) + HOLD_GRACE;
-        let datagram = Datagram::Ask(ask);
+        let max_wait_ms = query.quota.as_ref().map_or(0, |q| q.max_wait_ms);
+        let hold = Duration::from_millis(u64::from(max_wait_ms)) + HOLD_GRACE;
+        let datagram = Datagram::AdmissionQuery(query);
         for hub in hubs {
-            match self.ask_hub(gateway, hub, &datagram, &mut answers).await {
+            match self.query_hub(gateway, hub, &datagram, &mut answers).await {
                 // It said that it would answer later.
-                Some(heard) if heard.verdict == Verdict::Held => {
+                Some(heard) if heard.decision == HubDecision::Held => {
                     if let Some(heard) = decided_within(hold, &mut answers).await {
                         return Some(heard);
                     }
                 }
                 Some(heard) => return Some(heard),
-                None => self.note_silent(hub, gateway),
+                None => self.record_silent(hub, gateway),
             }
         }
         None
     }
 
     /// Asks one hub, some times if it doesn't answer; returns its first answer.
-    async fn ask_hub(
+    async fn query_hub(
         &self,
         gateway: &Gateway,
         hub: SocketAddr,
-        ask: &Datagram,
-        answers: &mut mpsc::UnboundedReceiver<HeardVerdict>,
-    ) -> Option<HeardVerdict> {
+        query: &Datagram,
+        answers: &mut mpsc::UnboundedReceiver<ReceivedDecision>,
+    ) -> Option<ReceivedDecision> {
         for time in 1..=ASKED_TIMES {
             let asked_at = BootInstant::now();
-            gateway.send_datagram(ask, hub).await;
+            gateway.send_datagram(query, hub).await;
             let wait = self.timeout(hub) * time;
             if let Ok(Some(heard)) = tokio::time::timeout(wait, answers.recv()).await {
                 // The time to an answer is known only if it was asked once.
-                self.note_answer(hub, (time == 1).then(|| asked_at.elapsed()));
+                self.record_answer(hub, (time == 1).then(|| asked_at.elapsed()));
                 return Some(heard);
             }
         }
         None
     }
 
-    fn open(&self) -> (OpenAsk<'_>, mpsc::UnboundedReceiver<HeardVerdict>) {
+    fn open(&self) -> (OpenQuery<'_>, mpsc::UnboundedReceiver<ReceivedDecision>) {
         let (tx, rx) = mpsc::unbounded_channel();
         let mut state = self.state.lock();
         state.last_id += 1;
@@ -129,10 +129,10 @@
         state.open.insert(id);
         state.waiting.insert(id, tx);
         drop(state);
-        (OpenAsk { desk: self, id }, rx)
+        (OpenQuery { client: self, id }, rx)
     }
 
-    fn hubs_to_ask(&self, gateway: &Gateway) -> Vec<SocketAddr> {
+    fn hubs_to_query(&self, gateway: &Gateway) -> Vec<SocketAddr> {
         let hubs = gateway.peers.lock().own_hubs();
         let now_ms = gateway.steady_ms();
         let state = self.state.lock();
@@ -146,7 +146,7 @@
 
     /// Returns the hub through which requests are let in now.
     pub fn leans_on(&self, gateway: &Gateway) -> Option<SocketAddr> {
-        self.hubs_to_ask(gateway).first().copied()
+        self.hubs_to_query(gateway).first().copied()
     }
 
     /// Returns up to which number all questions are counted in at upstreams, or
@@ -158,40 +158,40 @@
     }
 
     /// Takes in a hub's answer.
-    pub fn hear(&self, answer: Answer, has_permit: bool) {
+    pub fn apply(&self, answer: Answer, has_permit: bool) {
         let state = self.state.lock();
         if let Some(tx) = state.waiting.get(&answer.id) {
-            let verdict = answer.verdict;
+            let decision = answer.decision;
             // One that no longer waits has decided otherwise.
-            let _ = tx.send(HeardVerdict {
-                verdict,
+            let _ = tx.send(ReceivedDecision {
+                decision,
                 has_permit,
             });
         }
     }
 
     /// Notes that a hub was heard from.
-    pub fn note_heard(&self, hub: SocketAddr) {
+    pub fn record_contact(&self, hub: SocketAddr) {
         if let Some(contact) = self.state.lock().hubs.get_mut(&hub) {
-            contact.note_heard();
+            contact.record_contact();
         }
     }
 
-    fn note_answer(&self, hub: SocketAddr, after: Option<Duration>) {
+    fn record_answer(&self, hub: SocketAddr, after: Option<Duration>) {
         let mut state = self.state.lock();
         let contact = state.hubs.entry(hub).or_default();
         match after {
-            Some(after) => contact.note_answer(after.as_secs_f64() * 1_000.0),
-            None => contact.note_heard(),
+            Some(after) => contact.record_answer(after.as_secs_f64() * 1_000.0),
+            None => contact.record_contact(),
         }
     }
 
-    fn note_silent(&self, hub: SocketAddr, gateway: &Gateway) {
+    fn record_silent(&self, hub: SocketAddr, gateway: &Gateway) {
         log::info!(target: "hubs", "a hub does not answer. hub={hub}");
         metrics::counter!(SILENT_HUBS).increment(1);
         let mut state = self.state.lock();
         let contact = state.hubs.entry(hub).or_default();
-        contact.note_silent(gateway.steady_ms());
+        contact.record_silent(gateway.steady_ms());
     }
 
     fn timeout(&self, hub: SocketAddr) -> Duration {
@@ -205,12 +205,12 @@
 /// it holds the request.
 async fn decided_within(
     hold: Duration,
-    answers: &mut mpsc::UnboundedReceiver<HeardVerdict>,
-) -> Option<HeardVerdict> {
+    answers: &mut mpsc::UnboundedReceiver<ReceivedDecision>,
+) -> Option<ReceivedDecision> {
     let decided = async {
         loop {
             let heard = answers.recv().await?;
-            if heard.verdict != Verdict::Held {
+            if heard.decision != HubDecision::Held {
                 return Some(heard);
             }
         }
--- a/src/cluster/hubs/mod.rs
+++ b/src/cluster/hubs/mod.rs
@@ -1,20 +1,20 @@
 //! What hubs and the daemons that ask them tell each other.
 
-mod ask;
-mod ask_answers;
+mod cooldowns_part;
 mod digest;
-mod digest_teller;
+mod digest_announcer;
 mod event_log;
 mod former_listeners;
-mod hub_desk;
+mod hub_client;
 mod loads_part;
 mod member_table;
+mod query;
+mod query_answers;
 mod report;
-mod report_teller;
-mod rests_part;
+mod report_announcer;
 
 pub use {
-    ask::*, digest::*, event_log::*, former_listeners::*, hub_desk::*, loads_part::*,
-    member_table::*, report::*, rests_part::*,
+    cooldowns_part::*, digest::*, event_log::*, former_listeners::*, hub_client::*, loads_part::*,
+    member_table::*, query::*, report::*,
 };
-pub(super) use {ask_answers::*, digest_teller::*, report_teller::*};
+pub(super) use {digest_announcer::*, query_answers::*, report_announcer::*};
--- a/src/cluster/leaving/leaving_news.rs
+++ b/src/cluster/leaving/leaving_queue.rs
@@ -2,45 +2,51 @@
 
 /// How often news of an upstream that leaves are told: a datagram may be lost. Three of four
 /// times in a row are lost once in 10,000 where one in ten is.
-const TELLINGS: u8 = 4;
+const ANNOUNCEMENTS: u8 = 4;
 
-/// Upstreams that leave, as far as others are still to be told.
+/// Leaving upstreams that are still to be announced to other daemons.
 #[derive(Debug, Default)]
-pub struct LeavingNews {
+pub struct LeavingQueue {
     due: BTreeMap<UpstreamId, Telling>,
 }
 
 #[derive(Debug)]
 struct Telling {
     left: u8,
-    tells_hubs: bool,
+    announces_to_hubs: bool,
 }
 
-/// Upstreams that leave, to tell.
+/// Leaving upstreams to announce next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LeavingToTell {
+pub struct LeavingToAnnounce {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
     pub hubs: Vec<UpstreamId>,
     /// The daemons that report to a hub.
     pub members: Vec<UpstreamId>,
 }
 
-impl LeavingNews {
+impl LeavingQueue {
     /// Notes an upstream to tell others of: the daemons that report to this one, and hubs,
     /// unless a hub told it.
-    pub fn note(&mut self, id: UpstreamId, tells_hubs: bool) {
-        let left = TELLINGS;
-        self.due.insert(id, Telling { left, tells_hubs });
+    pub fn record(&mut self, id: UpstreamId, announces_to_hubs: bool) {
+        let left = ANNOUNCEMENTS;
+        self.due.insert(
+            id,
+            Telling {
+                left,
+                announces_to_hubs,
+            },
+        );
     }
 
     /// Returns the news to tell next, at most some: first those that were told least.
-    pub fn to_tell(&mut self, most: usize) -> LeavingToTell {
-        let mut told = LeavingToTell::default();
+    pub fn to_announce(&mut self, most: usize) -> LeavingToAnnounce {
+        let mut told = LeavingToAnnounce::default();
         let mut due: Vec<_> = self.due.iter_mut().collect();
         due.sort_by_key(|(_, telling)| std::cmp::Reverse(telling.left));
         for (id, telling) in due.into_iter().take(most) {
             telling.left -= 1;
-            if telling.tells_hubs {
+            if telling.announces_to_hubs {
                 told.hubs.push(id.clone());
             }
             told.members.push(id.clone());
--- a/src/cluster/limits/permit_desk.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         clock::BootInstant,
-        cluster::{Extension, PermitAnswer, PermitAsk, ToldLimit},
+        cluster::{AnnouncedLimit, Extension, PermitAnswer, PermitQuery},
         gateway::Gateway,
         policy::HubContact,
     },
@@ -14,14 +14,14 @@
 /// stand in another failure domain, and may have to ask once more itself.
 const PATIENCE_FACTOR: f64 = 2.0;
 
-/// A daemon's questions for permits to send requests to upstreams that name a limit.
+/// Sends this daemon's queries for permits for upstreams that name a limit.
 #[derive(Debug, Default)]
-pub struct PermitDesk {
-    state: Mutex<DeskState>,
+pub struct PermitClient {
+    state: Mutex<ClientState>,
 }
 
 #[derive(Debug, Default)]
-struct DeskState {
+struct ClientState {
     last_id: u64,
     waiting: HashMap<u64, oneshot::Sender<PermitAnswer>>,
     daemons: HashMap<SocketAddr, HubContact>,
@@ -29,44 +29,44 @@
 
 /// A question that is open.
 #[derive(Debug)]
-struct OpenAsk<'a> {
-    desk: &'a PermitDesk,
+struct OpenQuery<'a> {
+    client: &'a PermitClient,
     id: u64,
 }
 
-impl Drop for OpenAsk<'_> {
+impl Drop for OpenQuery<'_> {
     fn drop(&mut self) {
-        self.desk.state.lock().waiting.remove(&self.id);
+        self.client.state.lock().waiting.remove(&self.id);
     }
 }
 
-impl PermitDesk {
+impl PermitClient {
     /// Asks the daemon that issues permits for one; none if it doesn't answer in time,
     /// or did not lately.
-    pub async fn ask(
+    pub async fn query(
         &self,
         gateway: &Gateway,
         issuer: SocketAddr,
-        limit: ToldLimit,
+        limit: AnnouncedLimit,
         is_passed_on: bool,
     ) -> Option<PermitAnswer> {
-        let (open, answer, patience) = self.open(issuer, gateway.steady_ms())?;
+        let (open, answer, max_wait) = self.open(issuer, gateway.steady_ms())?;
         let asked_at = BootInstant::now();
-        let ask = Extension::PermitAsk(PermitAsk {
-            life: gateway.incarnation,
+        let query = Extension::PermitQuery(PermitQuery {
+            incarnation: gateway.incarnation,
             id: open.id,
             is_passed_on,
             limit,
         });
-        gateway.send_packet(&ask.into(), issuer).await;
-        let answer = tokio::time::timeout(patience, answer).await;
+        gateway.send_packet(&query.into(), issuer).await;
+        let answer = tokio::time::timeout(max_wait, answer).await;
         let answer = answer.ok().and_then(Result::ok);
         let mut state = self.state.lock();
         let contact = state.daemons.entry(issuer).or_default();
         match answer {
-            Some(_) => contact.note_answer(asked_at.elapsed().as_secs_f64() * 1_000.0),
+            Some(_) => contact.record_answer(asked_at.elapsed().as_secs_f64() * 1_000.0),
             None => {
-                contact.note_silent(gateway.steady_ms());
+                contact.record_silent(gateway.steady_ms());
                 log::info!(target: "limit", "no answer for a permit. daemon={issuer}");
             }
         }
@@ -77,7 +77,7 @@
         &self,
         issuer: SocketAddr,
         now_ms: u64,
-    ) -> Option<(OpenAsk<'_>, oneshot::Receiver<PermitAnswer>, Duration)> {
+    ) -> Option<(OpenQuery<'_>, oneshot::Receiver<PermitAnswer>, Duration)> {
         let mut state = self.state.lock();
         let contact = state.daemons.get(&issuer).copied().unwrap_or_default();
         if contact.is_avoided(now_ms) {
@@ -87,13 +87,13 @@
         state.last_id += 1;
         let id = state.last_id;
         state.waiting.insert(id, tx);
-        let patience_ms = contact.timeout_ms() * PATIENCE_FACTOR;
-        let patience = Duration::from_secs_f64(patience_ms / 1_000.0);
-        Some((OpenAsk { desk: self, id }, rx, patience))
+        let max_wait_ms = contact.timeout_ms() * PATIENCE_FACTOR;
+        let max_wait = Duration::from_secs_f64(max_wait_ms / 1_000.0);
+        Some((OpenQuery { client: self, id }, rx, max_wait))
     }
 
     /// Takes in an answer.
-    pub fn hear(&self, answer: PermitAnswer) {
+    pub fn apply(&self, answer: PermitAnswer) {
         let waiting = self.state.lock().waiting.remove(&answer.id);
         if let Some(tx) = waiting {
             // One that no longer waits has sent its request elsewhere.
--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -2,7 +2,7 @@
     super::{peer::Peer, peer_table::PeerTable},
     crate::{
         names::ClientAccount,
-        policy::{OtherDaemon, ToldQuota},
+        policy::{OtherDaemon, ReceivedQuota},
     },
     std::collections::HashMap,
 };
@@ -25,8 +25,8 @@
     pub fn daemons(&self) -> usize {
         let hubs: Vec<&Peer> = self.reserved().collect();
         if self.is_hub() {
-            let others: u32 = hubs.iter().map(|p| p.leaning().max(1)).sum();
-            return (others + self.own_leaning) as usize;
+            let others: u32 = hubs.iter().map(|p| p.dependents().max(1)).sum();
+            return (others + self.own_dependents) as usize;
         }
         let told = self.live_hubs().map(|d| d.daemons as usize).max();
         told.unwrap_or(0).max(hubs.len() + 1)
@@ -42,7 +42,7 @@
                 let other = OtherDaemon {
                     node: peer.entry.name.clone(),
                     weight: f64::from(told.weight),
-                    heard_ms: peer.heard_ms.unwrap_or(0),
+                    last_seen_ms: peer.last_seen_ms.unwrap_or(0),
                     late: !replaced && peer.is_late(self.now_ms),
                     silent: !replaced && peer.is_silent(self.now_ms),
                     replaced,
@@ -60,11 +60,11 @@
 
     /// Returns what this daemon was told of an account's quota by the hub that
     /// told it last.
-    pub fn told_quota(&self, account: &ClientAccount) -> Option<ToldQuota> {
-        let hubs = self.told_hubs().filter_map(|p| p.as_hub());
+    pub fn received_quota(&self, account: &ClientAccount) -> Option<ReceivedQuota> {
+        let hubs = self.known_hubs().filter_map(|p| p.as_hub());
         let told = hubs.filter_map(|hub| hub.quotas.get(account));
         let (told, at_ms) = told.max_by_key(|(_, at_ms)| *at_ms)?;
-        Some(ToldQuota {
+        Some(ReceivedQuota {
             level: f64::from(told.level),
             demand: f64::from(told.demand),
             at_ms: *at_ms,
@@ -76,24 +76,24 @@
     fn is_replaced_here(&self, peer: &Peer) -> bool {
         peer.entry.domain == self.own.domain
             && peer.is_late(self.now_ms)
-            && took_over(self.own_leaning, peer.leaning())
+            && took_over(self.own_dependents, peer.dependents())
     }
 
     /// The same for any other hub of its failure domain.
     fn is_replaced_there(&self, peer: &Peer) -> bool {
         peer.is_late(self.now_ms)
-            && self.told_hubs().any(|other| {
+            && self.known_hubs().any(|other| {
                 other.entry.domain == peer.entry.domain
                     && other.is_live(self.now_ms)
                     && !other.is_late(self.now_ms)
-                    && took_over(other.leaning(), peer.leaning())
+                    && took_over(other.dependents(), peer.dependents())
             })
     }
 
     /// Hubs whose part of the quotas is their own.
     pub(super) fn reserved(&self) -> impl Iterator<Item = &Peer> {
-        let heard = self.told_hubs().filter(|p| {
-            p.heard_ms
+        let heard = self.known_hubs().filter(|p| {
+            p.last_seen_ms
                 .is_some_and(|heard| self.now_ms < heard + RESERVED_MS)
         });
         heard.filter(|p| !self.is_replaced_there(p))
@@ -106,7 +106,7 @@
     }
 }
 
-fn took_over(leaning: u32, before: u32) -> bool {
+fn took_over(dependents: u32, before: u32) -> bool {
     // One that nobody else lets requests in through has nothing to take over.
-    before > 1 && f64::from(leaning) >= f64::from(before) * TAKEN_OVER_PART
+    before > 1 && f64::from(dependents) >= f64::from(before) * TAKEN_OVER_PART
 }
--- a/src/cluster/messages/datagram.rs
+++ b/src/cluster/messages/datagram.rs
@@ -44,13 +44,13 @@
     /// A daemon reports to a hub of its failure domain.
     Report(Report),
     /// A daemon asks a hub to let a request in and to place it.
-    Ask(Ask),
+    AdmissionQuery(AdmissionQuery),
     /// A hub answers.
     Answer(Answer),
     /// A daemon tells the holder of the duties what began to run there.
     Usage(UsagePart),
     /// The holder has heard it.
-    UsageHeard(UsageHeard),
+    UsageAck(UsageAck),
     /// A daemon tells the leader of a roll-out how answers of both versions are.
     Versions(VersionsPart),
     /// A daemon tells of upstreams that ended under requests.
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -15,18 +15,18 @@
     let socket = Arc::new(socket);
     gateway.set_datagram_socket(socket.clone());
     tokio::join!(
-        hear_datagrams(socket, gateway.clone()),
-        tell_digests(gateway.clone()),
-        tell_reports(gateway.clone()),
-        tell_usage(gateway.clone()),
-        tell_versions(gateway.clone()),
-        tell_crashes(gateway.clone()),
-        tell_limits(gateway.clone()),
-        tell_leaving(gateway)
+        receive_datagrams(socket, gateway.clone()),
+        announce_digests(gateway.clone()),
+        announce_reports(gateway.clone()),
+        announce_usage(gateway.clone()),
+        announce_versions(gateway.clone()),
+        announce_crashes(gateway.clone()),
+        announce_limits(gateway.clone()),
+        announce_leaving(gateway)
     );
 }
 
-async fn hear_datagrams(socket: Arc<UdpSocket>, gateway: Arc<Gateway>) {
+async fn receive_datagrams(socket: Arc<UdpSocket>, gateway: Arc<Gateway>) {
     let mut buf = vec![0; 2 * MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buf).await {
@@ -41,7 +41,7 @@
             Ok(packet) => {
                 let version = buf[0];
                 let now_ms = gateway.steady_ms();
-                gateway.spoken.lock().note(from, version, now_ms);
+                gateway.spoken.lock().record(from, version, now_ms);
                 take_in(&gateway, packet, from).await;
             }
             Err(e) => log::warn!(target: "peers", "datagram refused. error=\"{e}\""),
@@ -56,92 +56,95 @@
         match extension {
             Extension::Rests(part) => {
                 if let Datagram::Report(report) = &packet.datagram {
-                    gateway.hear_rests(&report.daemon.name, &part);
+                    gateway.apply_cooldowns(&report.daemon.name, &part);
                 }
             }
-            Extension::Limits(part) => hear_limits(gateway, &part),
-            Extension::Leaving(part) => hear_leaving(gateway, &part),
-            Extension::PermitAsk(ask) => answer_permit_ask(gateway, ask, from),
+            Extension::Limits(part) => apply_limits(gateway, &part),
+            Extension::Leaving(part) => apply_leaving(gateway, &part),
+            Extension::PermitQuery(query) => answer_permit_query(gateway, query, from),
             Extension::PermitAnswer(answer) => {
-                if answer.life == gateway.incarnation {
-                    gateway.permit_desk.hear(answer);
+                if answer.incarnation == gateway.incarnation {
+                    gateway.permit_client.apply(answer);
                 }
             }
             Extension::Level(_) | Extension::HasPermit => {}
         }
     }
     let now_ms = gateway.steady_ms();
-    gateway.hub_desk.note_heard(from);
+    gateway.hub_client.record_contact(from);
     match packet.datagram {
         Datagram::Digest(digest) => {
-            gateway.hear_rollouts(&digest.rollouts);
+            gateway.apply_rollouts(&digest.rollouts);
             let name = digest.daemon.name.clone();
             let mut peers = gateway.peers.lock();
-            peers.hear_digest(digest, now_ms);
-            peers.note_level(&name, level);
+            peers.apply_digest(digest, now_ms);
+            peers.record_level(&name, level);
         }
-        Datagram::Quotas(part) => hear_quotas(gateway, &part, now_ms),
+        Datagram::Quotas(part) => apply_quotas(gateway, &part, now_ms),
         Datagram::Loads(part) => {
-            let is_hub = gateway.peers.lock().hear_loads(&part, now_ms);
+            let is_hub = gateway.peers.lock().apply_loads(&part, now_ms);
             if !is_hub {
-                gateway.members.lock().hear_loads(part, now_ms);
+                gateway.members.lock().apply_loads(part, now_ms);
             }
         }
         Datagram::Report(report) => {
-            hear_report(gateway, &report, now_ms).await;
-            gateway.peers.lock().note_level(&report.daemon.name, level);
+            apply_report(gateway, &report, now_ms).await;
+            gateway
+                .peers
+                .lock()
+                .record_level(&report.daemon.name, level);
         }
-        Datagram::Ask(ask) => answer_ask(gateway, ask, from).await,
+        Datagram::AdmissionQuery(query) => answer_query(gateway, query, from).await,
         Datagram::Answer(answer) => {
-            if answer.life == gateway.incarnation {
-                gateway.hub_desk.hear(answer, has_permit);
+            if answer.incarnation == gateway.incarnation {
+                gateway.hub_client.apply(answer, has_permit);
             }
         }
-        Datagram::Crashes(part) => hear_crashes(gateway, &part),
-        Datagram::Versions(part) => gateway.version_book.lock().hear(part),
-        Datagram::Usage(part) => hear_usage(gateway, &part, from, now_ms).await,
-        Datagram::UsageHeard(heard) => {
-            let mut tellers = gateway.usage_tellers.lock();
-            if let Some(teller) = tellers.get_mut(&heard.life) {
-                teller.hear(from, heard);
+        Datagram::Crashes(part) => apply_crashes(gateway, &part),
+        Datagram::Versions(part) => gateway.version_count_table.lock().apply(part),
+        Datagram::Usage(part) => apply_usage(gateway, &part, from, now_ms).await,
+        Datagram::UsageAck(heard) => {
+            let mut announcers = gateway.usage_announcers.lock();
+            if let Some(announcer) = announcers.get_mut(&heard.incarnation) {
+                announcer.apply(from, heard);
             }
         }
     }
 }
 
-fn hear_crashes(gateway: &Gateway, part: &CrashesPart) {
+fn apply_crashes(gateway: &Gateway, part: &CrashesPart) {
     // A hub passes on what it hears: of hubs to those that report to it, of others to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
     for told in &part.ends {
-        gateway.hear_end(&told.known(), passes_on);
+        gateway.apply_crash(&told.known(), passes_on);
     }
 }
 
-fn hear_quotas(gateway: &Gateway, part: &QuotasPart, now_ms: u64) {
-    if !gateway.peers.lock().hear_quotas(part, now_ms) {
+fn apply_quotas(gateway: &Gateway, part: &QuotasPart, now_ms: u64) {
+    if !gateway.peers.lock().apply_quotas(part, now_ms) {
         return;
     }
     let is_younger = part.age_ms <= gateway.hub_age_ms() + SAME_AGE_MS;
-    let notices: Vec<_> = part.quotas.iter().map(ToldAccount::notice).collect();
+    let notices: Vec<_> = part.quotas.iter().map(AnnouncedAccount::notice).collect();
     let mut quotas = gateway.quotas.lock();
-    quotas.hear(&part.name, part.life, &notices, is_younger, now_ms);
+    quotas.apply(&part.name, part.incarnation, &notices, is_younger, now_ms);
 }
 
-async fn hear_report(gateway: &Gateway, report: &Report, now_ms: u64) {
+async fn apply_report(gateway: &Gateway, report: &Report, now_ms: u64) {
     if report.daemon.name == gateway.settings.node.name.as_str()
-        || !gateway.peers.lock().hear_report(report, now_ms)
+        || !gateway.peers.lock().apply_report(report, now_ms)
     {
         return;
     }
-    let news = gateway.members.lock().hear_report(report, now_ms);
+    let news = gateway.members.lock().apply_report(report, now_ms);
     for (account, units) in &news.alone {
-        gateway.quotas.lock().note_admitted(account, *units);
+        gateway.quotas.lock().record_admitted(account, *units);
     }
     for event in news.events {
         take_in_event(gateway, &report.daemon.name, event, now_ms);
     }
     if report.wants_digest {
-        tell_member(gateway, report).await;
+        announce_to_member(gateway, report).await;
     }
 }
 
@@ -151,7 +154,7 @@
         MemberEvent::Ended { upstream, failed } => {
             let id = UpstreamId::from(upstream.as_str());
             let mut loads = gateway.loads.lock();
-            loads.entry(&id).note_outcome(failed, now_ms);
+            loads.entry(&id).record_outcome(failed, now_ms);
         }
         MemberEvent::Unreachable { upstream } => {
             let id = UpstreamId::from(upstream.as_str());
@@ -159,12 +162,12 @@
             let is_missed = members.is_missed_by_others(name, &id, now_ms);
             drop(members);
             if is_missed {
-                gateway.loads.lock().entry(&id).note_unreachable(now_ms);
+                gateway.loads.lock().entry(&id).record_unreachable(now_ms);
             }
         }
         MemberEvent::Misdirected { upstream } => {
             let id = UpstreamId::from(upstream.as_str());
-            gateway.loads.lock().entry(&id).note_misdirected(now_ms);
+            gateway.loads.lock().entry(&id).record_misdirected(now_ms);
         }
         MemberEvent::FirstEvent {
             service,
@@ -183,25 +186,25 @@
     }
 }
 
-async fn hear_usage(gateway: &Gateway, part: &UsagePart, from: SocketAddr, now_ms: u64) {
+async fn apply_usage(gateway: &Gateway, part: &UsagePart, from: SocketAddr, now_ms: u64) {
     let counts = part.counts.iter();
     let counts = counts.map(|(name, n)| (name.as_str().into(), u64::from(*n)));
     let told = [(part.window, counts.collect())];
     // Its own counts, passed back by one that heard them, are counted here already.
-    if part.life != gateway.incarnation {
+    if part.incarnation != gateway.incarnation {
         let mut usage = gateway.usage.lock();
-        usage.merge(&part.name, part.life, &told);
-        usage.note_heard(&part.name, part.life, now_ms);
-        if part.whole_before > 0 {
-            usage.note_whole(&part.name, part.whole_before, now_ms);
+        usage.merge(&part.name, part.incarnation, &told);
+        usage.record_contact(&part.name, part.incarnation, now_ms);
+        if part.complete_before > 0 {
+            usage.record_complete(&part.name, part.complete_before, now_ms);
         }
     }
-    let heard = UsageHeard {
-        holder_life: gateway.incarnation,
-        life: part.life,
+    let heard = UsageAck {
+        holder_incarnation: gateway.incarnation,
+        incarnation: part.incarnation,
         number: part.number,
     };
     gateway
-        .send_datagram(&Datagram::UsageHeard(heard), from)
+        .send_datagram(&Datagram::UsageAck(heard), from)
         .await;
 }
--- a/src/cluster/quotas/quotas_part.rs
+++ b/src/cluster/quotas/quotas_part.rs
@@ -10,19 +10,19 @@
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Rises with each telling of a life.
     pub sequence: u64,
     /// For how long it has run, in milliseconds.
     pub age_ms: u64,
     /// By account, the weight with which it asks for a part of the quota, what
     /// it has let in, what it sees left, and what all daemons asked for.
-    pub quotas: Vec<ToldAccount>,
+    pub quotas: Vec<AnnouncedAccount>,
 }
 
-/// What is told of one account.
+/// A client account's quota state as a hub announces it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct ToldAccount {
+pub struct AnnouncedAccount {
     /// The account.
     pub name: String,
     /// The weight with which the daemon asks for a part of the quota.
@@ -35,7 +35,7 @@
     pub demand: f32,
 }
 
-impl ToldAccount {
+impl AnnouncedAccount {
     /// Makes what is told from a notice.
     pub fn of(notice: &QuotaNotice) -> Self {
         Self {
--- a/src/cluster/quotas/lone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         names::ClientAccount,
-        policy::{DemandMeter, LoneQuota, QuotaLimit, ToldQuota},
+        policy::{DemandMeter, QuotaLimit, ReceivedQuota, StandaloneQuota},
     },
     std::{collections::HashMap, net::SocketAddr},
 };
@@ -14,23 +14,23 @@
 
 /// What a daemon that asks hubs knows of a client account that it lets in by itself.
 #[derive(Clone, Copy, Debug, Default)]
-struct LoneAccount {
-    quota: LoneQuota,
+struct StandaloneAccount {
+    quota: StandaloneQuota,
     demand: DemandMeter,
     /// When what it was told last was told: what it spent counts from there.
-    told_ms: u64,
+    announced_ms: u64,
     /// Since when it has decided by itself without having been told of the account.
-    untold_since_ms: Option<u64>,
+    unreported_since_ms: Option<u64>,
 }
 
-impl LoneAccount {
+impl StandaloneAccount {
     /// Returns what is reckoned with where nothing was told: the daemon's even part of
     /// what is earned since it first decided by itself.
-    fn untold(&mut self, daemons: usize, now_ms: u64) -> ToldQuota {
-        ToldQuota {
+    fn untold(&mut self, daemons: usize, now_ms: u64) -> ReceivedQuota {
+        ReceivedQuota {
             level: 0.0,
             demand: self.demand.per_s(now_ms) * daemons as f64,
-            at_ms: *self.untold_since_ms.get_or_insert(now_ms),
+            at_ms: *self.unreported_since_ms.get_or_insert(now_ms),
         }
     }
 }
@@ -38,8 +38,8 @@
 /// What a daemon that asks hubs lets in by itself while none answers, by client
 /// account, and what they have not heard of it yet.
 #[derive(Debug, Default)]
-pub struct LoneQuotas {
-    accounts: HashMap<ClientAccount, LoneAccount>,
+pub struct StandaloneQuotas {
+    accounts: HashMap<ClientAccount, StandaloneAccount>,
     /// What was let in and not told yet.
     untold: HashMap<ClientAccount, f64>,
     /// What is told until the hub has heard it.
@@ -47,20 +47,20 @@
     batch_number: u64,
     /// How often the batch was told, and to whom.
     told: u8,
-    told_to: Option<SocketAddr>,
+    announced_to: Option<SocketAddr>,
 }
 
-impl LoneQuotas {
+impl StandaloneQuotas {
     /// Notes what a request asks for.
-    pub fn note_demand(&mut self, account: &ClientAccount, cost: f64, now_ms: u64) {
-        let lone = self.accounts.entry(account.clone()).or_default();
-        lone.demand.note(cost, now_ms);
+    pub fn record_demand(&mut self, account: &ClientAccount, cost: f64, now_ms: u64) {
+        let standalone = self.accounts.entry(account.clone()).or_default();
+        standalone.demand.record(cost, now_ms);
     }
 
     /// Notes that a hub decided on a request of an account.
-    pub fn note_decided(&mut self, account: &ClientAccount) {
-        if let Some(lone) = self.accounts.get_mut(account) {
-            lone.untold_since_ms = None;
+    pub fn record_decided(&mut self, account: &ClientAccount) {
+        if let Some(standalone) = self.accounts.get_mut(account) {
+            standalone.unreported_since_ms = None;
         }
     }
 
@@ -70,20 +70,23 @@
         &mut self,
         account: &ClientAccount,
         cost: f64,
-        told: Option<ToldQuota>,
+        told: Option<ReceivedQuota>,
         daemons: usize,
         limit: &QuotaLimit,
         now_ms: u64,
     ) -> bool {
-        let lone = self.accounts.entry(account.clone()).or_default();
-        let told = told.unwrap_or_else(|| lone.untold(daemons, now_ms));
-        if lone.told_ms != told.at_ms {
+        let standalone = self.accounts.entry(account.clone()).or_default();
+        let told = told.unwrap_or_else(|| standalone.untold(daemons, now_ms));
+        if standalone.announced_ms != told.at_ms {
             // What a hub had heard of by then it has counted.
-            lone.told_ms = told.at_ms;
-            lone.quota.spent = self.untold.get(account).copied().unwrap_or(0.0);
+            standalone.announced_ms = told.at_ms;
+            standalone.quota.spent = self.untold.get(account).copied().unwrap_or(0.0);
         }
-        let own_demand = lone.demand.per_s(now_ms);
-        if !lone.quota.admit(cost, own_demand, told, limit, now_ms) {
+        let own_demand = standalone.demand.per_s(now_ms);
+        if !standalone
+            .quota
+            .admit(cost, own_demand, told, limit, now_ms)
+        {
             return false;
         }
         *self.untold.entry(account.clone()).or_default() += cost;
@@ -91,7 +94,7 @@
     }
 
     /// Returns what to tell a hub, and its number; 0 if there is nothing.
-    pub fn to_tell(&mut self, hub: SocketAddr) -> (Vec<(String, f64)>, u64) {
+    pub fn to_announce(&mut self, hub: SocketAddr) -> (Vec<(String, f64)>, u64) {
         let is_done = self.batch.is_empty() || self.told >= TOLD_TIMES;
         if is_done {
             let next = self.untold.keys().take(MAX_TOLD_ACCOUNTS).cloned();
@@ -102,10 +105,10 @@
             self.batch = untold.map(|(a, units)| (a.to_string(), units)).collect();
             self.batch_number += u64::from(!self.batch.is_empty());
             self.told = 0;
-            self.told_to = Some(hub);
+            self.announced_to = Some(hub);
         }
         // Another hub would count it once more.
-        if self.batch.is_empty() || self.told_to != Some(hub) {
+        if self.batch.is_empty() || self.announced_to != Some(hub) {
             self.told = TOLD_TIMES;
             return (Vec::new(), 0);
         }
--- a/src/cluster/usage/usage_teller.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -3,7 +3,7 @@
         cluster::*,
         gateway::Gateway,
         names::now_ms,
-        policy::{AccountCounts, HeardUsage},
+        policy::{AccountCounts, ReceivedUsage},
     },
     std::{
         collections::{BTreeMap, HashMap},
@@ -25,9 +25,9 @@
 /// How many windows are told: as many as are kept.
 const TOLD_WINDOWS: usize = 8;
 
-/// What holders of the duties have heard of the counts of one life of a daemon.
+/// The usage counts of one incarnation of a daemon that holders of the duties have acknowledged.
 #[derive(Debug, Default)]
-pub struct UsageTeller {
+pub struct UsageAnnouncer {
     last_number: u64,
     holders: HashMap<(SocketAddr, u64), HolderView>,
 }
@@ -35,12 +35,12 @@
 #[derive(Debug, Default)]
 struct HolderView {
     heard: BTreeMap<u64, BTreeMap<String, u32>>,
-    heard_whole_before: u64,
+    acknowledged_before: u64,
     /// Parts that were sent, by number.
     sent: HashMap<u64, UsagePart>,
 }
 
-impl UsageTeller {
+impl UsageAnnouncer {
     /// Returns what to tell a holder: what it has not heard, in parts.
     pub fn parts(
         &mut self,
@@ -50,21 +50,21 @@
         window: u64,
     ) -> Vec<UsagePart> {
         self.holders
-            .retain(|(address, life), _| *address != holder.0 || *life == holder.1);
+            .retain(|(address, incarnation), _| *address != holder.0 || *incarnation == holder.1);
         let view = self.holders.entry(holder).or_default();
         view.sent.clear();
-        let lacking: Vec<(u64, ToldCounts)> = own
+        let lacking: Vec<(u64, AnnouncedCounts)> = own
             .iter()
             .map(|(window, counts)| (*window, view.lacking(*window, counts)))
             .filter(|(_, counts)| !counts.is_empty())
             .collect();
-        let whole_before = lacking.iter().map(|(w, _)| *w).min().unwrap_or(window);
-        let whole_before = whole_before.min(window);
-        let mut split: Vec<(u64, ToldCounts)> = Vec::new();
+        let complete_before = lacking.iter().map(|(w, _)| *w).min().unwrap_or(window);
+        let complete_before = complete_before.min(window);
+        let mut split: Vec<(u64, AnnouncedCounts)> = Vec::new();
         for (window, counts) in lacking {
             split.extend(in_parts(counts).into_iter().map(|part| (window, part)));
         }
-        if split.is_empty() && whole_before > view.heard_whole_before {
+        if split.is_empty() && complete_before > view.acknowledged_before {
             split.push((window, Vec::new()));
         }
         let mut parts = Vec::new();
@@ -72,9 +72,9 @@
             self.last_number += 1;
             let part = UsagePart {
                 name: daemon.0.to_string(),
-                life: daemon.1,
+                incarnation: daemon.1,
                 number: self.last_number,
-                whole_before,
+                complete_before,
                 window,
                 counts,
             };
@@ -85,14 +85,14 @@
     }
 
     /// Takes in that a holder has heard a part.
-    pub fn hear(&mut self, from: SocketAddr, heard: UsageHeard) {
-        let Some(view) = self.holders.get_mut(&(from, heard.holder_life)) else {
+    pub fn apply(&mut self, from: SocketAddr, heard: UsageAck) {
+        let Some(view) = self.holders.get_mut(&(from, heard.holder_incarnation)) else {
             return;
         };
         let Some(part) = view.sent.remove(&heard.number) else {
             return;
         };
-        view.heard_whole_before = view.heard_whole_before.max(part.whole_before);
+        view.acknowledged_before = view.acknowledged_before.max(part.complete_before);
         if part.counts.is_empty() {
             // Kept, windows without counts would push out those that have some, which
             // would be told for ever.
@@ -107,7 +107,7 @@
 }
 
 impl HolderView {
-    fn lacking(&self, window: u64, counts: &AccountCounts) -> ToldCounts {
+    fn lacking(&self, window: u64, counts: &AccountCounts) -> AnnouncedCounts {
         let heard = self.heard.get(&window);
         let known = |name: &str| heard.and_then(|h| h.get(name)).copied().unwrap_or(0);
         let told = counts.iter().map(|(name, n)| (name.to_string(), *n as u32));
@@ -117,14 +117,14 @@
 
 /// Tells those that are told usage what they have not heard, as long as the daemon
 /// runs.
-pub(in crate::cluster) async fn tell_usage(gateway: Arc<Gateway>) {
+pub(in crate::cluster) async fn announce_usage(gateway: Arc<Gateway>) {
     if !gateway.settings.duties.usage {
         return;
     }
     loop {
         tokio::time::sleep(USAGE_EVERY).await;
         for listener in duty_listeners(&gateway) {
-            tell_own(&gateway, &listener).await;
+            announce_own(&gateway, &listener).await;
             pass_on(&gateway, &listener).await;
         }
     }
@@ -133,7 +133,7 @@
 /// Tells the last counts of a daemon that stops until they are heard. One that is told
 /// and says nothing for some rounds may be gone; then it is enough that another has
 /// heard all.
-pub async fn tell_last_usage(gateway: &Gateway, patience: Duration) {
+pub async fn announce_last_usage(gateway: &Gateway, max_wait: Duration) {
     if !gateway.settings.duties.usage || gateway.daemons() < 2 {
         return;
     }
@@ -142,7 +142,7 @@
             let listeners = duty_listeners(gateway);
             let mut heard = 0;
             for listener in &listeners {
-                let own = tell_own(gateway, listener).await;
+                let own = announce_own(gateway, listener).await;
                 let others = pass_on(gateway, listener).await;
                 heard += usize::from(own && others);
             }
@@ -153,11 +153,11 @@
             tokio::time::sleep(LAST_USAGE_EVERY).await;
         }
     };
-    if tokio::time::timeout(patience, told).await.is_err() {
+    if tokio::time::timeout(max_wait, told).await.is_err() {
         log::warn!(
             target: "duties",
             "the last counts were not heard. patience_ms={}",
-            patience.as_millis()
+            max_wait.as_millis()
         );
     }
 }
@@ -165,7 +165,7 @@
 /// A daemon that holds the duties or watches who does.
 struct DutyListener {
     address: SocketAddr,
-    life: u64,
+    incarnation: u64,
     /// Since when it is known to be one, by the steady clock.
     since_ms: u64,
 }
@@ -186,19 +186,19 @@
     since.retain(|daemon, _| known.contains_key(daemon));
     let others = known.into_keys().filter(|(at, _)| *at != own_address);
     others
-        .map(|(address, life)| DutyListener {
+        .map(|(address, incarnation)| DutyListener {
             address,
-            life,
-            since_ms: *since.entry((address, life)).or_insert(now_ms),
+            incarnation,
+            since_ms: *since.entry((address, incarnation)).or_insert(now_ms),
         })
         .collect()
 }
 
 /// Tells the own counts; returns whether all of them were heard.
-async fn tell_own(gateway: &Gateway, listener: &DutyListener) -> bool {
-    let counts = HeardUsage {
+async fn announce_own(gateway: &Gateway, listener: &DutyListener) -> bool {
+    let counts = ReceivedUsage {
         name: gateway.settings.node.name.to_string(),
-        life: gateway.incarnation,
+        incarnation: gateway.incarnation,
         windows: gateway.usage.lock().newest(TOLD_WINDOWS),
     };
     let window = gateway.window_of(now_ms());
@@ -226,15 +226,15 @@
 async fn tell(
     gateway: &Gateway,
     listener: &DutyListener,
-    counts: &HeardUsage,
+    counts: &ReceivedUsage,
     window: u64,
 ) -> bool {
     let parts = {
-        let mut tellers = gateway.usage_tellers.lock();
-        let teller = tellers.entry(counts.life).or_default();
-        let daemon = (counts.name.as_str(), counts.life);
-        let to = (listener.address, listener.life);
-        teller.parts(daemon, to, &counts.windows, window)
+        let mut announcers = gateway.usage_announcers.lock();
+        let announcer = announcers.entry(counts.incarnation).or_default();
+        let daemon = (counts.name.as_str(), counts.incarnation);
+        let to = (listener.address, listener.incarnation);
+        announcer.parts(daemon, to, &counts.windows, window)
     };
     let is_heard = parts.is_empty();
     for part in parts {
--- a/src/cluster/versions/versions_part.rs
+++ b/src/cluster/versions/versions_part.rs
@@ -11,7 +11,7 @@
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// The service.
     pub service: String,
     /// The order that they are counted from.
@@ -22,27 +22,27 @@
 
 #[derive(Debug, Default)]
 struct Heard {
-    life: u64,
+    incarnation: u64,
     order: u64,
     counts: HashMap<u32, VersionCounts>,
 }
 
-/// What was heard of answers during roll-outs, by service.
+/// Answer counts received during rollouts, by service.
 #[derive(Debug, Default)]
-pub struct VersionBook {
+pub struct VersionCountTable {
     heard: HashMap<(String, String), Heard>,
     /// What was heard since it was taken last, by service and order.
     fresh: HashMap<(String, u64), HashMap<u32, VersionCounts>>,
 }
 
-impl VersionBook {
+impl VersionCountTable {
     /// Takes in what a daemon told.
-    pub fn hear(&mut self, part: VersionsPart) {
+    pub fn apply(&mut self, part: VersionsPart) {
         let key = (part.service.clone(), part.name);
         let heard = self.heard.entry(key).or_default();
-        if heard.life != part.life || heard.order != part.order {
+        if heard.incarnation != part.incarnation || heard.order != part.order {
             *heard = Heard {
-                life: part.life,
+                incarnation: part.incarnation,
                 order: part.order,
                 counts: HashMap::new(),
             };
--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -40,11 +40,11 @@
     }
 
     /// Notes work that is sent to a service: prompt tokens to read.
-    pub(super) fn note_demand(&self, service: &ServiceName, work: u64) {
+    pub(super) fn record_demand(&self, service: &ServiceName, work: u64) {
         let now_ms = self.steady_ms();
         let mut demand = self.demand.lock();
         let meter = demand.entry(service.clone()).or_default();
-        meter.note(work as f64, now_ms);
+        meter.record(work as f64, now_ms);
     }
 
     /// Returns the work a second that this daemon was offered, by service.
@@ -68,7 +68,7 @@
     }
 
     /// Lets a client account's request in. One that would be let in soon is held for as
-    /// long as `patience`, rather than sent back.
+    /// long as `max_wait`, rather than sent back.
     ///
     /// # Errors
     ///
@@ -77,17 +77,17 @@
         &self,
         terms: &AccountTerms,
         cost: f64,
-        patience: Duration,
+        max_wait: Duration,
     ) -> Result<(), Duration> {
-        let patience = match self.settings.mechanisms.held_requests {
-            true => patience,
+        let max_wait = match self.settings.mechanisms.held_requests {
+            true => max_wait,
             false => Duration::ZERO,
         };
-        let until = BootInstant::now() + patience;
+        let until = BootInstant::now() + max_wait;
         let start_part = 1.0 / self.daemons() as f64;
         self.quotas
             .lock()
-            .note_demand(terms, cost, start_part, self.steady_ms());
+            .record_demand(terms, cost, start_part, self.steady_ms());
         loop {
             let Err(wait) = self.try_admit(terms, cost, start_part) else {
                 return Ok(());
@@ -97,7 +97,7 @@
             }
             let back = match wait {
                 QuotaWait::UsedUp(wait_ms) => Duration::from_millis(wait_ms),
-                QuotaWait::OutOfTurn => TURN_PAUSE,
+                QuotaWait::NotYetDue => TURN_PAUSE,
             };
             if BootInstant::now() + back > until {
                 return Err(Duration::from_millis(wait.retry_after_ms()));
@@ -125,8 +125,8 @@
     fn try_admit(&self, terms: &AccountTerms, cost: f64, start_part: f64) -> Result<(), QuotaWait> {
         let mut quotas = self.quotas.lock();
         let admitted = quotas.admit(terms, cost, start_part, self.steady_ms());
-        if quotas.should_tell(terms) {
-            self.tell_early.notify_one();
+        if quotas.should_announce(terms) {
+            self.announce_early.notify_one();
         }
         admitted
     }
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -2,7 +2,7 @@
     super::{Gateway, RequestContext, cut_offs::CutOff},
     crate::{
         names::{RequestFingerprint, UpstreamId},
-        policy::{KnownEnd, SuspectRecord},
+        policy::{KnownCrash, SuspectRecord},
     },
     http::StatusCode,
     rand::seq::IteratorRandom,
@@ -40,7 +40,7 @@
     }
 
     /// Notes that an upstream ended under requests.
-    pub(super) fn note_upstream_end(
+    pub(super) fn record_upstream_crash(
         &self,
         upstream: &UpstreamId,
         requests: impl Iterator<Item = (RequestFingerprint, CutOff)>,
@@ -49,7 +49,7 @@
         for (fingerprint, cut_off) in requests {
             let mut crashes = self.crashes.lock();
             let was_held = crashes.held_for(fingerprint, now_ms).is_some();
-            crashes.note_end(fingerprint, upstream, cut_off.ran_ms, cut_off.at_ms);
+            crashes.record_end(fingerprint, upstream, cut_off.ran_ms, cut_off.at_ms);
             let is_held = crashes.held_for(fingerprint, now_ms).is_some();
             drop(crashes);
             log_if_held(fingerprint, was_held, is_held);
@@ -58,9 +58,12 @@
 
     /// Notes that a request was answered whole. Only a success shows that it ran: an
     /// upstream that is full or late answers with a failure, too, and lives.
-    pub(super) fn note_whole_answer(&self, context: &RequestContext, status: StatusCode) {
+    pub(super) fn record_complete_answer(&self, context: &RequestContext, status: StatusCode) {
         let mut crashes = self.crashes.lock();
-        if status.is_success() && !crashes.is_empty() && crashes.note_whole(context.fingerprint()) {
+        if status.is_success()
+            && !crashes.is_empty()
+            && crashes.record_complete(context.fingerprint())
+        {
             log::info!(
                 target: "crash",
                 "a request is cleared: it was answered whole. fingerprint={}",
@@ -70,23 +73,23 @@
     }
 
     /// Takes in what another daemon told.
-    pub fn hear_end(&self, told: &KnownEnd, passes_on: Option<bool>) {
+    pub fn apply_crash(&self, told: &KnownCrash, passes_on: Option<bool>) {
         let now_ms = self.steady_ms();
         let mut crashes = self.crashes.lock();
         let was_held = crashes.held_for(told.fingerprint, now_ms).is_some();
-        crashes.hear(told, passes_on, now_ms);
+        crashes.apply(told, passes_on, now_ms);
         let is_held = crashes.held_for(told.fingerprint, now_ms).is_some();
         drop(crashes);
         log_if_held(told.fingerprint, was_held, is_held);
     }
 
     /// Takes in what was written down of a request.
-    pub fn hear_written(&self, record: &SuspectRecord) {
+    pub fn apply_written(&self, record: &SuspectRecord) {
         if record.ends.is_empty() {
-            self.crashes.lock().hear_cleared(record.fingerprint);
+            self.crashes.lock().apply_cleared(record.fingerprint);
         }
         for end in &record.ends {
-            self.hear_end(end, Some(true));
+            self.apply_crash(end, Some(true));
         }
     }
 
--- a/src/gateway/cut_offs.rs
+++ b/src/gateway/cut_offs.rs
@@ -43,7 +43,7 @@
     /// Notes that an upstream ended the connection that a request ran on, and finds out
     /// whether the upstream has ended: one connection is opened for all requests that
     /// were cut off there. One that comes up is used for the next request.
-    pub(super) fn note_cut_off(
+    pub(super) fn record_cut_off(
         self: &Arc<Self>,
         fingerprint: RequestFingerprint,
         ran: Duration,
@@ -88,7 +88,7 @@
         requests.len(),
         listed(&requests)
     );
-    gateway.note_upstream_end(&upstream.id, requests.into_iter());
+    gateway.record_upstream_crash(&upstream.id, requests.into_iter());
 }
 
 /// Finds out whether an upstream takes connections and keeps them; returns how it fails to.
--- a/src/gateway/engines.rs
+++ b/src/gateway/engines.rs
@@ -45,9 +45,9 @@
     }
 
     /// Notes the first event of an answer that nothing waited before.
-    pub(super) fn note_first_event(&self, service: &ServiceName, event: FirstEvent) {
+    pub(super) fn record_first_event(&self, service: &ServiceName, event: FirstEvent) {
         self.learn_first_event(service, event);
-        self.note_event(|| MemberEvent::FirstEvent {
+        self.record_event(|| MemberEvent::FirstEvent {
             service: service.to_string(),
             unread_tokens: event.unread_tokens as u32,
             after_ms: event.after_ms as f32,
@@ -58,13 +58,13 @@
     pub fn learn_first_event(&self, service: &ServiceName, event: FirstEvent) {
         let mut engines = self.engines.lock();
         let model = engines.entry(service.clone()).or_default();
-        model.note_first_event(event);
+        model.record_first_event(event);
     }
 
     /// Notes how long a request stayed that ended whole, in milliseconds.
-    pub(super) fn note_stay(&self, service: &ServiceName, stay_ms: f64) {
+    pub(super) fn record_stay(&self, service: &ServiceName, stay_ms: f64) {
         self.learn_stay(service, stay_ms);
-        self.note_event(|| MemberEvent::Stayed {
+        self.record_event(|| MemberEvent::Stayed {
             service: service.to_string(),
             ms: stay_ms as f32,
         });
@@ -74,7 +74,7 @@
     pub fn learn_stay(&self, service: &ServiceName, stay_ms: f64) {
         let mut engines = self.engines.lock();
         let model = engines.entry(service.clone()).or_default();
-        model.note_stay(stay_ms);
+        model.record_stay(stay_ms);
     }
 
     /// Returns how many requests all daemons have at a service's upstreams.
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -38,7 +38,7 @@
     context: RequestContext,
     attempts: Attempts,
     current: Option<Sent>,
-    border: EventBorder,
+    border: EventSplitter,
     /// The last event that was passed on, or that the client had before.
     last_id: Option<u64>,
     /// Whether the current answer is a series of events.
@@ -62,7 +62,7 @@
             context,
             attempts: Attempts::default(),
             current: None,
-            border: EventBorder::default(),
+            border: EventSplitter::default(),
             is_events: true,
             began: false,
             done: false,
@@ -76,14 +76,14 @@
             let head = self.current.as_ref()?.answer.head.clone();
             match self.step().await {
                 Ok(step) => {
-                    self.gateway.note_run(&self.context);
+                    self.gateway.record_run(&self.context);
                     if matches!(step, Step::Events(_))
                         && let Some(sent) = &self.current
                     {
                         sent.active.first_event();
                         let time_ms = sent.active.age_ms();
                         self.gateway
-                            .note_answer(&self.context, &sent.upstream, Some(time_ms));
+                            .record_answer(&self.context, &sent.upstream, Some(time_ms));
                     }
                     self.began = true;
                     return Some((head, self.pass_on(step)));
@@ -155,7 +155,7 @@
                         continue;
                     }
                     self.is_events = is_success && is_event_stream(&sent.answer.head);
-                    self.border = EventBorder::default();
+                    self.border = EventSplitter::default();
                     self.current = Some(sent);
                     return Some(());
                 }
@@ -257,12 +257,12 @@
                     );
                     sent.active.ended_whole();
                     self.gateway
-                        .note_whole_answer(&self.context, sent.answer.head.status);
+                        .record_complete_answer(&self.context, sent.answer.head.status);
                     let time_ms = sent.active.age_ms();
                     self.gateway
-                        .note_whole(&self.context, &sent.upstream, time_ms);
+                        .record_complete(&self.context, &sent.upstream, time_ms);
                     let failed = sent.answer.head.status.is_server_error();
-                    self.gateway.note_outcome(&sent.upstream.id, failed);
+                    self.gateway.record_outcome(&sent.upstream.id, failed);
                 }
                 Bytes::new()
             }
@@ -291,7 +291,7 @@
             .loads
             .lock()
             .entry(&upstream.id)
-            .note_unreachable(now_ms);
+            .record_unreachable(now_ms);
         Err(SendFailure::MayHaveRun("the upstream is silent".into()))
     }
 
@@ -305,7 +305,7 @@
 
     fn fail_at(&mut self, upstream: &Arc<Upstream>, failure: SendFailure) -> Option<()> {
         self.gateway
-            .note_send_failure(&self.context, upstream, &failure);
+            .record_send_failure(&self.context, upstream, &failure);
         let goes_on = self
             .attempts
             .may_go_on(&self.gateway, &self.context, &upstream.id, failure);
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -103,7 +103,7 @@
             tokio::time::sleep(STOP_POLL).await;
         }
         let left = end.saturating_sub(began.elapsed());
-        cluster::tell_last_usage(&self.gateway, left.min(LAST_USAGE_PATIENCE)).await;
+        cluster::announce_last_usage(&self.gateway, left.min(LAST_USAGE_PATIENCE)).await;
         log::info!(
             target: "gateway",
             "stopped. requests={} connections={} after_ms={}",
@@ -148,8 +148,8 @@
         metrics::gauge!(CONTROL_MESSAGES, &label).set(messages as f64);
         metrics::gauge!(CONTROL_BYTES, &label).set(bytes as f64);
     }
-    let looked_at = gateway.peers.lock().looked_at();
-    metrics::gauge!(PEERS_LOOKED_AT).set(looked_at as f64);
+    let examined = gateway.peers.lock().examined();
+    metrics::gauge!(PEERS_LOOKED_AT).set(examined as f64);
     let known = gateway.directory.read().known();
     metrics::gauge!(KNOWN_UPSTREAMS).set(known as f64);
 }
@@ -166,11 +166,11 @@
     metrics::gauge!(LIVE_PEERS).set(live as f64);
     metrics::gauge!(DAEMONS).set(gateway.daemons() as f64);
     metrics::gauge!(IS_HUB).set(f64::from(u8::from(gateway.is_hub())));
-    let leaning = gateway.members.lock().leaning();
-    metrics::gauge!(LEANING).set(f64::from(leaning));
+    let dependents = gateway.members.lock().dependents();
+    metrics::gauge!(LEANING).set(f64::from(dependents));
     let age_ms = gateway.members.lock().oldest_loads_ms(gateway.steady_ms());
     metrics::gauge!(LOADS_AGE).set(age_ms as f64 / 1_000.0);
-    for rollout in gateway.told_rollouts() {
+    for rollout in gateway.announced_rollouts() {
         let labels = [("service", rollout.service), ("version", rollout.target)];
         metrics::gauge!(ROLLOUT_SHARE, &labels).set(f64::from(rollout.share));
     }
@@ -182,7 +182,7 @@
     }
     let limited = gateway.limits.lock().limited().count();
     metrics::gauge!(LIMITED_UPSTREAMS).set(limited as f64);
-    metrics::gauge!(RESTING_UPSTREAMS).set(gateway.resting().len() as f64);
+    metrics::gauge!(RESTING_UPSTREAMS).set(gateway.in_cooldown().len() as f64);
     let holds = gateway.holds_duties.load(Ordering::Relaxed);
     metrics::gauge!(HOLDS_DUTIES).set(f64::from(u8::from(holds)));
 }
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -14,15 +14,15 @@
 /// answers are.
 impl Gateway {
     /// Takes in an operator's order.
-    pub fn hear_rollout_order(&self, order: &RolloutOrder) {
-        self.hear_rollouts(&[Rollout::ordered(order)]);
+    pub fn apply_rollout_order(&self, order: &RolloutOrder) {
+        self.apply_rollouts(&[Rollout::ordered(order)]);
     }
 
     /// Takes in what was told of roll-outs.
-    pub fn hear_rollouts(&self, told: &[Rollout]) {
+    pub fn apply_rollouts(&self, told: &[Rollout]) {
         let now_ms = self.steady_ms();
         for rollout in told {
-            if self.rollouts.lock().hear(rollout, now_ms) {
+            if self.rollouts.lock().apply(rollout, now_ms) {
                 log::info!(
                     target: "rollout",
                     "heard. service={} target={} state={} share={} order={} fence={} step={}",
@@ -34,14 +34,14 @@
                     rollout.fence,
                     rollout.step
                 );
-                self.tell_early.notify_one();
+                self.announce_early.notify_one();
                 self.news.send_modify(|n| *n += 1);
             }
         }
     }
 
     /// Returns what to tell other daemons of roll-outs.
-    pub fn told_rollouts(&self) -> Vec<Rollout> {
+    pub fn announced_rollouts(&self) -> Vec<Rollout> {
         self.rollouts.lock().told(self.steady_ms())
     }
 
@@ -73,23 +73,28 @@
 
     /// Notes an answer for a roll-out; `time_ms` is the time to its head or first event,
     /// none if it failed.
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &self,
         context: &RequestContext,
         upstream: &Upstream,
         time_ms: Option<f64>,
     ) {
         let route = name_hash(&context.route.name) as u32;
-        self.note_version(context, upstream, route, time_ms);
+        self.record_version(context, upstream, route, time_ms);
     }
 
     /// Notes the whole time of a stream for a roll-out.
-    pub(super) fn note_whole(&self, context: &RequestContext, upstream: &Upstream, time_ms: f64) {
+    pub(super) fn record_complete(
+        &self,
+        context: &RequestContext,
+        upstream: &Upstream,
+        time_ms: f64,
+    ) {
         let route = name_hash(&context.route.name) as u32 ^ WHOLE_TIMES;
-        self.note_version(context, upstream, route, Some(time_ms));
+        self.record_version(context, upstream, route, Some(time_ms));
     }
 
-    fn note_version(
+    fn record_version(
         &self,
         context: &RequestContext,
         upstream: &Upstream,
@@ -114,7 +119,7 @@
         }
         let mut outcomes = self.outcomes.lock();
         let meter = outcomes.entry(context.service.clone()).or_default();
-        meter.of_order(order).note(route, is_target, time_ms);
+        meter.of_order(order).record(route, is_target, time_ms);
     }
 
     /// Returns the slots of a service's ready upstreams of a version, and of the others.
--- a/src/gateway/upstream_words.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,6 +1,6 @@
 use {
     super::{Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, left_upstream::watch_for_end},
-    crate::{names::UpstreamId, policy::RestTime, upstreams::Upstream},
+    crate::{names::UpstreamId, policy::RetryAfter, upstreams::Upstream},
     http::{HeaderMap, StatusCode, header, response::Parts},
     std::sync::Arc,
 };
@@ -25,7 +25,7 @@
                 context.id_text(),
                 upstream.id
             );
-            self.note_leaving(&upstream.id, Some(true));
+            self.mark_leaving(&upstream.id, Some(true));
         }
         if head.status == StatusCode::SERVICE_UNAVAILABLE {
             self.read_rest(context, upstream, &head.headers);
@@ -34,7 +34,7 @@
 
     /// Notes that an upstream says that it leaves: it gets no new work. `passes_on` says
     /// whether others are told, and then whether hubs are, too.
-    pub fn note_leaving(self: &Arc<Self>, id: &UpstreamId, passes_on: Option<bool>) {
+    pub fn mark_leaving(self: &Arc<Self>, id: &UpstreamId, passes_on: Option<bool>) {
         // The usual case: each of its answers says so.
         let directory = self.directory.read();
         let is_known = directory.get(id).is_some_and(|known| known.draining);
@@ -42,13 +42,15 @@
         if is_known {
             return;
         }
-        let mut is_news = false;
-        self.change_directory(|directory, _| is_news = directory.note_leaving(id));
-        if !is_news {
+        let mut is_change = false;
+        self.change_directory(|directory, _| is_change = directory.mark_leaving(id));
+        if !is_change {
             return;
         }
-        if let Some(tells_hubs) = passes_on {
-            self.leaving_news.lock().note(id.clone(), tells_hubs);
+        if let Some(announces_to_hubs) = passes_on {
+            self.leaving_queue
+                .lock()
+                .record(id.clone(), announces_to_hubs);
         }
         if self.directory.read().is_left_until_its_end(id) {
             tokio::spawn(watch_for_end(self.clone(), id.clone()));
@@ -64,9 +66,9 @@
 
     fn read_rest(&self, context: &RequestContext, upstream: &Upstream, headers: &HeaderMap) {
         let values = headers.get_all(header::RETRY_AFTER);
-        match RestTime::read(values.iter().map(|value| value.as_bytes())) {
-            RestTime::Absent => {}
-            RestTime::For(rest) => {
+        match RetryAfter::read(values.iter().map(|value| value.as_bytes())) {
+            RetryAfter::Absent => {}
+            RetryAfter::For(rest) => {
                 metrics::counter!(REST_ANSWERS).increment(1);
                 log::info!(
                     target: "upstreams",
@@ -75,9 +77,9 @@
                     upstream.id,
                     rest.as_millis()
                 );
-                self.note_rest(&upstream.id, rest);
+                self.start_cooldown(&upstream.id, rest);
             }
-            RestTime::Unreadable => log::warn!(
+            RetryAfter::Unreadable => log::warn!(
                 target: "upstreams",
                 "an upstream names a time of rest that can't be read. upstream={}",
                 upstream.id
--- a/src/logs/story.rs
+++ b/src/logs/story.rs
@@ -6,9 +6,9 @@
 /// A source of log lines, with its name.
 pub type LogSource = (String, Box<dyn BufRead>);
 
-/// A log line, and who wrote it.
+/// A log line with the source that wrote it.
 #[derive(Clone, Debug)]
-pub struct ToldLine {
+pub struct SourcedLine {
     /// The line.
     pub line: LogLine,
     /// The name of its source, or what a collector put before it.
@@ -26,7 +26,7 @@
 pub fn read_lines(
     sources: Vec<LogSource>,
     is_wanted: impl Fn(&LogLine) -> bool,
-) -> std::io::Result<Vec<ToldLine>> {
+) -> std::io::Result<Vec<SourcedLine>> {
     let mut lines = Vec::new();
     for (name, source) in sources {
         for text in source.lines() {
@@ -39,7 +39,7 @@
                 } else {
                     prefix
                 };
-                lines.push(ToldLine { line, source });
+                lines.push(SourcedLine { line, source });
             }
         }
     }
@@ -53,16 +53,16 @@
 /// # Errors
 ///
 /// Returns the error of a source that can't be read.
-pub fn tell_story(request: &str, sources: Vec<LogSource>) -> std::io::Result<String> {
+pub fn request_history(request: &str, sources: Vec<LogSource>) -> std::io::Result<String> {
     let names_it = |line: &LogLine| line.value("request") == Some(request);
-    Ok(story_of(&read_lines(sources, names_it)?))
+    Ok(format_history(&read_lines(sources, names_it)?))
 }
 
 /// Writes lines with the times since the first one.
-pub fn story_of(lines: &[ToldLine]) -> String {
+pub fn format_history(lines: &[SourcedLine]) -> String {
     let mut story = String::new();
     let first_ms = lines.first().map_or(0, |told| told.line.time_ms);
-    for ToldLine { line, source } in lines {
+    for SourcedLine { line, source } in lines {
         let after_ms = line.time_ms - first_ms;
         let _ = writeln!(
             story,
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -18,7 +18,7 @@
         requests: Vec<RequestId>,
     },
     /// News, and a sign of life.
-    Heartbeat(News),
+    Heartbeat(HeartbeatPayload),
     /// Hold the copy of a request.
     Hold(Snapshot),
     /// Append to the copies that this box holds for an owner.
@@ -54,20 +54,20 @@
     /// What it is to each of the requests asked about.
     Ownership(Vec<Ownership>),
     /// News in return.
-    Heartbeat(News),
+    Heartbeat(HeartbeatPayload),
     /// How far each copy is.
     Replicated(Vec<Ack>),
     /// Where the request is, if it is known.
     Located(Option<Located>),
     /// The table's records or the whole of it.
-    Table(TableNews),
+    Table(TableUpdate),
     /// The log offset of an append; none if it may or may not be in the log.
     Appended(Option<u64>),
 }
 
-/// What a heartbeat carries.
+/// The payload of a heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct News {
+pub struct HeartbeatPayload {
     /// The sender.
     pub from: BoxFact,
     /// How far the sender has folded the table.
@@ -169,9 +169,9 @@
     pub tokens: usize,
 }
 
-/// What a daemon tells of the table.
+/// An update of the table for another daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum TableNews {
+pub enum TableUpdate {
     /// The records that the asker lacks.
     Records(Vec<(u64, String)>),
     /// The whole table, as JSON.
--- a/src/policy/rests/rest_book.rs
+++ b/src/policy/cooldowns/cooldown_table.rs
@@ -8,14 +8,14 @@
 ///
 /// It counts for this daemon only: what an upstream wants of others, it tells them.
 #[derive(Clone, Debug, Default)]
-pub struct RestBook {
+pub struct CooldownTable {
     until_ms: HashMap<UpstreamId, u64>,
 }
 
-impl RestBook {
+impl CooldownTable {
     /// Notes that an upstream asked for rest. Of several times the last end counts: answers
     /// may come late.
-    pub fn note(&mut self, id: &UpstreamId, rest: Duration, now_ms: u64) {
+    pub fn record(&mut self, id: &UpstreamId, rest: Duration, now_ms: u64) {
         let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
         let until_ms = now_ms.saturating_add(rest_ms);
         let known_ms = self.until_ms.entry(id.clone()).or_default();
@@ -29,12 +29,12 @@
     }
 
     /// Returns whether an upstream wants nothing now.
-    pub fn is_resting(&self, id: &UpstreamId, now_ms: u64) -> bool {
+    pub fn is_in_cooldown(&self, id: &UpstreamId, now_ms: u64) -> bool {
         self.left(id, now_ms).is_some()
     }
 
     /// Returns the upstreams that want nothing now, with how much rest is left.
-    pub fn resting(&self, now_ms: u64) -> impl Iterator<Item = (&UpstreamId, Duration)> {
+    pub fn in_cooldown(&self, now_ms: u64) -> impl Iterator<Item = (&UpstreamId, Duration)> {
         let ids = self.until_ms.keys();
         ids.filter_map(move |id| Some((id, self.left(id, now_ms)?)))
     }
--- a/src/policy/rests/told_rests.rs
+++ b/src/policy/cooldowns/reported_cooldowns.rs
@@ -1,5 +1,5 @@
 use {
-    super::RestBook,
+    super::CooldownTable,
     crate::names::{BoxId, UpstreamId},
     std::{collections::HashMap, time::Duration},
 };
@@ -11,24 +11,24 @@
 /// What upstreams want of a daemon, and of those that it places for, as these report it.
 /// Times are milliseconds of the daemon's steady clock.
 #[derive(Clone, Debug, Default)]
-pub struct ToldRests {
-    by_daemon: HashMap<BoxId, RestBook>,
+pub struct ReportedCooldowns {
+    by_daemon: HashMap<BoxId, CooldownTable>,
 }
 
-impl ToldRests {
+impl ReportedCooldowns {
     /// Takes in how much rest an upstream still wants of a daemon.
-    pub fn hear(&mut self, daemon: &BoxId, id: &UpstreamId, left: Duration, now_ms: u64) {
-        let book = self.by_daemon.entry(daemon.clone()).or_default();
-        book.note(id, left, now_ms);
+    pub fn apply(&mut self, daemon: &BoxId, id: &UpstreamId, left: Duration, now_ms: u64) {
+        let cooldowns = self.by_daemon.entry(daemon.clone()).or_default();
+        cooldowns.record(id, left, now_ms);
     }
 
     /// Returns the upstreams that want rest of so many daemons that it is no matter of one.
     /// Without this, each daemon of many with few requests each would learn it by a request
     /// turned away.
-    pub fn asked_of_many(&self, now_ms: u64) -> Vec<UpstreamId> {
+    pub fn in_cooldown_for_many(&self, now_ms: u64) -> Vec<UpstreamId> {
         let mut asked: HashMap<&UpstreamId, usize> = HashMap::new();
-        let resting = self.by_daemon.values().flat_map(|b| b.resting(now_ms));
-        for (id, _) in resting {
+        let in_cooldown = self.by_daemon.values().flat_map(|b| b.in_cooldown(now_ms));
+        for (id, _) in in_cooldown {
             *asked.entry(id).or_default() += 1;
         }
         let many = asked
@@ -39,9 +39,9 @@
 
     /// Forgets rests that are over, and upstreams that are gone.
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId) -> bool, now_ms: u64) {
-        self.by_daemon.retain(|_, book| {
-            book.retain(&is_known, now_ms);
-            book.resting(now_ms).next().is_some()
+        self.by_daemon.retain(|_, cooldowns| {
+            cooldowns.retain(&is_known, now_ms);
+            cooldowns.in_cooldown(now_ms).next().is_some()
         });
     }
 }
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -9,13 +9,13 @@
 /// Requests that began to run, by client account.
 pub type AccountCounts = BTreeMap<ClientAccount, u64>;
 
-/// What was heard of the counts of one life of another daemon.
+/// Usage counts of one incarnation of another daemon, as received from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeardUsage {
+pub struct ReceivedUsage {
     /// The daemon's name.
     pub name: String,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its counts by window.
     pub windows: Vec<(u64, AccountCounts)>,
 }
@@ -27,14 +27,14 @@
     /// By source, its own counts; they only grow.
     others: BTreeMap<(String, u64), BTreeMap<u64, AccountCounts>>,
     /// When something of each source was heard last.
-    heard_ms: HashMap<(String, u64), u64>,
+    last_seen_ms: HashMap<(String, u64), u64>,
     /// By daemon, before which window all was told, and when that was heard.
-    tellers: HashMap<String, (u64, u64)>,
+    announcers: HashMap<String, (u64, u64)>,
 }
 
 impl UsageWindows {
     /// Notes a request that began here.
-    pub fn note(&mut self, window: u64, account: &ClientAccount) {
+    pub fn record(&mut self, window: u64, account: &ClientAccount) {
         let counts = self.own.entry(window).or_default();
         *counts.entry(account.clone()).or_default() += 1;
         trim(&mut self.own);
@@ -47,26 +47,26 @@
     }
 
     /// Notes that something of a life's counts was heard.
-    pub fn note_heard(&mut self, node: &str, incarnation: u64, now_ms: u64) {
-        self.heard_ms
+    pub fn record_contact(&mut self, node: &str, incarnation: u64, now_ms: u64) {
+        self.last_seen_ms
             .insert((node.to_string(), incarnation), now_ms);
     }
 
     /// Returns what was heard of other daemons' counts, from a window on, of lives
     /// last heard before `before_ms`.
-    pub fn heard(&self, from_window: u64, before_ms: u64) -> Vec<HeardUsage> {
+    pub fn heard(&self, from_window: u64, before_ms: u64) -> Vec<ReceivedUsage> {
         let mut heard = Vec::new();
-        for ((name, life), windows) in &self.others {
-            let heard_ms = self.heard_ms.get(&(name.clone(), *life));
-            if heard_ms.is_some_and(|at_ms| *at_ms >= before_ms) {
+        for ((name, incarnation), windows) in &self.others {
+            let last_seen_ms = self.last_seen_ms.get(&(name.clone(), *incarnation));
+            if last_seen_ms.is_some_and(|at_ms| *at_ms >= before_ms) {
                 continue;
             }
             let late = windows.range(from_window..);
             let late: Vec<_> = late.map(|(w, counts)| (*w, counts.clone())).collect();
             if !late.is_empty() {
-                heard.push(HeardUsage {
+                heard.push(ReceivedUsage {
                     name: name.clone(),
-                    life: *life,
+                    incarnation: *incarnation,
                     windows: late,
                 });
             }
@@ -91,16 +91,16 @@
     }
 
     /// Notes before which window a daemon has told all that it counted.
-    pub fn note_whole(&mut self, node: &str, whole_before: u64, now_ms: u64) {
-        let teller = self.tellers.entry(node.to_string()).or_default();
-        *teller = (whole_before.max(teller.0), now_ms);
+    pub fn record_complete(&mut self, node: &str, complete_before: u64, now_ms: u64) {
+        let announcer = self.announcers.entry(node.to_string()).or_default();
+        *announcer = (complete_before.max(announcer.0), now_ms);
     }
 
     /// Returns how many daemons told counts since a time, and whether all of
     /// them have told the whole of a window.
-    pub fn told_whole(&self, window: u64, since_ms: u64) -> (usize, bool) {
+    pub fn usage_complete_from(&self, window: u64, since_ms: u64) -> (usize, bool) {
         let late = self
-            .tellers
+            .announcers
             .values()
             .filter(|(_, at_ms)| *at_ms >= since_ms);
         let told: Vec<bool> = late.map(|(before, _)| *before > window).collect();
--- a/src/policy/placement/domain_reach.rs
+++ b/src/policy/placement/domain_reach.rs
@@ -27,7 +27,12 @@
 
 impl DomainReach {
     /// Notes that an upstream of a domain could not be reached.
-    pub fn note_unreachable(&mut self, domain: &FailureDomain, upstream: &UpstreamId, now_ms: u64) {
+    pub fn record_unreachable(
+        &mut self,
+        domain: &FailureDomain,
+        upstream: &UpstreamId,
+        now_ms: u64,
+    ) {
         let reach = self.domains.entry(domain.clone()).or_default();
         reach.unreachable.insert(upstream.clone());
         let is_known_cut = reach.backoff_ms > 0;
@@ -39,7 +44,7 @@
     }
 
     /// Notes that an upstream of a domain was reached.
-    pub fn note_reached(&mut self, domain: &FailureDomain) {
+    pub fn record_reached(&mut self, domain: &FailureDomain) {
         self.domains.remove(domain);
     }
 
--- a/src/policy/quarantine/crash_book.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -11,7 +11,7 @@
 const TOLD_APART_MS: u64 = 3_000;
 /// How often an end is told that this daemon saw, or that it passes on: a datagram may be
 /// lost. Three of four times in a row are lost once in 10,000 where one in ten is.
-const TELLINGS: u8 = 4;
+const ANNOUNCEMENTS: u8 = 4;
 /// How many requests are kept, which bounds memory. A domain that is lost cuts off some
 /// hundred requests; of those, it is enough to keep the last ones.
 const MAX_SUSPECTS: usize = 512;
@@ -20,9 +20,9 @@
 /// placed by itself, which tells them apart.
 const ENDS_IN_COMPANY: usize = 2;
 
-/// An upstream that ended under a request, as daemons tell each other.
+/// A crash of an upstream under a request, as daemons exchange it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KnownEnd {
+pub struct KnownCrash {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The upstream.
@@ -41,16 +41,16 @@
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The upstreams that ended under it; none if that is nothing to go by any more.
-    pub ends: Vec<KnownEnd>,
+    pub ends: Vec<KnownCrash>,
 }
 
-/// Ends to tell.
+/// Crashes to announce next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EndsToTell {
+pub struct CrashesToAnnounce {
     /// The hubs of all failure domains, or those of the daemon's own if it is none.
-    pub hubs: Vec<KnownEnd>,
+    pub hubs: Vec<KnownCrash>,
     /// The daemons that report to a hub.
-    pub members: Vec<KnownEnd>,
+    pub members: Vec<KnownCrash>,
 }
 
 /// The requests under which upstreams ended, by what this daemon saw and others told.
@@ -64,12 +64,12 @@
 ///
 /// What daemons tell each other can be taken in in any order, and more than once.
 #[derive(Debug)]
-pub struct CrashBook {
+pub struct CrashTable {
     bounds: QuarantineBounds,
     suspects: HashMap<RequestFingerprint, Suspect>,
 }
 
-impl CrashBook {
+impl CrashTable {
     /// Makes an empty book.
     pub fn new(bounds: QuarantineBounds) -> Self {
         Self {
@@ -91,7 +91,7 @@
 
     /// Notes that an upstream ended at `at_ms` under a request that had been there for
     /// `ran_ms`, as this daemon saw; returns whether that is news.
-    pub fn note_end(
+    pub fn record_end(
         &mut self,
         fingerprint: RequestFingerprint,
         upstream: &UpstreamId,
@@ -99,19 +99,19 @@
         at_ms: u64,
     ) -> bool {
         let suspect = self.suspect(fingerprint);
-        let is_same = |end: &&mut UpstreamEnd| end.is_same(upstream, at_ms, OWN_APART_MS);
+        let is_same = |end: &&mut UpstreamCrash| end.is_same(upstream, at_ms, OWN_APART_MS);
         if let Some(known) = suspect.ends.iter_mut().find(is_same) {
             known.is_own = true;
             return false;
         }
-        suspect.add(UpstreamEnd {
+        suspect.add(UpstreamCrash {
             upstream: upstream.clone(),
             at_ms,
             ran_ms,
             is_cleared: false,
             is_own: true,
-            tellings: TELLINGS,
-            tells_hubs: true,
+            announcements_left: ANNOUNCEMENTS,
+            announces_to_hubs: true,
         });
         true
     }
@@ -119,40 +119,40 @@
     /// Takes in what another daemon told; `passes_on` says whether this one tells other
     /// hubs (true), only those that report to it (false), or nobody. Returns whether it is
     /// news.
-    pub fn hear(&mut self, told: &KnownEnd, passes_on: Option<bool>, now_ms: u64) -> bool {
+    pub fn apply(&mut self, told: &KnownCrash, passes_on: Option<bool>, now_ms: u64) -> bool {
         let at_ms = now_ms.saturating_sub(told.age_ms);
         if now_ms >= at_ms + self.kept_ms() {
             return false;
         }
-        let tellings = passes_on.map_or(0, |_| TELLINGS);
-        let tells_hubs = passes_on == Some(true);
+        let announcements_left = passes_on.map_or(0, |_| ANNOUNCEMENTS);
+        let announces_to_hubs = passes_on == Some(true);
         let suspect = self.suspect(told.fingerprint);
-        let is_same = |end: &&mut UpstreamEnd| end.is_same(&told.upstream, at_ms, TOLD_APART_MS);
+        let is_same = |end: &&mut UpstreamCrash| end.is_same(&told.upstream, at_ms, TOLD_APART_MS);
         if let Some(known) = suspect.ends.iter_mut().find(is_same) {
-            let is_news = told.is_cleared && !known.is_cleared;
-            if is_news {
+            let is_change = told.is_cleared && !known.is_cleared;
+            if is_change {
                 known.is_cleared = true;
-                known.tellings = tellings;
-                known.tells_hubs = tells_hubs;
+                known.announcements_left = announcements_left;
+                known.announces_to_hubs = announces_to_hubs;
             }
-            return is_news;
+            return is_change;
         }
-        suspect.add(UpstreamEnd {
+        suspect.add(UpstreamCrash {
             upstream: told.upstream.clone(),
             at_ms,
             ran_ms: told.ran_ms,
             is_cleared: told.is_cleared,
             is_own: false,
-            tellings,
-            tells_hubs,
+            announcements_left,
+            announces_to_hubs,
         });
         true
     }
 
     /// Notes that a request was answered whole; returns whether that is news.
-    pub fn note_whole(&mut self, fingerprint: RequestFingerprint) -> bool {
+    pub fn record_complete(&mut self, fingerprint: RequestFingerprint) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
-        suspect.is_some_and(|suspect| suspect.clear(TELLINGS))
+        suspect.is_some_and(|suspect| suspect.clear(ANNOUNCEMENTS))
     }
 
     /// Returns whether more than one upstream ended under a request that it may have ended:
@@ -176,7 +176,7 @@
         if count < self.bounds.ends {
             return false;
         }
-        let others = |end: &UpstreamEnd| self.others_at(end, fingerprint);
+        let others = |end: &UpstreamCrash| self.others_at(end, fingerprint);
         let own = suspect.open_ends().filter(|end| others(end) < count);
         if in_turn(own) >= self.bounds.ends {
             return true;
@@ -186,7 +186,7 @@
     }
 
     /// Returns under how many ends any other request was that was there at one.
-    fn others_at(&self, end: &UpstreamEnd, but: RequestFingerprint) -> usize {
+    fn others_at(&self, end: &UpstreamCrash, but: RequestFingerprint) -> usize {
         let others = self.suspects.iter().filter(|(other, _)| **other != but);
         let there = others.filter(|(_, suspect)| {
             let mut open = suspect.open_ends();
@@ -204,26 +204,30 @@
 
     /// Returns what to tell next, at most some ends: first of requests under which most
     /// upstreams ended.
-    pub fn to_tell(&mut self, most: usize, now_ms: u64) -> EndsToTell {
+    pub fn to_announce(&mut self, most: usize, now_ms: u64) -> CrashesToAnnounce {
         let mut due: Vec<(usize, u64, RequestFingerprint)> = self
             .suspects
             .iter()
-            .filter(|(_, suspect)| suspect.ends.iter().any(|end| end.tellings > 0))
+            .filter(|(_, suspect)| suspect.ends.iter().any(|end| end.announcements_left > 0))
             .map(|(fingerprint, suspect)| (suspect.count(), suspect.last_ms(), *fingerprint))
             .collect();
         due.sort_unstable_by(|a, b| b.cmp(a));
-        let mut told = EndsToTell::default();
+        let mut told = CrashesToAnnounce::default();
         for (.., fingerprint) in due {
             let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
                 continue;
             };
-            for end in suspect.ends.iter_mut().filter(|end| end.tellings > 0) {
+            for end in suspect
+                .ends
+                .iter_mut()
+                .filter(|end| end.announcements_left > 0)
+            {
                 if told.members.len() >= most {
                     return told;
                 }
-                end.tellings -= 1;
+                end.announcements_left -= 1;
                 let known = known_end(fingerprint, end, now_ms);
-                if end.tells_hubs {
+                if end.announces_to_hubs {
                     told.hubs.push(known.clone());
                 }
                 told.members.push(known);
@@ -234,7 +238,7 @@
 
     /// Returns the ends under requests that are held back, whether told before or not, at
     /// most some: the last ones first.
-    pub fn held_ends(&self, most: usize, now_ms: u64) -> Vec<KnownEnd> {
+    pub fn held_ends(&self, most: usize, now_ms: u64) -> Vec<KnownCrash> {
         let mut held = self.held(now_ms);
         held.sort_unstable_by_key(|f| std::cmp::Reverse(self.suspects[f].last_ms()));
         let ends = held.into_iter().flat_map(|fingerprint| {
@@ -256,8 +260,8 @@
         let due = self.suspects.iter().filter(|(_, suspect)| {
             let known = suspect.open_ends().count();
             let is_own = suspect.ends.iter().any(|end| end.is_own);
-            let is_news = is_own && suspect.count() >= least && known > suspect.written;
-            is_news || known == 0 && suspect.written > 0
+            let is_change = is_own && suspect.count() >= least && known > suspect.written;
+            is_change || known == 0 && suspect.written > 0
         });
         let mut due: Vec<_> = due.collect();
         due.sort_unstable_by_key(|(_, suspect)| std::cmp::Reverse(suspect.count()));
@@ -272,14 +276,14 @@
     }
 
     /// Notes what was written down.
-    pub fn note_written(&mut self, record: &SuspectRecord) {
+    pub fn record_written(&mut self, record: &SuspectRecord) {
         if let Some(suspect) = self.suspects.get_mut(&record.fingerprint) {
             suspect.written = record.ends.len();
         }
     }
 
     /// Takes in that what was written down of a request is nothing to go by any more.
-    pub fn hear_cleared(&mut self, fingerprint: RequestFingerprint) {
+    pub fn apply_cleared(&mut self, fingerprint: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.clear(0);
         }
@@ -317,8 +321,8 @@
     }
 }
 
-fn known_end(fingerprint: RequestFingerprint, end: &UpstreamEnd, now_ms: u64) -> KnownEnd {
-    KnownEnd {
+fn known_end(fingerprint: RequestFingerprint, end: &UpstreamCrash, now_ms: u64) -> KnownCrash {
+    KnownCrash {
         fingerprint,
         upstream: end.upstream.clone(),
         age_ms: now_ms.saturating_sub(end.at_ms),
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -54,7 +54,7 @@
     /// The weight with which it asks for a part of the rate.
     pub weight: f64,
     /// When it was heard last.
-    pub heard_ms: u64,
+    pub last_seen_ms: u64,
     /// Whether its notice is late: it may be cut off.
     pub late: bool,
     /// Whether it has been silent for too long since.
@@ -96,7 +96,7 @@
     /// When this account was opened.
     opened_ms: u64,
     /// Whether an older daemon has told what is left.
-    is_told: bool,
+    is_announced: bool,
     /// Whether a request waits for the next notice.
     is_turn_awaited: bool,
 }
@@ -122,7 +122,7 @@
             all_heard: false,
             own_slack: 0.0,
             opened_ms: now_ms,
-            is_told: false,
+            is_announced: false,
             is_turn_awaited: false,
         }
     }
@@ -139,15 +139,15 @@
             return;
         }
         let told = told - self.admitted;
-        self.level = match self.is_told {
+        self.level = match self.is_announced {
             true => self.level.min(told),
             false => told,
         };
-        self.is_told = true;
+        self.is_announced = true;
     }
 
     /// Takes out what was let in elsewhere and is this daemon's to count.
-    pub fn note_admitted(&mut self, units: f64) {
+    pub fn record_admitted(&mut self, units: f64) {
         self.level -= units;
         self.admitted += units;
     }
@@ -164,7 +164,7 @@
     }
 
     /// Returns whether others should hear now of what was let in.
-    pub fn should_tell(&self, burst: f64) -> bool {
+    pub fn should_announce(&self, burst: f64) -> bool {
         let is_low = self.level < burst * LOW_LEVEL;
         self.is_turn_awaited || (is_low && self.since_tick > burst * UNHEARD_BURST)
     }
@@ -173,7 +173,7 @@
     /// gives back what was charged for it beyond that while it was silent.
     /// `is_younger` says that it has not run for longer than this one: all that
     /// it let in was let in meanwhile.
-    pub fn hear(&mut self, node: &str, incarnation: u64, total: f64, is_younger: bool) {
+    pub fn apply(&mut self, node: &str, incarnation: u64, total: f64, is_younger: bool) {
         let first = !self.others.contains_key(node);
         let other = self.others.entry(node.to_string()).or_default();
         let news = match other.incarnation == incarnation {
@@ -235,7 +235,7 @@
                 let left = self.level.max(0.0) * part;
                 self.level -= left;
                 other.charged += left;
-                silent.heard_ms
+                silent.last_seen_ms
             }
         };
         let used = rate * part * now_ms.saturating_sub(from_ms) as f64 / 1_000.0;
@@ -275,7 +275,7 @@
         let missing = needed - self.level;
         if missing <= 0.0 {
             self.is_turn_awaited = true;
-            return Err(QuotaWait::OutOfTurn);
+            return Err(QuotaWait::NotYetDue);
         }
         let wait_s = missing / (limit.rate * (1.0 - self.unknown_part)).max(1.0);
         let wait_ms = (wait_s * 1_000.0).min(MAX_WAIT_MS) as u64 + 1;
@@ -290,7 +290,7 @@
     }
 
     /// Notes what a request asks for, once, whether it is let in or not.
-    pub fn note_demand(&mut self, cost: f64, now_ms: u64) {
+    pub fn record_demand(&mut self, cost: f64, now_ms: u64) {
         self.demand = self.demand(now_ms) + cost * 1_000.0 / DEMAND_WINDOW_MS;
         self.demand_ms = now_ms;
     }
--- a/src/policy/sources/source_silence.rs
+++ b/src/policy/sources/source_health.rs
@@ -6,25 +6,25 @@
 /// Whether a shared source answers, as seen by all calls of a daemon to it. Times are
 /// milliseconds of the daemon's steady clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SourceSilence {
+pub struct SourceHealth {
     silent_since_ms: Option<u64>,
     last_call_ms: u64,
     returns: u64,
 }
 
-impl SourceSilence {
+impl SourceHealth {
     /// Notes that a call begins.
-    pub fn note_call(&mut self, now_ms: u64) {
+    pub fn record_call(&mut self, now_ms: u64) {
         self.last_call_ms = now_ms;
     }
 
     /// Notes that a call that began at `began_ms` got no answer.
-    pub fn note_failure(&mut self, began_ms: u64) {
+    pub fn record_failure(&mut self, began_ms: u64) {
         self.silent_since_ms.get_or_insert(began_ms);
     }
 
     /// Notes that a call was answered; returns for how many milliseconds none had been.
-    pub fn note_answer(&mut self, now_ms: u64) -> Option<u64> {
+    pub fn record_answer(&mut self, now_ms: u64) -> Option<u64> {
         let since_ms = self.silent_since_ms.take()?;
         self.returns += 1;
         Some(now_ms.saturating_sub(since_ms))
--- a/src/rollouts/judge.rs
+++ b/src/rollouts/evaluator.rs
@@ -19,9 +19,9 @@
 /// How many, to get more than its first small share.
 const FIRST_ANSWERS: u64 = 60;
 
-/// What is known of a new version.
+/// The assessment of a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum Assessment {
     /// Too little.
     Unknown,
     /// Something speaks against it, but not enough.
@@ -39,37 +39,37 @@
 /// Judges a new version by its answers, over all routes and for each of them: one may be
 /// bad on one route only.
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
+pub struct VersionEvaluator {
     all: Evidence,
     routes: HashMap<u32, Evidence>,
 }
 
-impl Judge {
+impl VersionEvaluator {
     /// Takes in the answers of a moment, by route.
-    pub fn note(&mut self, batch: &[(u32, VersionCounts)]) {
+    pub fn record(&mut self, batch: &[(u32, VersionCounts)]) {
         let mut sum = VersionCounts::default();
         for (route, counts) in batch {
             sum.add(*counts);
-            self.routes.entry(*route).or_default().note(*counts);
+            self.routes.entry(*route).or_default().record(*counts);
         }
-        self.all.note(sum);
+        self.all.record(sum);
     }
 
     /// Returns what is known.
-    pub fn judgement(&self) -> Judgement {
+    pub fn assessment(&self) -> Assessment {
         if self.worst().log_ratio() >= LOG_ALPHA {
-            return Judgement::Bad;
+            return Assessment::Bad;
         }
         if self.worst().log_ratio() >= LOG_STRONG_SUSPICION {
-            return Judgement::StronglySuspected;
+            return Assessment::StronglySuspected;
         }
         if self.worst().log_ratio() >= LOG_SUSPICION {
-            return Judgement::Suspected;
+            return Assessment::Suspected;
         }
         match self.all.answers {
-            n if n >= PROVED_ANSWERS => Judgement::Good,
-            n if n >= FIRST_ANSWERS => Judgement::SoFarGood,
-            _ => Judgement::Unknown,
+            n if n >= PROVED_ANSWERS => Assessment::Good,
+            n if n >= FIRST_ANSWERS => Assessment::SoFarGood,
+            _ => Assessment::Unknown,
         }
     }
 
--- a/src/upstreams/directory_news.rs
+++ b/src/upstreams/directory_update.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ToldDirectory, Upstream},
+    super::{DirectoryCursor, Upstream},
     crate::names::UpstreamId,
     serde::{Deserialize, Serialize},
 };
@@ -17,13 +17,13 @@
 /// What a daemon tells one that follows it. That an upstream still lives is no news: the
 /// follower keeps what it was told until it is told otherwise.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DirectoryNews {
+pub struct DirectoryUpdate {
     /// What is told with this.
-    pub told: ToldDirectory,
+    pub cursor: DirectoryCursor,
     /// Whether these are all upstreams that there are, or only those that changed.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Upstreams as they are now.
     pub upstreams: Vec<PresentUpstream>,
     /// Upstreams that are gone.
-    pub gone: Vec<UpstreamId>,
+    pub removed_ids: Vec<UpstreamId>,
 }
--- a/src/upstreams/newest_lives.rs
+++ b/src/upstreams/newest_incarnations.rs
@@ -1,12 +1,12 @@
 use {crate::names::UpstreamId, std::collections::HashMap};
 
-/// The newest life of each upstream that was heard of, also of those that are gone.
+/// The newest known incarnation of each upstream, also of removed ones.
 #[derive(Clone, Debug, Default)]
-pub struct NewestLives {
+pub struct NewestIncarnations {
     by_upstream: HashMap<Box<str>, UpstreamId>,
 }
 
-impl NewestLives {
+impl NewestIncarnations {
     /// Returns an upstream's newest life.
     pub fn get(&self, upstream: &str) -> Option<&UpstreamId> {
         self.by_upstream.get(upstream)
@@ -19,7 +19,7 @@
     }
 
     /// Notes a life; returns the one before if it was another.
-    pub fn note(&mut self, id: &UpstreamId) -> Option<UpstreamId> {
+    pub fn record(&mut self, id: &UpstreamId) -> Option<UpstreamId> {
         let before = self.by_upstream.insert(id.upstream().into(), id.clone());
         before.filter(|before| before != id)
     }
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        DirectoryChanges, DirectoryNews, DirectoryNotes, NewestLives, PresentUpstream,
-        ReadyUpstreams, ToldDirectory, Upstream, followed_view::FollowedView,
-        gone_upstreams::GoneUpstreams, revision_index::RevisionIndex,
+        DirectoryChanges, DirectoryCursor, DirectoryNotes, DirectoryUpdate, NewestIncarnations,
+        PresentUpstream, ReadyUpstreams, Upstream, followed_view::FollowedView,
+        removed_upstreams::RemovedUpstreams, revision_index::RevisionIndex,
     },
     crate::names::{ServiceName, UpstreamId},
     parking_lot::Mutex,
@@ -34,7 +34,7 @@
 pub struct UpstreamDirectory {
     by_service: HashMap<ServiceName, BTreeMap<UpstreamId, Arc<Upstream>>>,
     service_of: HashMap<UpstreamId, ServiceName>,
-    lives: NewestLives,
+    lives: NewestIncarnations,
     /// Before this offset of the source everything is taken in.
     position: u64,
     /// Before this offset it is known of each upstream where its last word stands, also of
@@ -49,7 +49,7 @@
     /// Of such a source, the upstreams whose answers said that they leave: nothing else
     /// tells that one is another life.
     left: HashSet<UpstreamId>,
-    gone: GoneUpstreams,
+    removed_ids: RemovedUpstreams,
     /// With which revision each changed last.
     changed: RevisionIndex,
     /// Entries that went while their source was away, with until when they may
@@ -78,7 +78,7 @@
     /// a change, which those have to be told that heard it go.
     fn take_in_one(&mut self, mut upstream: Upstream, since: u64) -> bool {
         let id = upstream.id.clone();
-        if self.gone.had_left(&id) || self.lives.is_over(&id) {
+        if self.removed_ids.had_left(&id) || self.lives.is_over(&id) {
             return false;
         }
         let known = self.get(&id).cloned();
@@ -87,8 +87,8 @@
             Some(known) if upstream.offset < known.offset && !upstream.draining => return false,
             _ => {}
         }
-        self.gone.forget(&id);
-        if let Some(before) = self.lives.note(&id) {
+        self.removed_ids.forget(&id);
+        if let Some(before) = self.lives.record(&id) {
             self.forget(&before);
         }
         let leaves = upstream.draining && known.as_ref().is_none_or(|known| !known.draining);
@@ -129,9 +129,9 @@
     /// Takes in that an upstream itself says that it leaves; returns whether that was not
     /// known. Its entry may say otherwise for as long as it stands there: the source may be
     /// away, or may not have taken the word.
-    pub fn note_leaving(&mut self, id: &UpstreamId) -> bool {
+    pub fn mark_leaving(&mut self, id: &UpstreamId) -> bool {
         let Some(known) = self.get(id).cloned() else {
-            self.gone.note_left(id);
+            self.removed_ids.record_left(id);
             return false;
         };
         if self.has_own_source {
@@ -151,7 +151,7 @@
 
     /// Takes in that an upstream has ended that had said that it leaves, where only the
     /// daemon's own source tells of upstreams: what is there next is another life.
-    pub fn note_ended(&mut self, id: &UpstreamId) {
+    pub fn mark_ended(&mut self, id: &UpstreamId) {
         if !self.left.remove(id) {
             return;
         }
@@ -173,7 +173,7 @@
 
     fn note_changed(&mut self, id: &UpstreamId) {
         self.revision += 1;
-        self.changed.note(id, self.revision);
+        self.changed.record(id, self.revision);
     }
 
     /// Returns what was learned since this was last called.
@@ -225,12 +225,12 @@
         let Some(upstream) = removed else {
             return;
         };
-        self.notes.gone.push((id.clone(), upstream.offset));
+        self.notes.removed_ids.push((id.clone(), upstream.offset));
         // What a file lists again is there again.
         let left_for_good = upstream.draining && !self.has_own_source;
-        self.gone.note(id, left_for_good, self.revision);
+        self.removed_ids.record(id, left_for_good, self.revision);
         let most = MIN_GONE.max(GONE_PER_KNOWN * self.service_of.len());
-        for forgotten in self.gone.forget_first(most) {
+        for forgotten in self.removed_ids.forget_first(most) {
             self.lives.forget(&forgotten);
         }
     }
@@ -309,35 +309,35 @@
 
     /// Returns what has changed since it was told last; everything, if that can't be
     /// told one by one.
-    pub fn news_since(&self, last: Option<ToldDirectory>) -> DirectoryNews {
-        let (upstreams, gone) = match last.filter(|_| !self.is_told_whole(last)) {
+    pub fn update_since(&self, last: Option<DirectoryCursor>) -> DirectoryUpdate {
+        let (upstreams, removed_ids) = match last.filter(|_| !self.sends_full(last)) {
             None => (self.all().map(|u| self.present(u)).collect(), Vec::new()),
             Some(last) => {
                 let changed = self.changed.since(last.revision);
                 let changed = changed.filter_map(|id| self.get(id));
-                let gone = self.gone.since(last.revision);
+                let removed_ids = self.removed_ids.since(last.revision);
                 (
                     changed.map(|u| self.present(u)).collect(),
-                    gone.cloned().collect(),
+                    removed_ids.cloned().collect(),
                 )
             }
         };
-        DirectoryNews {
-            told: self.told(),
-            is_whole: self.is_told_whole(last),
+        DirectoryUpdate {
+            cursor: self.cursor(),
+            is_complete: self.sends_full(last),
             upstreams,
-            gone,
+            removed_ids,
         }
     }
 
     /// Returns whether what has changed since it was told last can't be told one by one.
-    pub fn is_told_whole(&self, last: Option<ToldDirectory>) -> bool {
+    pub fn sends_full(&self, last: Option<DirectoryCursor>) -> bool {
         !last.is_some_and(|t| t.position > 0 && self.has_all_since(t.revision))
     }
 
     /// Returns what is told with the news of this moment.
-    pub fn told(&self) -> ToldDirectory {
-        ToldDirectory {
+    pub fn cursor(&self) -> DirectoryCursor {
+        DirectoryCursor {
             revision: self.revision,
             position: self.position,
         }
@@ -345,8 +345,8 @@
 
     /// Takes in news of the daemon that is followed, as of its position. What is known from
     /// elsewhere and should have been told by then is gone, too.
-    pub fn apply_news(&mut self, news: DirectoryNews) {
-        let position = news.told.position;
+    pub fn apply_update(&mut self, news: DirectoryUpdate) {
+        let position = news.cursor.position;
         if position == 0 {
             let told = news.upstreams.into_iter();
             return self.take_unshared(told.map(|present| present.upstream).collect());
@@ -355,7 +355,7 @@
         for present in news.upstreams {
             self.take_in_one(present.upstream, present.since);
         }
-        let elsewhere = self.followed.known_elsewhere();
+        let elsewhere = self.followed.known_from_others();
         let lacked = elsewhere.filter(|id| self.get(id).is_some_and(|u| u.offset < position));
         for id in lacked.cloned().collect::<Vec<_>>() {
             self.forget(&id);
@@ -364,40 +364,40 @@
     }
 
     fn has_all_since(&self, revision: u64) -> bool {
-        revision <= self.revision && self.gone.has_all_since(revision)
+        revision <= self.revision && self.removed_ids.has_all_since(revision)
     }
 
     /// Returns the same for a daemon of a build that goes by offsets: it is told of each
     /// word of an upstream, and takes those that it knows of and isn't told of for gone.
-    pub fn changes_since(&self, last: Option<ToldDirectory>) -> DirectoryChanges {
+    pub fn changes_since(&self, last: Option<DirectoryCursor>) -> DirectoryChanges {
         // Where words were passed over that only said that an upstream lives, it would take
         // live ones for gone.
         let can_tell =
-            |t: &ToldDirectory| self.has_all_since(t.revision) && self.exact_to >= t.position;
+            |t: &DirectoryCursor| self.has_all_since(t.revision) && self.exact_to >= t.position;
         let last = last.filter(can_tell).unwrap_or_default();
-        let is_whole = last.position == 0;
-        let position = match is_whole {
+        let is_complete = last.position == 0;
+        let position = match is_complete {
             true => self.position,
             false => self.exact_to,
         };
-        let is_news = |upstream: &&Arc<Upstream>| {
-            is_whole
+        let is_change = |upstream: &&Arc<Upstream>| {
+            is_complete
                 || upstream.offset >= last.position
                 || self.changed.is_since(&upstream.id, last.revision)
         };
-        let gone = (!is_whole).then(|| self.gone.since(last.revision));
+        let removed_ids = (!is_complete).then(|| self.removed_ids.since(last.revision));
         DirectoryChanges {
-            told: ToldDirectory {
+            cursor: DirectoryCursor {
                 revision: self.revision,
                 position,
             },
             all_since: last.position,
             upstreams: self
                 .all()
-                .filter(is_news)
+                .filter(is_change)
                 .map(|u| self.at_position(u, position))
                 .collect(),
-            gone: gone.into_iter().flatten().cloned().collect(),
+            removed_ids: removed_ids.into_iter().flatten().cloned().collect(),
         }
     }
 
@@ -416,15 +416,16 @@
     /// taken in of that daemon before: what it passed over since, by a listing, it can't
     /// name as gone, so what it doesn't have of that part of the source is gone, too.
     pub fn apply(&mut self, changes: DirectoryChanges) {
-        let position = changes.told.position;
+        let position = changes.cursor.position;
         if position == 0 {
             return self.take_unshared(changes.upstreams);
         }
         let lacked = self.lacked_by(&changes.upstreams).into_iter();
-        let is_told = |id: &UpstreamId| self.get(id).is_some_and(|u| u.offset >= changes.all_since);
-        let mut gone: Vec<UpstreamId> = lacked.filter(is_told).collect();
-        gone.extend(changes.gone);
-        for id in gone {
+        let is_announced =
+            |id: &UpstreamId| self.get(id).is_some_and(|u| u.offset >= changes.all_since);
+        let mut removed_ids: Vec<UpstreamId> = lacked.filter(is_announced).collect();
+        removed_ids.extend(changes.removed_ids);
+        for id in removed_ids {
             let is_older = self.get(&id).is_some_and(|known| known.offset < position);
             if is_older {
                 self.forget(&id);
--- a/tests/decisions/cluster_support.rs
+++ b/tests/decisions/cluster_support.rs
@@ -1,7 +1,7 @@
 //! Daemons of the routed path as others hear of them.
 
 use {
-    saddlepulley::cluster::{DaemonEntry, Digest, LoadsPart, ToldAccount, ToldLoad},
+    saddlepulley::cluster::{AnnouncedAccount, AnnouncedLoad, DaemonEntry, Digest, LoadsPart},
     std::net::SocketAddr,
 };
 
@@ -29,8 +29,8 @@
 }
 
 /// What is told of an account.
-pub fn told_account(account: usize) -> ToldAccount {
-    ToldAccount {
+pub fn told_account(account: usize) -> AnnouncedAccount {
+    AnnouncedAccount {
         name: format!("tenant-{account}"),
         weight: 1e5,
         admitted: 1e9,
@@ -41,14 +41,14 @@
 
 /// A part of what a daemon has at upstreams, all of them alike.
 pub fn loads_part(sequence: u64, part: u32, parts: u32, upstreams: &[&str]) -> LoadsPart {
-    let loads = upstreams.iter().map(|id| ToldLoad {
+    let loads = upstreams.iter().map(|id| AnnouncedLoad {
         upstream: (*id).into(),
         active: 30,
         waiting_tokens: 500,
     });
     LoadsPart {
         name: "n".into(),
-        life: 1,
+        incarnation: 1,
         sequence,
         part,
         parts,
--- a/tests/decisions/config_spread.rs
+++ b/tests/decisions/config_spread.rs
@@ -3,7 +3,7 @@
 use saddlepulley::{
     cluster::{DaemonEntry, Digest, PeerTable},
     names::ServiceName,
-    policy::ConfigLack,
+    policy::MissingConfig,
     routing::*,
 };
 
@@ -45,7 +45,7 @@
     let tables = ["a", "c"].map(|domain| {
         let mut table = table_in(domain);
         for (name, domain, port, version) in DAEMONS {
-            table.hear_digest(digest(name, domain, port, version), 0);
+            table.apply_digest(digest(name, domain, port, version), 0);
         }
         table
     });
@@ -58,25 +58,25 @@
 #[test]
 fn a_daemon_that_fell_silent_is_not_asked() {
     let mut table = table_in("a");
-    table.hear_digest(digest("n1", "a", 1, 8), 0);
-    table.hear_digest(digest("n2", "a", 2, 8), 2_000);
+    table.apply_digest(digest("n1", "a", 1, 8), 0);
+    table.apply_digest(digest("n2", "a", 2, 8), 2_000);
     table.tick(1, 2_000);
     assert_eq!(ports(&table, 7), [2]);
 }
 
 #[test]
 fn one_that_follows_others_asks_daemons_at_once_and_the_source_when_none_answers() {
-    let lack = ConfigLack::new(10_000);
-    assert!(lack.asks_daemons(false, 10_000));
+    let lack = MissingConfig::new(10_000);
+    assert!(lack.queries_daemons(false, 10_000));
     assert!(!lack.needs_source(10_500));
     assert!(lack.needs_source(11_000));
 }
 
 #[test]
 fn the_source_is_left_alone_for_as_long_as_daemons_say_that_they_tell_others_first() {
-    let mut lack = ConfigLack::new(10_000);
+    let mut lack = MissingConfig::new(10_000);
     for at_ms in (10_000..20_000).step_by(400) {
-        lack.note_deferred(at_ms);
+        lack.record_deferred(at_ms);
         assert!(!lack.needs_source(at_ms + 400));
     }
     assert!(lack.needs_source(21_000), "the last of them are gone");
@@ -84,20 +84,20 @@
 
 #[test]
 fn one_that_reads_the_source_asks_daemons_only_if_its_own_read_takes_long() {
-    let lack = ConfigLack::new(10_000);
-    assert!(!lack.asks_daemons(true, 10_700));
-    assert!(lack.asks_daemons(true, 10_800));
+    let lack = MissingConfig::new(10_000);
+    assert!(!lack.queries_daemons(true, 10_700));
+    assert!(lack.queries_daemons(true, 10_800));
 }
 
 #[test]
 fn one_that_is_named_by_a_daemon_that_is_busy_may_be_asked_at_once() {
     let mut table = table_in("a");
-    table.hear_digest(digest("n1", "a", 1, 8), 0);
-    table.hear_digest(digest("n2", "a", 2, 7), 0);
-    table.hear_config(([10, 0, 0, 1], 2).into(), 8);
+    table.apply_digest(digest("n1", "a", 1, 8), 0);
+    table.apply_digest(digest("n2", "a", 2, 7), 0);
+    table.apply_peer_config(([10, 0, 0, 1], 2).into(), 8);
     assert_eq!(ports(&table, 7), [1, 2]);
     // Also one that doesn't talk to this daemon.
-    table.hear_config(([10, 0, 0, 1], 9).into(), 8);
+    table.apply_peer_config(([10, 0, 0, 1], 9).into(), 8);
     assert_eq!(ports(&table, 7), [1, 2, 9]);
 }
 
--- a/tests/decisions/rollout_duty.rs
+++ b/tests/decisions/rollout_duty.rs
@@ -23,12 +23,12 @@
 
 #[async_trait]
 impl StatusBoard for Board {
-    async fn take_over(&self, fence: u64) -> Result<(), BorderError> {
+    async fn take_over(&self, fence: u64) -> Result<(), BackendError> {
         self.calls.lock().push(format!("take over {fence}"));
         Ok(())
     }
 
-    async fn read(&self) -> Result<Vec<Rollout>, BorderError> {
+    async fn read(&self) -> Result<Vec<Rollout>, BackendError> {
         self.calls.lock().push("read".into());
         Ok(Vec::new())
     }
@@ -38,15 +38,15 @@
         rollout: &Rollout,
         fence: u64,
         number: u64,
-    ) -> Result<WriteEnd, BorderError> {
+    ) -> Result<WriteOutcome, BackendError> {
         self.calls.lock().push(format!("write {number}"));
         let wants = self.wants.lock().take();
         if let Some(wanted) = wants.filter(|wanted| *wanted != number) {
-            return Ok(WriteEnd::Renumber(wanted));
+            return Ok(WriteOutcome::Renumber(wanted));
         }
         let taken = (fence, number, rollout.state);
         self.written.lock().push(taken);
-        Ok(WriteEnd::Taken)
+        Ok(WriteOutcome::Taken)
     }
 }
 
@@ -66,7 +66,7 @@
 fn gateway() -> Gateway {
     let settings = GatewaySettings::parse("settings", SETTINGS).unwrap();
     let gateway = Gateway::new(settings, HeaderNames::default(), 7);
-    gateway.hear_rollout_order(&RolloutOrder {
+    gateway.apply_rollout_order(&RolloutOrder {
         service: "s".into(),
         target: "v2".into(),
         deadline_s: 30.0,
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -257,7 +257,7 @@
 fn a_upstream_that_fails_requests_gets_fewer() {
     let mut load = UpstreamLoad::default();
     for _ in 0..10 {
-        load.note_outcome(true, 100);
+        load.record_outcome(true, 100);
     }
     assert!(load.failure_rate(100) > 0.8);
     assert!(load.failure_rate(20_000) < 0.05, "it gets another chance");
@@ -271,7 +271,7 @@
 #[test]
 fn an_unreachable_upstream_is_left_alone_and_then_gets_one_request_at_a_time() {
     let mut load = UpstreamLoad::default();
-    load.note_unreachable(1_000);
+    load.record_unreachable(1_000);
     assert!(load.is_avoided(1_100));
     assert!(!load.is_avoided(1_500));
     load.active = 1;
@@ -309,9 +309,9 @@
         let kept = caches.kept_parts(parts, now_ms);
         kept.get(&UpstreamId::from(upstream)).copied()
     };
-    caches.note(&UpstreamId::from("u1"), [first].into_iter(), 0);
-    caches.note(&UpstreamId::from("u2"), [second].into_iter(), 0);
-    caches.note(&UpstreamId::from("u3"), [first, second].into_iter(), 0);
+    caches.record(&UpstreamId::from("u1"), [first].into_iter(), 0);
+    caches.record(&UpstreamId::from("u2"), [second].into_iter(), 0);
+    caches.record(&UpstreamId::from("u3"), [first, second].into_iter(), 0);
     assert_eq!(kept(&caches, "u1", 10), Some(1));
     assert_eq!(
         kept(&caches, "u2", 10),
@@ -333,7 +333,7 @@
     fn only_whole_events_pass(cuts in proptest::collection::vec(0..EVENTS.len(), 0..8)) {
         let mut cuts = cuts;
         cuts.sort_unstable();
-        let mut border = EventBorder::default();
+        let mut border = EventSplitter::default();
         let mut passed = Vec::new();
         let mut from = 0;
         for cut in cuts.into_iter().chain([EVENTS.len()]) {
@@ -350,7 +350,7 @@
 
 #[test]
 fn events_tell_their_first_and_last_ids() {
-    let mut border = EventBorder::default();
+    let mut border = EventSplitter::default();
     let run = border.push(EVENTS).unwrap();
     assert_eq!((run.first_id, run.last_id), (Some(1), Some(3)));
     assert!(border.push(b"id: 4\ndata").is_none());
@@ -371,15 +371,15 @@
     let domain = FailureDomain::from("far");
     let id = |n: u32| UpstreamId::from(n.to_string().as_str());
     for _ in 0..5 {
-        reach.note_unreachable(&domain, &id(0), 100);
+        reach.record_unreachable(&domain, &id(0), 100);
     }
     assert!(!reach.is_avoided(&domain, 100), "one upstream may be dead");
-    reach.note_unreachable(&domain, &id(1), 200);
-    reach.note_unreachable(&domain, &id(2), 300);
+    reach.record_unreachable(&domain, &id(1), 200);
+    reach.record_unreachable(&domain, &id(2), 300);
     assert!(reach.is_avoided(&domain, 400));
     assert!(!reach.is_avoided(&domain, 900), "tried again");
-    reach.note_unreachable(&domain, &id(3), 900);
+    reach.record_unreachable(&domain, &id(3), 900);
     assert!(reach.is_avoided(&domain, 1_700), "for longer now");
-    reach.note_reached(&domain);
+    reach.record_reached(&domain);
     assert!(!reach.is_avoided(&domain, 1_700));
 }
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -3,7 +3,7 @@
 use {
     crate::cluster_support::address,
     saddlepulley::{
-        cluster::{UsageHeard, UsagePart, UsageTeller},
+        cluster::{UsageAck, UsageAnnouncer, UsagePart},
         names::ClientAccount,
         policy::UsageWindows,
     },
@@ -15,10 +15,10 @@
     let mut true_total = 0;
     for daemon in 0..300_usize {
         let mut own = UsageWindows::default();
-        let mut teller = UsageTeller::default();
+        let mut teller = UsageAnnouncer::default();
         for n in 0..60 {
             let account = ClientAccount::from(format!("tenant-{}", (daemon + n) % 40).as_str());
-            own.note(7 + n as u64 % 2, &account);
+            own.record(7 + n as u64 % 2, &account);
         }
         true_total += 30;
         let name = format!("n{daemon}");
@@ -34,12 +34,12 @@
                 let counts = part.counts.iter();
                 let counts = counts.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
                 holder.merge(&name, 1, &[(part.window, counts.collect())]);
-                holder.note_whole(&name, part.whole_before, 1_000);
-                teller.hear(
+                holder.record_complete(&name, part.complete_before, 1_000);
+                teller.apply(
                     address(0),
-                    UsageHeard {
-                        holder_life: 99,
-                        life: 1,
+                    UsageAck {
+                        holder_incarnation: 99,
+                        incarnation: 1,
                         number,
                     },
                 );
@@ -48,22 +48,26 @@
     }
     let total: u64 = holder.total(7).values().sum();
     assert_eq!(total, true_total);
-    assert_eq!(holder.told_whole(8, 0), (300, true));
-    assert_eq!(holder.told_whole(9, 0), (300, false), "it is not over");
+    assert_eq!(holder.usage_complete_from(8, 0), (300, true));
+    assert_eq!(
+        holder.usage_complete_from(9, 0),
+        (300, false),
+        "it is not over"
+    );
 }
 
 #[test]
 fn a_new_holder_of_the_duties_is_told_all_again() {
     let mut own = UsageWindows::default();
-    own.note(7, &ClientAccount::from("t"));
-    let mut teller = UsageTeller::default();
-    let heard = |parts: &[UsagePart], life| UsageHeard {
-        holder_life: life,
-        life: 1,
+    own.record(7, &ClientAccount::from("t"));
+    let mut teller = UsageAnnouncer::default();
+    let heard = |parts: &[UsagePart], incarnation| UsageAck {
+        holder_incarnation: incarnation,
+        incarnation: 1,
         number: parts[0].number,
     };
     let parts = teller.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
-    teller.hear(address(0), heard(&parts, 5));
+    teller.apply(address(0), heard(&parts, 5));
     let again = teller.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
     assert!(again.is_empty(), "it has heard all: {again:?}");
     let parts = teller.parts(("n", 1), (address(1), 6), &own.newest(8), 7);
@@ -79,29 +83,33 @@
     let mut first_holder = UsageWindows::default();
     first_holder.merge("gone", 1, &[(3, counts(2)), (7, counts(5)), (8, counts(6))]);
     first_holder.merge("lives", 2, &[(8, counts(1))]);
-    first_holder.note_heard("gone", 1, 1_000);
-    first_holder.note_heard("lives", 2, 5_000);
+    first_holder.record_contact("gone", 1, 1_000);
+    first_holder.record_contact("lives", 2, 5_000);
 
     let mut second_holder = UsageWindows::default();
     // The second holder is known since 4,000: what was heard later it has heard, too.
     assert_eq!(first_holder.heard(7, 4_000).len(), 1);
     for heard in first_holder.heard(7, 6_000) {
-        let mut teller = UsageTeller::default();
-        let daemon = (heard.name.as_str(), heard.life);
+        let mut teller = UsageAnnouncer::default();
+        let daemon = (heard.name.as_str(), heard.incarnation);
         let parts = teller.parts(daemon, (address(1), 6), &heard.windows, 0);
         for part in parts {
             assert_eq!(
-                part.whole_before, 0,
+                part.complete_before, 0,
                 "only a daemon itself says what is whole"
             );
             let told = part.counts.iter();
             let told = told.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
-            second_holder.merge(&part.name, part.life, &[(part.window, told.collect())]);
-            teller.hear(
+            second_holder.merge(
+                &part.name,
+                part.incarnation,
+                &[(part.window, told.collect())],
+            );
+            teller.apply(
                 address(1),
-                UsageHeard {
-                    holder_life: 6,
-                    life: part.life,
+                UsageAck {
+                    holder_incarnation: 6,
+                    incarnation: part.incarnation,
                     number: part.number,
                 },
             );
@@ -119,17 +127,17 @@
 #[test]
 fn what_was_heard_is_not_told_again_after_many_empty_windows() {
     let mut own = UsageWindows::default();
-    own.note(7, &ClientAccount::from("t"));
-    let mut teller = UsageTeller::default();
+    own.record(7, &ClientAccount::from("t"));
+    let mut teller = UsageAnnouncer::default();
     let mut told = Vec::new();
     for window in 8..40 {
         for part in teller.parts(("n", 1), (address(0), 5), &own.newest(8), window) {
-            let heard = UsageHeard {
-                holder_life: 5,
-                life: 1,
+            let heard = UsageAck {
+                holder_incarnation: 5,
+                incarnation: 1,
                 number: part.number,
             };
-            teller.hear(address(0), heard);
+            teller.apply(address(0), heard);
             told.extend(part.counts);
         }
     }
