--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -47,14 +47,14 @@
     let hubs = gateway.other_hubs().into_iter().collect();
     let drawn = gateway.draw_some(hubs, HUBS_TOLD);
     let now_ms = gateway.steady_ms();
-    let held = gateway.crashes.lock().held_ends(MOST_TOLD, now_ms);
+    let held = gateway.crashes.lock().held_crashes(MOST_TOLD, now_ms);
     send_ends(gateway, &held, true, &drawn.into_iter().collect()).await;
 }
 
 /// Tells a daemon that reports to this one of the requests that are held back.
 pub(in crate::cluster) async fn announce_held_to(gateway: &Gateway, member: SocketAddr) {
     let now_ms = gateway.steady_ms();
-    let held = gateway.crashes.lock().held_ends(MOST_TOLD, now_ms);
+    let held = gateway.crashes.lock().held_crashes(MOST_TOLD, now_ms);
     send_ends(gateway, &held, true, &BTreeSet::from([member])).await;
 }
 
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -238,7 +238,7 @@
 
     /// Returns the ends under requests that are held back, whether told before or not, at
     /// most some: the last ones first.
-    pub fn held_ends(&self, most: usize, now_ms: u64) -> Vec<KnownCrash> {
+    pub fn held_crashes(&self, most: usize, now_ms: u64) -> Vec<KnownCrash> {
         let mut held = self.held(now_ms);
         held.sort_unstable_by_key(|f| std::cmp::Reverse(self.suspects[f].last_ms()));
         let ends = held.into_iter().flat_map(|fingerprint| {
