--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -84,12 +84,12 @@
             false => Duration::ZERO,
         };
         let until = BootInstant::now() + max_wait;
-        let start_part = 1.0 / self.daemons() as f64;
+        let start_share = 1.0 / self.daemons() as f64;
         self.quotas
             .lock()
-            .record_demand(terms, cost, start_part, self.steady_ms());
+            .record_demand(terms, cost, start_share, self.steady_ms());
         loop {
-            let Err(wait) = self.try_admit(terms, cost, start_part) else {
+            let Err(wait) = self.try_admit(terms, cost, start_share) else {
                 return Ok(());
             };
             if !self.quotas.lock().is_within_rate(terms) {
@@ -122,9 +122,9 @@
         );
     }
 
-    fn try_admit(&self, terms: &AccountTerms, cost: f64, start_part: f64) -> Result<(), QuotaWait> {
+    fn try_admit(&self, terms: &AccountTerms, cost: f64, start_share: f64) -> Result<(), QuotaWait> {
         let mut quotas = self.quotas.lock();
-        let admitted = quotas.admit(terms, cost, start_part, self.steady_ms());
+        let admitted = quotas.admit(terms, cost, start_share, self.steady_ms());
         if quotas.should_announce(terms) {
             self.announce_early.notify_one();
         }
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -42,16 +42,16 @@
         }
     }
 
-    /// Notes what a client account's request asks for; `start_part` is the part of the
+    /// Notes what a client account's request asks for; `start_share` is the part of the
     /// rate that a daemon has before it knows others.
-    pub fn record_demand(&mut self, terms: &AccountTerms, cost: f64, start_part: f64, now_ms: u64) {
+    pub fn record_demand(&mut self, terms: &AccountTerms, cost: f64, start_share: f64, now_ms: u64) {
         if terms.rate_per_s > 0.0 {
-            let account = self.account(terms, start_part, now_ms);
+            let account = self.account(terms, start_share, now_ms);
             account.record_demand(cost, now_ms);
         }
     }
 
-    /// Lets a request of a client account in; `start_part` is the part of the rate
+    /// Lets a request of a client account in; `start_share` is the part of the rate
     /// that a daemon has before it knows others.
     ///
     /// # Errors
@@ -61,14 +61,14 @@
         &mut self,
         terms: &AccountTerms,
         cost: f64,
-        start_part: f64,
+        start_share: f64,
         now_ms: u64,
     ) -> Result<(), QuotaWait> {
         if terms.rate_per_s <= 0.0 {
             return Ok(());
         }
         let limit = self.bounds.limit_of(terms);
-        let account = self.account(terms, start_part, now_ms);
+        let account = self.account(terms, start_share, now_ms);
         account.admit(cost, &limit, now_ms)
     }
 
@@ -134,8 +134,8 @@
         for terms in limited {
             let others = others.get(&terms.name).map_or(&[][..], Vec::as_slice);
             let any_late = others.iter().any(|o| o.late);
-            let start_part = 1.0 / daemons.max(1) as f64;
-            let account = self.account(terms, start_part, now_ms);
+            let start_share = 1.0 / daemons.max(1) as f64;
+            let account = self.account(terms, start_share, now_ms);
             let mut weight = account.weight(terms.rate_per_s, daemons, now_ms);
             let announced = self.announced.entry(terms.name.clone()).or_default();
             if any_late {
@@ -152,7 +152,7 @@
                 announced.pop_front();
             }
             let limit = self.bounds.limit_of(terms);
-            let account = self.account(terms, start_part, now_ms);
+            let account = self.account(terms, start_share, now_ms);
             account.tick(weight, &others, &limit, now_ms);
             notices.push(QuotaNotice {
                 account: terms.name.clone(),
@@ -183,9 +183,9 @@
         self.bounds.limit_of(account)
     }
 
-    fn account(&mut self, terms: &AccountTerms, start_part: f64, now_ms: u64) -> &mut QuotaAccount {
+    fn account(&mut self, terms: &AccountTerms, start_share: f64, now_ms: u64) -> &mut QuotaAccount {
         let limit = self.bounds.limit_of(terms);
-        let fresh = || QuotaAccount::new(start_part, &limit, now_ms);
+        let fresh = || QuotaAccount::new(start_share, &limit, now_ms);
         let accounts = &mut self.accounts;
         accounts.entry(terms.name.clone()).or_insert_with(fresh)
     }
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -154,10 +154,10 @@
             let cost = self.rng.random_range(500.0..15_000.0_f64);
             let at = self.rng.random_range(0..daemons);
             left -= cost;
-            let start_part = 1.0 / daemons as f64;
+            let start_share = 1.0 / daemons as f64;
             let at_ms = now_ms + self.rng.random_range(0..TICK_MS);
-            self.books[at].record_demand(&self.terms, cost, start_part, at_ms);
-            match self.books[at].admit(&self.terms, cost, start_part, at_ms) {
+            self.books[at].record_demand(&self.terms, cost, start_share, at_ms);
+            match self.books[at].admit(&self.terms, cost, start_share, at_ms) {
                 Ok(()) => self.admitted.push((at_ms, cost)),
                 Err(_) => self.refused += cost,
             }
