--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -31,7 +31,7 @@
 mod reclaim;
 mod repeats;
 mod report;
-mod rests;
+mod cooldowns;
 mod rollout_duty;
 mod rollouts;
 mod routed;
