--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -122,7 +122,12 @@
         );
     }
 
-    fn try_admit(&self, terms: &AccountTerms, cost: f64, start_share: f64) -> Result<(), QuotaWait> {
+    fn try_admit(
+        &self,
+        terms: &AccountTerms,
+        cost: f64,
+        start_share: f64,
+    ) -> Result<(), QuotaWait> {
         let mut quotas = self.quotas.lock();
         let admitted = quotas.admit(terms, cost, start_share, self.steady_ms());
         if quotas.should_announce(terms) {
--- a/src/policy/placement/cheapest_on_target.rs
+++ b/src/policy/placement/cheapest_on_target.rs
@@ -1,18 +1,19 @@
 use {crate::policy::*, rand::RngCore};
 
-/// A miss of the target by its whole length counts as much as this many times
-/// the price: being late is worse than being dear.
+/// Weight of a missed latency target: a miss by 100% of the target costs as much as this
+/// many seconds of the box, because a late answer is worse than an expensive one.
 const MISS_WEIGHT: f64 = 20.0;
 
-/// A recomputed token's part of the price, beside the time it takes.
+/// Cost of each token that is expected to be recomputed, in seconds of the box. It is added
+/// to the cost of the time that the request takes.
 const RECOMPUTE_PRICE_SHARE: f64 = 0.002;
 
-/// The cheapest place that is expected to meet the latency target.
+/// Chooses the cheapest upstream that is expected to meet the latency targets.
 #[derive(Clone, Copy, Debug)]
 pub struct CheapestOnTarget;
 
 impl CheapestOnTarget {
-    /// The name in the table.
+    /// The policy's name in the routing table.
     pub const NAME: &'static str = "cheapest-on-target";
 }
 
@@ -28,7 +29,7 @@
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
         let indexes = candidates(needs, upstreams);
-        lowest(&indexes, rng, |i| {
+        index_of_lowest(&indexes, rng, |i| {
             let estimate = Estimate::of(needs, &upstreams[i]);
             let price = upstreams[i].price_micros as f64;
             let late = MISS_WEIGHT * price.max(1.0) * estimate.miss(needs);
--- a/src/policy/placement/choose_upstream.rs
+++ b/src/policy/placement/choose_upstream.rs
@@ -1,36 +1,37 @@
 use {crate::policy::EngineTimes, rand::Rng};
 
-/// How much a request that runs at an upstream slows a new one's first event, as
-/// a share of the time that it takes there alone. Small: it only decides between
-/// upstreams that have as much to read.
+/// By how much each request that runs at an upstream delays the first event of a new
+/// request, as a share of the first-event time of the idle upstream. Small, so that it
+/// only decides between upstreams with the same number of tokens to read.
 const ACTIVE_SLOWDOWN: f64 = 0.03;
-/// What an upstream costs that fails every request, in latencies that the
-/// route wants: a failed request is tried again or lost.
+/// Cost of an upstream that fails every request, as a multiple of the route's target
+/// latency: a failed request has to be retried or is lost.
 const FAILURE_PENALTY: f64 = 6.0;
-/// What a send into another domain costs, in milliseconds: some ways there and
-/// back inside a region, and the price of the bytes.
+/// Cost of sending a request to another failure domain, in milliseconds: several round
+/// trips within a region, and the price of the traffic.
 const OTHER_DOMAIN_MS: f64 = 4.0;
-/// Spreads daemons that see the same figures, in milliseconds.
+/// Upper bound of the random cost added to each candidate, in milliseconds. It keeps
+/// daemons that see the same loads from all choosing the same upstream.
 const JITTER_MS: f64 = 4.0;
 
-/// An upstream that a request could be sent to.
+/// An upstream that a request may be sent to, with the loads that decide the choice.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Whether the request was sent there already: not again.
+    /// The request was already sent to this upstream; it is not chosen again.
     pub tried: bool,
-    /// Whether it should be left alone if there is another.
+    /// The upstream is chosen only if all untried candidates are to be avoided.
     pub avoided: bool,
-    /// Prompt tokens that wait there.
+    /// Prompt tokens of other requests that wait at the upstream.
     pub waiting_tokens: u64,
-    /// This request's tokens that it would have to read.
+    /// Prompt tokens of this request that the upstream has to read, since they are not cached.
     pub unread_tokens: u64,
-    /// Requests that run there.
+    /// Requests that run at the upstream.
     pub active: u32,
-    /// How many it runs at once.
+    /// Requests that the upstream runs concurrently at most.
     pub slots: u32,
-    /// The share of late requests that failed there.
+    /// Share of the recent requests that failed at the upstream, from 0 to 1.
     pub failure_rate: f64,
-    /// Whether it stands in the daemon's domain.
+    /// The upstream is in the daemon's own failure domain.
     pub same_domain: bool,
 }
 
@@ -47,8 +48,8 @@
         cost + self.slot_wait_ms(times)
     }
 
-    /// Estimates how long a request waits for a slot: a full upstream frees as
-    /// many as it has in the time that one request stays.
+    /// Estimates how long a request waits for a slot. A full upstream frees `slots` slots
+    /// in the time that one request runs.
     fn slot_wait_ms(&self, times: &EngineTimes) -> f64 {
         let slots = self.slots.max(1);
         let ahead = (self.active + 1).saturating_sub(slots);
@@ -56,40 +57,43 @@
     }
 }
 
-/// Chooses the cheapest candidate for a request that wants its first event
-/// within `target_ms`; returns its index.
+/// Returns the index of the candidate with the lowest cost for a request whose first event
+/// is due within `target_ms`, or `None` if all candidates were tried.
 pub fn choose_upstream(
     candidates: &[Candidate],
     times: &EngineTimes,
     target_ms: f64,
     rng: &mut impl Rng,
 ) -> Option<usize> {
-    let any_sound = candidates.iter().any(|c| !c.tried && !c.avoided);
+    let any_preferred = candidates.iter().any(|c| !c.tried && !c.avoided);
     let usable = candidates.iter().enumerate();
-    let usable = usable.filter(|(_, c)| !c.tried && (!c.avoided || !any_sound));
-    // One draw for all: a draw each costs as much as the rest of a choice.
-    let drawn: u64 = rng.random();
+    let usable = usable.filter(|(_, c)| !c.tried && (!c.avoided || !any_preferred));
+    // One random number serves all candidates: drawing one for each takes as long as the
+    // rest of the choice.
+    let random_bits: u64 = rng.random();
     let costs = usable.map(|(index, c)| {
-        let part = mixed(drawn ^ index as u64) as f64 / u64::MAX as f64;
-        (index, c.cost_ms(times, target_ms) + part * JITTER_MS)
+        let fraction = mix_bits(random_bits ^ index as u64) as f64 / u64::MAX as f64;
+        (index, c.cost_ms(times, target_ms) + fraction * JITTER_MS)
     });
     let cheapest = costs.min_by(|(_, a), (_, b)| a.total_cmp(b));
     cheapest.map(|(index, _)| index)
 }
 
-/// Returns the hash of a name: the same on every daemon.
+/// Returns the hash of a name. The hash is the same on every daemon.
 pub fn name_hash(name: &str) -> u64 {
     rapidhash::v3::rapidhash_v3(name.as_bytes())
 }
 
-/// Returns the rank of an upstream, by the hash of its name, for a chain of prompt parts: the one with the
-/// highest rank is the chain's home, on every daemon that knows the same ones.
+/// Returns the rendezvous-hashing rank of an upstream for a chain of prompt parts.
+/// `chain` is the hash of the chain and `upstream` the hash of the upstream's name. The
+/// upstream with the highest rank is the home of the chain; daemons that know the same
+/// upstreams agree on it.
 pub fn home_rank(chain: u64, upstream: u64) -> u64 {
-    mixed(mixed(chain) ^ upstream)
+    mix_bits(mix_bits(chain) ^ upstream)
 }
 
-/// Spreads the bits of a number evenly (the last step of SplitMix64).
-fn mixed(number: u64) -> u64 {
+/// Mixes the bits of a number (the finalizer of SplitMix64).
+fn mix_bits(number: u64) -> u64 {
     let mut z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/policy/placement/keep_work.rs
+++ b/src/policy/placement/keep_work.rs
@@ -1,18 +1,21 @@
 use {crate::policy::*, rand::RngCore};
 
-/// Tokens that a miss of the target by its whole length counts as.
+/// Weight of a missed latency target in tokens: a miss by 100% of the target counts as
+/// this many computed tokens.
 const MISS_TOKENS: f64 = 4_000.0;
 
-/// Tokens that a millionth of a currency unit counts as: price only breaks ties.
+/// Weight of the price in tokens per millionth of a currency unit. Small, so that the
+/// price only breaks ties.
 const TOKENS_PER_MICRO: f64 = 0.01;
 
-/// The place where the fewest tokens are computed again: what is cached stays
-/// in use, and long work goes where a reclaim is unlikely.
+/// Chooses the upstream where the fewest tokens have to be recomputed: it prefers
+/// upstreams that have the prompt cached, and places long requests where a reclaim is
+/// unlikely.
 #[derive(Clone, Copy, Debug)]
 pub struct KeepWork;
 
 impl KeepWork {
-    /// The name in the table.
+    /// The policy's name in the routing table.
     pub const NAME: &'static str = "keep-work";
 }
 
@@ -28,7 +31,7 @@
         rng: &mut dyn RngCore,
     ) -> Option<usize> {
         let indexes = candidates(needs, upstreams);
-        lowest(&indexes, rng, |i| {
+        index_of_lowest(&indexes, rng, |i| {
             let estimate = Estimate::of(needs, &upstreams[i]);
             uncached_tokens(needs, &upstreams[i])
                 + estimate.expected_recompute
--- a/src/policy/placement/mod.rs
+++ b/src/policy/placement/mod.rs
@@ -1,4 +1,5 @@
-//! Where a request runs: policies of the table, and the choice of an upstream by its cost.
+//! Placement of requests: the policies that the routing table names, the choice of an
+//! upstream by its estimated cost, and the choice of another failure domain.
 
 mod cheapest_on_target;
 mod choose_upstream;
--- a/src/policy/placement/naive.rs
+++ b/src/policy/placement/naive.rs
@@ -3,12 +3,13 @@
     rand::{Rng, RngCore},
 };
 
-/// The baseline: a random upstream, immediate retries, no budget.
+/// The baseline policy: a random allowed upstream, immediate retries without a budget, and
+/// no transfer of KV caches.
 #[derive(Clone, Copy, Debug)]
 pub struct NaivePlacement;
 
 impl NaivePlacement {
-    /// The name in the table.
+    /// The policy's name in the routing table.
     pub const NAME: &'static str = "naive";
 }
 
--- a/src/policy/placement/placement_policy.rs
+++ b/src/policy/placement/placement_policy.rs
@@ -5,67 +5,67 @@
     std::{collections::BTreeSet, net::SocketAddr},
 };
 
-/// The names of all placement policies, for checks of the table.
+/// The names of all placement policies. The routing table may name only these.
 pub const POLICY_NAMES: [&str; 3] = [NaivePlacement::NAME, CheapestOnTarget::NAME, KeepWork::NAME];
 
-/// What is known of an upstream when a request is placed.
+/// The state of an upstream as known when a request is placed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamView {
-    /// The box.
+    /// The box that the upstream runs on.
     pub id: BoxId,
-    /// Where it takes requests.
+    /// The address at which the upstream accepts requests.
     pub address: SocketAddr,
-    /// The price class.
+    /// The price class of the box.
     pub class: BoxClass,
     /// Price in millionths of a currency unit per second.
     pub price_micros: u64,
-    /// How many requests it decodes at once.
+    /// Requests that the upstream decodes concurrently at most.
     pub slots: u32,
-    /// Requests running, by its last report.
+    /// Running requests, according to the upstream's last report.
     pub running: u32,
-    /// Requests waiting, by its last report.
+    /// Queued requests, according to the upstream's last report.
     pub waiting: u32,
-    /// Own dispatches that the last report can't have counted yet.
+    /// Requests that this daemon dispatched too recently for the last report to count them.
     pub unreported: u32,
-    /// Own requests in flight there.
+    /// This daemon's requests in flight at the upstream.
     pub in_flight: u32,
-    /// The most own requests at once, from the adaptive limit.
+    /// Upper bound of `in_flight`, set by the adaptive concurrency limit.
     pub limit: u32,
-    /// Prompt tokens it takes in a second.
+    /// Prompt tokens that the upstream processes per second.
     pub prefill_tokens_per_s: f64,
-    /// Milliseconds between tokens with one request running.
+    /// Time between tokens while one request runs, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each further request adds to a step.
+    /// Time that each further running request adds to a decoding step, in milliseconds.
     pub step_ms_per_request: f64,
-    /// Time to reach it and back, in milliseconds.
+    /// Network round-trip time, in milliseconds.
     pub round_trip_ms: f64,
-    /// Chance of being taken back in the next second.
+    /// Hazard rate of a reclaim of the box, per second.
     pub hazard_per_s: f64,
-    /// Leading tokens of the request's prompt that it is thought to have cached.
+    /// Leading tokens of the request's prompt that the upstream is expected to have cached.
     pub cached_tokens: u32,
 }
 
-/// What a request asks of a place.
+/// The requirements of a request that decide where it can be placed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestNeeds {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens generated so far by earlier attempts.
+    /// Tokens that earlier attempts have generated.
     pub generated_tokens: u32,
-    /// Tokens still expected.
+    /// Tokens that are expected to be generated yet.
     pub expected_tokens: u32,
-    /// Target for the first token in milliseconds.
+    /// Target for the time to the first token, in milliseconds.
     pub first_token_ms: f64,
-    /// Target between tokens in milliseconds.
+    /// Target for the time between tokens, in milliseconds.
     pub between_tokens_ms: f64,
-    /// Which class it may run on.
+    /// Price classes of boxes that the request may run on.
     pub class: ClassPreference,
-    /// Boxes that this request just failed on.
+    /// Boxes that are not used, since earlier attempts of this request failed on them.
     pub exclude: BTreeSet<BoxId>,
 }
 
 impl RequestNeeds {
-    /// Returns whether an upstream may be chosen at all.
+    /// Returns whether the upstream's price class is allowed and its box is not excluded.
     pub fn allows(&self, u: &UpstreamView) -> bool {
         let class = match self.class {
             ClassPreference::Any => true,
@@ -76,30 +76,30 @@
     }
 }
 
-/// How a policy retries.
+/// When a policy retries a failed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryStyle {
-    /// At once, without a budget.
+    /// Immediately, without a retry budget.
     Immediate,
-    /// Within the row's budget, with full jitter.
+    /// Within the retry budget of the table's row, after a backoff with full jitter.
     Budgeted,
 }
 
-/// How a policy moves a stream off a leaving upstream.
+/// How a policy moves a stream away from an upstream that is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveStyle {
-    /// Starts again from the prompt and what was generated.
+    /// Recomputes the prompt and the tokens generated so far on the new upstream.
     Recompute,
-    /// Exports the KV cache first if there is time.
+    /// Exports the KV cache to the new upstream if there is enough time.
     KeepCache,
 }
 
-/// Decides where a request runs.
+/// A policy that decides which upstream runs a request.
 pub trait Placement: Send + Sync {
-    /// Returns the policy's name in the table.
+    /// Returns the policy's name in the routing table.
     fn name(&self) -> &'static str;
 
-    /// Returns the index of the chosen upstream, or none if no one will do.
+    /// Returns the index of the chosen upstream, or `None` if no upstream is suitable.
     fn choose(
         &self,
         needs: &RequestNeeds,
@@ -118,7 +118,7 @@
     }
 }
 
-/// Returns the policy of a name.
+/// Returns the policy with the given name, or [`CheapestOnTarget`] if there is none.
 pub fn placement(name: &PolicyName) -> Box<dyn Placement> {
     match name.as_str() {
         NaivePlacement::NAME => Box::new(NaivePlacement),
@@ -127,8 +127,8 @@
     }
 }
 
-/// Picks a policy by the row's shares. The same request always gets the same
-/// one, on whichever box it is decided.
+/// Picks a policy in proportion to the shares of the table's row. The choice depends on
+/// the request ID only, so every box picks the same policy for a request.
 pub fn pick_policy(
     shares: &std::collections::BTreeMap<PolicyName, u32>,
     request: RequestId,
@@ -144,30 +144,30 @@
     PolicyName::from(CheapestOnTarget::NAME)
 }
 
-/// Returns the indexes of the upstreams that an ask allows and that are under
-/// their adaptive limit.
+/// Returns the indexes of the upstreams that the request allows and that are below their
+/// adaptive concurrency limit.
 pub fn candidates(needs: &RequestNeeds, upstreams: &[UpstreamView]) -> Vec<usize> {
-    let good = |u: &UpstreamView| needs.allows(u) && u.in_flight < u.limit;
+    let is_usable = |u: &UpstreamView| needs.allows(u) && u.in_flight < u.limit;
     (0..upstreams.len())
-        .filter(|i| good(&upstreams[*i]))
+        .filter(|i| is_usable(&upstreams[*i]))
         .collect()
 }
 
-/// Returns the index with the smallest score; ties go to a random one.
-pub fn lowest(
+/// Returns the index with the lowest score; ties are broken at random.
+pub fn index_of_lowest(
     indexes: &[usize],
     rng: &mut dyn RngCore,
     score: impl Fn(usize) -> f64,
 ) -> Option<usize> {
     let mut best: Option<(f64, u32, usize)> = None;
     for i in indexes {
-        let entry = (score(*i), rng.next_u32(), *i);
+        let scored = (score(*i), rng.next_u32(), *i);
         let better = match &best {
             None => true,
-            Some(b) => (entry.0, entry.1) < (b.0, b.1),
+            Some(b) => (scored.0, scored.1) < (b.0, b.1),
         };
         if better {
-            best = Some(entry);
+            best = Some(scored);
         }
     }
     best.map(|(_, _, i)| i)
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -44,7 +44,13 @@
 
     /// Notes what a client account's request asks for; `start_share` is the part of the
     /// rate that a daemon has before it knows others.
-    pub fn record_demand(&mut self, terms: &AccountTerms, cost: f64, start_share: f64, now_ms: u64) {
+    pub fn record_demand(
+        &mut self,
+        terms: &AccountTerms,
+        cost: f64,
+        start_share: f64,
+        now_ms: u64,
+    ) {
         if terms.rate_per_s > 0.0 {
             let account = self.account(terms, start_share, now_ms);
             account.record_demand(cost, now_ms);
@@ -183,7 +189,12 @@
         self.bounds.limit_of(account)
     }
 
-    fn account(&mut self, terms: &AccountTerms, start_share: f64, now_ms: u64) -> &mut QuotaAccount {
+    fn account(
+        &mut self,
+        terms: &AccountTerms,
+        start_share: f64,
+        now_ms: u64,
+    ) -> &mut QuotaAccount {
         let limit = self.bounds.limit_of(terms);
         let fresh = || QuotaAccount::new(start_share, &limit, now_ms);
         let accounts = &mut self.accounts;
