--- a/src/policy/quarantine/bounds.rs
+++ b/src/policy/quarantine/bounds.rs
@@ -1,16 +1,18 @@
 use {crate::conf::at_least_one, serde::Deserialize};
 
-/// When a request is held back under which upstreams end.
+/// Settings that decide when and for how long a request is held back because upstreams
+/// crash while they run it.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuarantineBounds {
-    /// How many upstreams may end under it. Two are a coincidence now and then: a request
-    /// is sent on when its upstream is lost, and that one may be lost as well.
+    /// Number of crashes after which the request is held back. Two crashes happen by
+    /// coincidence: a request is retried when its upstream is lost, and the next upstream may
+    /// be lost as well.
     #[serde(deserialize_with = "at_least_one")]
     pub ends: usize,
-    /// For how long after the last of them it is held back, in seconds. Then one more end
-    /// holds it back again. A default without a measurement: longer than callers go on
-    /// asking by themselves, short enough for engines that were mended meanwhile.
+    /// How long the request is held back after its last crash, in seconds. Afterwards, one
+    /// more crash holds it back again. The default is longer than callers retry on their own,
+    /// and short enough to let requests through soon after a faulty engine is fixed.
     pub hold_s: u64,
 }
 
@@ -24,7 +26,7 @@
 }
 
 impl QuarantineBounds {
-    /// Returns for how long a request is held back, in milliseconds.
+    /// Returns how long a request is held back after its last crash, in milliseconds.
     pub fn hold_ms(&self) -> u64 {
         self.hold_s * 1_000
     }
--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -4,65 +4,71 @@
     std::collections::HashMap,
 };
 
-/// Two ends of one upstream that this daemon saw this close to each other are one, in
-/// milliseconds: the requests that ran there are cut off one after the other.
-const OWN_APART_MS: u64 = 1_000;
-/// The same for ends that other daemons tell of: the age that they tell grows on its way.
-const TOLD_APART_MS: u64 = 3_000;
-/// How often an end is told that this daemon saw, or that it passes on: a datagram may be
-/// lost. Three of four times in a row are lost once in 10,000 where one in ten is.
+/// Failures of one upstream that this daemon observes within this time count as one crash, in
+/// milliseconds: the requests that ran on the upstream are cut off one after the other.
+const OWN_MERGE_WINDOW_MS: u64 = 1_000;
+/// The same for crashes that other daemons announce, in milliseconds. It is longer, because
+/// an announced age does not include the time that the message was under way.
+const ANNOUNCED_MERGE_WINDOW_MS: u64 = 3_000;
+/// How many times a crash is announced that this daemon observed or forwards, since
+/// datagrams may be lost. At a loss of one datagram in ten, all four are lost once in 10,000
+/// times.
 const ANNOUNCEMENTS: u8 = 4;
-/// How many requests are kept, which bounds memory. A domain that is lost cuts off some
-/// hundred requests; of those, it is enough to keep the last ones.
+/// Upper bound of the number of requests kept, to limit memory. The loss of a failure domain
+/// cuts off several hundred requests; keeping the latest of these is enough.
 const MAX_SUSPECTS: usize = 512;
-/// By how many ends more a request is held back beside which another one always ran that
-/// may as well be the cause. That happens to requests that come together; each is then
-/// placed by itself, which tells them apart.
-const ENDS_IN_COMPANY: usize = 2;
+/// How many more crashes hold back a request if another request ran during all of its
+/// crashes and may as well be the cause. That happens to requests that arrive together. In
+/// the attempts after that, each is placed separately, so that only the cause crashes its
+/// upstream.
+const EXTRA_SHARED_CRASHES: usize = 2;
 
-/// A crash of an upstream under a request, as daemons exchange it.
+/// A crash of an upstream while it ran a request, as daemons exchange it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownCrash {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The upstream.
+    /// The upstream that crashed.
     pub upstream: UpstreamId,
-    /// How long ago, in milliseconds.
+    /// Age of the crash, in milliseconds.
     pub age_ms: u64,
-    /// For how long the request had been there by then, in milliseconds.
+    /// How long the request had been on the upstream by then, in milliseconds.
     pub ran_ms: u64,
-    /// Whether the request was answered whole since.
+    /// The request has since been answered completely, so it did not cause the crash.
     pub is_cleared: bool,
 }
 
-/// What is written down of a request under which upstreams ended.
+/// The stored record of a request during which upstreams crashed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectRecord {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The upstreams that ended under it; none if that is nothing to go by any more.
+    /// The crashes that the request may have caused; empty if the request is cleared.
     pub ends: Vec<KnownCrash>,
 }
 
 /// Crashes to announce next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashesToAnnounce {
-    /// The hubs of all failure domains, or those of the daemon's own if it is none.
+    /// Crashes to announce to the hubs of all failure domains, or, if this daemon is not a
+    /// hub, to the hubs of its own failure domain.
     pub hubs: Vec<KnownCrash>,
-    /// The daemons that report to a hub.
+    /// Crashes to announce to the daemons that report to this hub.
     pub members: Vec<KnownCrash>,
 }
 
-/// The requests under which upstreams ended, by what this daemon saw and others told.
+/// The requests during which upstreams crashed, as this daemon observed and other daemons
+/// announced.
 ///
-/// A request that ends each upstream which begins to run it comes again with another id,
-/// at any daemon. Nothing in one try tells it from those that ran beside it: what does is
-/// that it was there each time, and is never answered. So each end counts for all requests
-/// that were cut off by it; a request is held back once enough ends are its own, that is, no
-/// request was there under which as many ended. Ends count in turn: those of upstreams that
-/// are lost together are one. An answer that is whole clears a request.
+/// A request that crashes every upstream that starts to run it is sent again by its caller,
+/// with another request ID and possibly to another daemon. A single attempt does not
+/// distinguish it from the requests that ran on the same upstream, but it is present at
+/// each crash and is never answered. So each crash counts for all requests that it cut off.
+/// A request is held back once enough crashes are its own: those where no other request was
+/// present that has as many crashes. Only successive crashes count: upstreams that are lost
+/// at the same time count as one crash. A complete answer clears a request.
 ///
-/// What daemons tell each other can be taken in in any order, and more than once.
+/// Announcements of other daemons may be applied in any order, and more than once.
 #[derive(Debug)]
 pub struct CrashTable {
     bounds: QuarantineBounds,
@@ -70,7 +76,7 @@
 }
 
 impl CrashTable {
-    /// Makes an empty book.
+    /// Makes an empty table.
     pub fn new(bounds: QuarantineBounds) -> Self {
         Self {
             bounds,
@@ -78,19 +84,18 @@
         }
     }
 
-    /// Returns whether no upstream ended under any request lately: then no fingerprint
-    /// is needed.
+    /// Returns whether no recent crash is known. Then requests need no fingerprint.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns how many requests are kept under which upstreams ended.
+    /// Returns the number of requests kept.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Notes that an upstream ended at `at_ms` under a request that had been there for
-    /// `ran_ms`, as this daemon saw; returns whether that is news.
+    /// Records a crash that this daemon observed: `upstream` crashed at `at_ms`, and the
+    /// request had been on it for `ran_ms`. Returns whether the crash was unknown.
     pub fn record_end(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -99,8 +104,9 @@
         at_ms: u64,
     ) -> bool {
         let suspect = self.suspect(fingerprint);
-        let is_same = |end: &&mut UpstreamCrash| end.is_same(upstream, at_ms, OWN_APART_MS);
-        if let Some(known) = suspect.ends.iter_mut().find(is_same) {
+        let is_same =
+            |crash: &&mut UpstreamCrash| crash.is_same(upstream, at_ms, OWN_MERGE_WINDOW_MS);
+        if let Some(known) = suspect.crashes.iter_mut().find(is_same) {
             known.is_own = true;
             return false;
         }
@@ -116,20 +122,27 @@
         true
     }
 
-    /// Takes in what another daemon told; `passes_on` says whether this one tells other
-    /// hubs (true), only those that report to it (false), or nobody. Returns whether it is
-    /// news.
-    pub fn apply(&mut self, told: &KnownCrash, passes_on: Option<bool>, now_ms: u64) -> bool {
-        let at_ms = now_ms.saturating_sub(told.age_ms);
-        if now_ms >= at_ms + self.kept_ms() {
+    /// Applies a crash that another daemon announced. `forward_to_hubs` decides to whom this
+    /// daemon forwards it: to other hubs and to its members (`Some(true)`), only to its
+    /// members (`Some(false)`), or to nobody (`None`). Returns whether the table changed.
+    pub fn apply(
+        &mut self,
+        announced: &KnownCrash,
+        forward_to_hubs: Option<bool>,
+        now_ms: u64,
+    ) -> bool {
+        let at_ms = now_ms.saturating_sub(announced.age_ms);
+        if now_ms >= at_ms + self.retention_ms() {
             return false;
         }
-        let announcements_left = passes_on.map_or(0, |_| ANNOUNCEMENTS);
-        let announces_to_hubs = passes_on == Some(true);
-        let suspect = self.suspect(told.fingerprint);
-        let is_same = |end: &&mut UpstreamCrash| end.is_same(&told.upstream, at_ms, TOLD_APART_MS);
-        if let Some(known) = suspect.ends.iter_mut().find(is_same) {
-            let is_change = told.is_cleared && !known.is_cleared;
+        let announcements_left = forward_to_hubs.map_or(0, |_| ANNOUNCEMENTS);
+        let announces_to_hubs = forward_to_hubs == Some(true);
+        let suspect = self.suspect(announced.fingerprint);
+        let is_same = |crash: &&mut UpstreamCrash| {
+            crash.is_same(&announced.upstream, at_ms, ANNOUNCED_MERGE_WINDOW_MS)
+        };
+        if let Some(known) = suspect.crashes.iter_mut().find(is_same) {
+            let is_change = announced.is_cleared && !known.is_cleared;
             if is_change {
                 known.is_cleared = true;
                 known.announcements_left = announcements_left;
@@ -138,10 +151,10 @@
             return is_change;
         }
         suspect.add(UpstreamCrash {
-            upstream: told.upstream.clone(),
+            upstream: announced.upstream.clone(),
             at_ms,
-            ran_ms: told.ran_ms,
-            is_cleared: told.is_cleared,
+            ran_ms: announced.ran_ms,
+            is_cleared: announced.is_cleared,
             is_own: false,
             announcements_left,
             announces_to_hubs,
@@ -149,20 +162,22 @@
         true
     }
 
-    /// Notes that a request was answered whole; returns whether that is news.
+    /// Records that a request was answered completely, which clears it. Returns whether it
+    /// had crashes that were not cleared.
     pub fn record_complete(&mut self, fingerprint: RequestFingerprint) -> bool {
         let suspect = self.suspects.get_mut(&fingerprint);
         suspect.is_some_and(|suspect| suspect.clear(ANNOUNCEMENTS))
     }
 
-    /// Returns whether more than one upstream ended under a request that it may have ended:
-    /// one ends under all that run there, whatever the cause.
+    /// Returns whether a request may have caused more than one crash. A single crash is no
+    /// sign, since it affects all requests on the upstream, whatever its cause.
     pub fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&fingerprint);
         suspect.is_some_and(|suspect| suspect.count() > 1)
     }
 
-    /// Returns for how long a request is held back, in milliseconds; none if it is not.
+    /// Returns how long a request is still held back, in milliseconds, or `None` if it is not
+    /// held back.
     pub fn held_for(&self, fingerprint: RequestFingerprint, now_ms: u64) -> Option<u64> {
         let suspect = self.suspects.get(&fingerprint)?;
         let until_ms = suspect.last_ms() + self.bounds.hold_ms();
@@ -170,27 +185,29 @@
         is_held.then(|| until_ms - now_ms)
     }
 
-    /// Returns whether a request has ended upstreams, as far as can be told.
+    /// Returns whether a request is considered the cause of its crashes.
     fn is_cause(&self, fingerprint: RequestFingerprint, suspect: &Suspect) -> bool {
         let count = suspect.count();
         if count < self.bounds.ends {
             return false;
         }
-        let others = |end: &UpstreamCrash| self.others_at(end, fingerprint);
-        let own = suspect.open_ends().filter(|end| others(end) < count);
-        if in_turn(own) >= self.bounds.ends {
+        let others = |crash: &UpstreamCrash| self.max_crashes_of_others_at(crash, fingerprint);
+        let own = suspect.open_crashes().filter(|crash| others(crash) < count);
+        if count_successive(own) >= self.bounds.ends {
             return true;
         }
-        let shared = suspect.open_ends().filter(|end| others(end) <= count);
-        in_turn(shared) >= self.bounds.ends + ENDS_IN_COMPANY
+        let shared = suspect
+            .open_crashes()
+            .filter(|crash| others(crash) <= count);
+        count_successive(shared) >= self.bounds.ends + EXTRA_SHARED_CRASHES
     }
 
-    /// Returns under how many ends any other request was that was there at one.
-    fn others_at(&self, end: &UpstreamCrash, but: RequestFingerprint) -> usize {
+    /// Returns the highest number of crashes of any other request that was present at a crash.
+    fn max_crashes_of_others_at(&self, crash: &UpstreamCrash, but: RequestFingerprint) -> usize {
         let others = self.suspects.iter().filter(|(other, _)| **other != but);
         let there = others.filter(|(_, suspect)| {
-            let mut open = suspect.open_ends();
-            open.any(|other| other.is_same(&end.upstream, end.at_ms, TOLD_APART_MS))
+            let mut open = suspect.open_crashes();
+            open.any(|other| other.is_same(&crash.upstream, crash.at_ms, ANNOUNCED_MERGE_WINDOW_MS))
         });
         there.map(|(_, suspect)| suspect.count()).max().unwrap_or(0)
     }
@@ -202,65 +219,70 @@
             .collect()
     }
 
-    /// Returns what to tell next, at most some ends: first of requests under which most
-    /// upstreams ended.
-    pub fn to_announce(&mut self, most: usize, now_ms: u64) -> CrashesToAnnounce {
+    /// Returns the next crashes to announce, at most `max` of them, those of the requests with
+    /// the most crashes first.
+    pub fn to_announce(&mut self, max: usize, now_ms: u64) -> CrashesToAnnounce {
         let mut due: Vec<(usize, u64, RequestFingerprint)> = self
             .suspects
             .iter()
-            .filter(|(_, suspect)| suspect.ends.iter().any(|end| end.announcements_left > 0))
+            .filter(|(_, suspect)| {
+                suspect
+                    .crashes
+                    .iter()
+                    .any(|crash| crash.announcements_left > 0)
+            })
             .map(|(fingerprint, suspect)| (suspect.count(), suspect.last_ms(), *fingerprint))
             .collect();
         due.sort_unstable_by(|a, b| b.cmp(a));
-        let mut told = CrashesToAnnounce::default();
+        let mut chosen = CrashesToAnnounce::default();
         for (.., fingerprint) in due {
             let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
                 continue;
             };
-            for end in suspect
-                .ends
+            for crash in suspect
+                .crashes
                 .iter_mut()
-                .filter(|end| end.announcements_left > 0)
+                .filter(|crash| crash.announcements_left > 0)
             {
-                if told.members.len() >= most {
-                    return told;
+                if chosen.members.len() >= max {
+                    return chosen;
                 }
-                end.announcements_left -= 1;
-                let known = known_end(fingerprint, end, now_ms);
-                if end.announces_to_hubs {
-                    told.hubs.push(known.clone());
+                crash.announcements_left -= 1;
+                let known = known_crash(fingerprint, crash, now_ms);
+                if crash.announces_to_hubs {
+                    chosen.hubs.push(known.clone());
                 }
-                told.members.push(known);
+                chosen.members.push(known);
             }
         }
-        told
+        chosen
     }
 
-    /// Returns the ends under requests that are held back, whether told before or not, at
-    /// most some: the last ones first.
-    pub fn held_crashes(&self, most: usize, now_ms: u64) -> Vec<KnownCrash> {
+    /// Returns the crashes of requests that are held back, at most `max` of them, those of the
+    /// requests with the latest crashes first. It includes crashes that were announced before.
+    pub fn held_crashes(&self, max: usize, now_ms: u64) -> Vec<KnownCrash> {
         let mut held = self.held(now_ms);
         held.sort_unstable_by_key(|f| std::cmp::Reverse(self.suspects[f].last_ms()));
-        let ends = held.into_iter().flat_map(|fingerprint| {
-            let open = self.suspects[&fingerprint].open_ends();
-            open.map(move |end| known_end(fingerprint, end, now_ms))
+        let crashes = held.into_iter().flat_map(|fingerprint| {
+            let open = self.suspects[&fingerprint].open_crashes();
+            open.map(move |crash| known_crash(fingerprint, crash, now_ms))
         });
-        ends.take(most).collect()
+        crashes.take(max).collect()
     }
 
-    /// Returns what this daemon has to write down, at most some: of requests of which it
-    /// saw an end, if more is known than when it wrote last; and of those that it wrote
-    /// down and that were answered whole since.
+    /// Returns the records that this daemon has to write to the store, at most `max` of them:
+    /// those of requests that had a crash observed by this daemon and have more crashes than
+    /// were last written, and those of requests that were written and have been cleared since.
     ///
-    /// What is one end short of being held back is written, too: daemons of failure
-    /// domains that are cut off from each other, but not from what is written, would each
-    /// go on up to that number else.
-    pub fn to_write(&self, most: usize, now_ms: u64) -> Vec<SuspectRecord> {
-        let least = self.bounds.ends.saturating_sub(1).max(1);
+    /// Requests that are one crash short of being held back are written, too. Otherwise
+    /// daemons of failure domains that can reach the store but not each other would each
+    /// allow the full number of crashes.
+    pub fn to_write(&self, max: usize, now_ms: u64) -> Vec<SuspectRecord> {
+        let min_crashes = self.bounds.ends.saturating_sub(1).max(1);
         let due = self.suspects.iter().filter(|(_, suspect)| {
-            let known = suspect.open_ends().count();
-            let is_own = suspect.ends.iter().any(|end| end.is_own);
-            let is_change = is_own && suspect.count() >= least && known > suspect.written;
+            let known = suspect.open_crashes().count();
+            let is_own = suspect.crashes.iter().any(|crash| crash.is_own);
+            let is_change = is_own && suspect.count() >= min_crashes && known > suspect.written;
             is_change || known == 0 && suspect.written > 0
         });
         let mut due: Vec<_> = due.collect();
@@ -268,65 +290,67 @@
         let records = due.into_iter().map(|(fingerprint, suspect)| SuspectRecord {
             fingerprint: *fingerprint,
             ends: suspect
-                .open_ends()
-                .map(|end| known_end(*fingerprint, end, now_ms))
+                .open_crashes()
+                .map(|crash| known_crash(*fingerprint, crash, now_ms))
                 .collect(),
         });
-        records.take(most).collect()
+        records.take(max).collect()
     }
 
-    /// Notes what was written down.
+    /// Records that a record was written to the store.
     pub fn record_written(&mut self, record: &SuspectRecord) {
         if let Some(suspect) = self.suspects.get_mut(&record.fingerprint) {
             suspect.written = record.ends.len();
         }
     }
 
-    /// Takes in that what was written down of a request is nothing to go by any more.
+    /// Clears a request whose stored record is empty, without announcing it.
     pub fn apply_cleared(&mut self, fingerprint: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.clear(0);
         }
     }
 
-    /// Returns whether what was written down is too old to go by.
+    /// Returns whether all crashes of a stored record are older than the retention time.
     pub fn is_outdated(&self, record: &SuspectRecord) -> bool {
-        let mut ends = record.ends.iter();
-        ends.all(|end| end.age_ms >= self.kept_ms())
+        let mut crashes = record.ends.iter();
+        crashes.all(|crash| crash.age_ms >= self.retention_ms())
     }
 
-    /// Forgets requests under which no upstream ended for twice the time that they are
-    /// held back, and the least suspected where there are too many.
+    /// Removes requests that had no crash within the retention time.
     pub fn tick(&mut self, now_ms: u64) {
-        let kept_ms = self.kept_ms();
+        let retention_ms = self.retention_ms();
         self.suspects
-            .retain(|_, suspect| now_ms < suspect.last_ms() + kept_ms);
+            .retain(|_, suspect| now_ms < suspect.last_ms() + retention_ms);
     }
 
-    /// For how long a request is kept after its last end, in milliseconds.
-    fn kept_ms(&self) -> u64 {
+    /// Returns how long a request is kept after its last crash, in milliseconds: twice the
+    /// time that it is held back.
+    fn retention_ms(&self) -> u64 {
         2 * self.bounds.hold_ms()
     }
 
+    /// Returns the entry of a request. If the table is full, a new entry replaces the one with
+    /// the fewest crashes, the oldest among equals.
     fn suspect(&mut self, fingerprint: RequestFingerprint) -> &mut Suspect {
         if self.suspects.len() >= MAX_SUSPECTS && !self.suspects.contains_key(&fingerprint) {
             let rank = |suspect: &Suspect| (suspect.count(), suspect.last_ms());
-            let least = self.suspects.iter().min_by_key(|(_, s)| rank(s));
-            let least = least.map(|(fingerprint, _)| *fingerprint);
-            if let Some(least) = least {
-                self.suspects.remove(&least);
+            let least_suspected = self.suspects.iter().min_by_key(|(_, s)| rank(s));
+            let least_suspected = least_suspected.map(|(fingerprint, _)| *fingerprint);
+            if let Some(least_suspected) = least_suspected {
+                self.suspects.remove(&least_suspected);
             }
         }
         self.suspects.entry(fingerprint).or_default()
     }
 }
 
-fn known_end(fingerprint: RequestFingerprint, end: &UpstreamCrash, now_ms: u64) -> KnownCrash {
+fn known_crash(fingerprint: RequestFingerprint, crash: &UpstreamCrash, now_ms: u64) -> KnownCrash {
     KnownCrash {
         fingerprint,
-        upstream: end.upstream.clone(),
-        age_ms: now_ms.saturating_sub(end.at_ms),
-        ran_ms: end.ran_ms,
-        is_cleared: end.is_cleared,
+        upstream: crash.upstream.clone(),
+        age_ms: now_ms.saturating_sub(crash.at_ms),
+        ran_ms: crash.ran_ms,
+        is_cleared: crash.is_cleared,
     }
 }
--- a/src/policy/quarantine/mod.rs
+++ b/src/policy/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back because upstreams end under them.
+//! Quarantine of requests that repeatedly crash the upstreams that run them.
 
 mod bounds;
 mod crash_table;
