--- a/src/policy/quarantine/crash_table.rs
+++ b/src/policy/quarantine/crash_table.rs
@@ -219,9 +219,9 @@
             .collect()
     }
 
-    /// Returns the next crashes to announce, at most `max` of them, those of the requests with
-    /// the most crashes first.
-    pub fn to_announce(&mut self, max: usize, now_ms: u64) -> CrashesToAnnounce {
+    /// Returns the next crashes to announce, at most `max_count` of them, those of the
+    /// requests with the most crashes first.
+    pub fn to_announce(&mut self, max_count: usize, now_ms: u64) -> CrashesToAnnounce {
         let mut due: Vec<(usize, u64, RequestFingerprint)> = self
             .suspects
             .iter()
@@ -244,7 +244,7 @@
                 .iter_mut()
                 .filter(|crash| crash.announcements_left > 0)
             {
-                if chosen.members.len() >= max {
+                if chosen.members.len() >= max_count {
                     return chosen;
                 }
                 crash.announcements_left -= 1;
@@ -258,26 +258,27 @@
         chosen
     }
 
-    /// Returns the crashes of requests that are held back, at most `max` of them, those of the
-    /// requests with the latest crashes first. It includes crashes that were announced before.
-    pub fn held_crashes(&self, max: usize, now_ms: u64) -> Vec<KnownCrash> {
+    /// Returns the crashes of requests that are held back, at most `max_count` of them, those
+    /// of the requests with the latest crashes first. It includes crashes that were announced
+    /// before.
+    pub fn held_crashes(&self, max_count: usize, now_ms: u64) -> Vec<KnownCrash> {
         let mut held = self.held(now_ms);
         held.sort_unstable_by_key(|f| std::cmp::Reverse(self.suspects[f].last_ms()));
         let crashes = held.into_iter().flat_map(|fingerprint| {
             let open = self.suspects[&fingerprint].open_crashes();
             open.map(move |crash| known_crash(fingerprint, crash, now_ms))
         });
-        crashes.take(max).collect()
+        crashes.take(max_count).collect()
     }
 
-    /// Returns the records that this daemon has to write to the store, at most `max` of them:
-    /// those of requests that had a crash observed by this daemon and have more crashes than
+    /// Returns the records that this daemon has to write to the store, at most `max_count` of
+    /// them: those of requests that had a crash observed by this daemon and have more crashes than
     /// were last written, and those of requests that were written and have been cleared since.
     ///
     /// Requests that are one crash short of being held back are written, too. Otherwise
     /// daemons of failure domains that can reach the store but not each other would each
     /// allow the full number of crashes.
-    pub fn to_write(&self, max: usize, now_ms: u64) -> Vec<SuspectRecord> {
+    pub fn to_write(&self, max_count: usize, now_ms: u64) -> Vec<SuspectRecord> {
         let min_crashes = self.bounds.ends.saturating_sub(1).max(1);
         let due = self.suspects.iter().filter(|(_, suspect)| {
             let known = suspect.open_crashes().count();
@@ -294,7 +295,7 @@
                 .map(|crash| known_crash(*fingerprint, crash, now_ms))
                 .collect(),
         });
-        records.take(max).collect()
+        records.take(max_count).collect()
     }
 
     /// Records that a record was written to the store.
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -3,110 +3,119 @@
     std::collections::HashMap,
 };
 
-/// Over which time demand is averaged, in milliseconds.
+/// Time constant of the moving average of the demand, in milliseconds.
 const DEMAND_WINDOW_MS: f64 = 3_000.0;
-/// Of a daemon's even part, what one without demand keeps.
-const IDLE_PART: f64 = 0.25;
-/// Of the burst, what a daemon that starts reckons with until it hears others.
-const START_LEVEL: f64 = 0.12;
-/// Of the slack, what a daemon starts with once it has heard others that are no
-/// older than itself: after a loss of all, the bucket is likely to be full. All
-/// may be lost twice within a window.
-const START_SLACK: f64 = 0.25;
-/// Of the slack, what all daemons together may let in between two notices,
-/// whatever is left: the debt pays it back.
-const UNHEARD_SLACK: f64 = 0.35;
-/// How long a daemon that starts takes over what is left from older ones, in
-/// milliseconds: some notices' time.
-const LEARNING_MS: u64 = 1_000;
-/// Of the burst, what has to be there for a request that is larger.
-const LARGE_REQUEST_LEVEL: f64 = 0.5;
-/// How many times its part of what is left a daemon may let in between two
-/// notices of the others.
-const UNHEARD_PARTS: f64 = 2.0;
-/// The longest wait that is told, in milliseconds: a client account without a rate
-/// would wait forever.
+/// Minimum weight of a daemon without demand, as a share of an even split of the rate.
+const IDLE_SHARE: f64 = 0.25;
+/// Share of the burst that a daemon assumes to be left when it starts, and to which its
+/// admissions are limited until it knows other daemons.
+const START_BURST_SHARE: f64 = 0.12;
+/// Share of the slack that a starting daemon assumes to be left at least, unless an older
+/// daemon announces its level: after a loss of all daemons, the bucket is likely to be full.
+/// The share allows for two losses of all daemons within a window. [`START_BURST_SHARE`]
+/// limits admissions until other daemons are known.
+const START_SLACK_SHARE: f64 = 0.25;
+/// Share of the slack that all daemons together may admit between two notices, even if their
+/// shares of the level are smaller. Later refills pay back the resulting debt.
+const UNANNOUNCED_SLACK_SHARE: f64 = 0.35;
+/// How long a starting daemon adopts the level that older daemons announce, in
+/// milliseconds. It spans several notices.
+const LEVEL_ADOPTION_MS: u64 = 1_000;
+/// Level, as a share of the burst, that suffices to admit a request that costs more. It also
+/// bounds the unused shares that a daemon accumulates.
+const LARGE_REQUEST_BURST_SHARE: f64 = 0.5;
+/// How many times its share of the level a daemon may admit between two notices.
+const UNANNOUNCED_SHARES: f64 = 2.0;
+/// The longest retry time named to a client, in milliseconds. Without it, a client account
+/// without a rate would be told to wait forever.
 const MAX_WAIT_MS: f64 = 60_000.0;
-/// What is left above this part of the burst, any daemon may let in unheard.
-const SCARCE_LEVEL: f64 = 0.4;
-/// Below this part of the burst, others should hear early of what is let in.
-const LOW_LEVEL: f64 = 0.5;
-/// Of the burst, what may be let in before others should hear of it.
-const UNHEARD_BURST: f64 = 0.05;
+/// What is left above this share of the burst, any daemon may admit between two notices, as
+/// long as no notice of another daemon is overdue.
+const SCARCE_BURST_SHARE: f64 = 0.4;
+/// Share of the burst below which admissions are announced early.
+const LOW_BURST_SHARE: f64 = 0.5;
+/// Share of the burst that may be admitted at a low level before it is announced early.
+const EARLY_NOTICE_BURST_SHARE: f64 = 0.05;
 
-/// Another daemon, as a client account's account sees it.
+/// The admissions of another daemon as counted in this account.
 #[derive(Clone, Copy, Debug, Default)]
 struct Other {
     incarnation: u64,
-    /// What it has let in, by its own count.
+    /// Units that the daemon has admitted, by its own count.
     total: f64,
-    /// What was taken out for it while it was silent.
+    /// Units taken out of the bucket for the daemon while it was silent.
     charged: f64,
-    /// Until when that was.
+    /// Time up to which units were taken out for the daemon while silent.
     charged_to_ms: Option<u64>,
 }
 
-/// What is known of another daemon when an account is brought up to date.
+/// The state of another daemon when an account is brought up to date.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OtherDaemon {
-    /// Its name.
+    /// The daemon's name.
     pub node: String,
-    /// The weight with which it asks for a part of the rate.
+    /// Weight of the daemon's claim to a share of the rate, in units per second.
     pub weight: f64,
-    /// When it was heard last.
+    /// Time of the last contact with the daemon.
     pub last_seen_ms: u64,
-    /// Whether its notice is late: it may be cut off.
+    /// The daemon's notice is overdue, so it may be cut off.
     pub late: bool,
-    /// Whether it has been silent for too long since.
+    /// The daemon has been silent for so long that its share is taken out of the bucket.
     pub silent: bool,
-    /// Whether this daemon lets in now what that one did: its part has gone over.
+    /// This daemon admits the requests of the other one now and takes over its share.
     pub replaced: bool,
 }
 
-/// One client account's quota as one daemon sees it.
+/// The quota of one client account in the view of one daemon.
 ///
-/// All daemons keep the same token bucket: each takes from it what it lets in
-/// at once, and what the others let in when it hears of it. What it hears late
-/// drives the bucket into debt, so that the rate holds on average. Between two
-/// notices a daemon lets in no more than some parts of what is left. For a
-/// daemon that is silent, the part of the rate that it asked for last is taken
-/// out as if it used it. Times are milliseconds of a steady clock.
+/// Each daemon keeps a replica of the same token bucket. It takes out its own admissions at
+/// once, and those of other daemons when their notices arrive. Notices that arrive late can
+/// drive the bucket into debt, so that the rate holds on average. Between two notices, a
+/// daemon admits no more than a small multiple of its share of the level. For a silent
+/// daemon, the share of the rate that it claimed last is taken out as if it were used.
+/// Times are milliseconds of a steady clock.
 #[derive(Clone, Debug)]
 pub struct QuotaAccount {
+    /// Units left in the bucket; negative while it is in debt.
     level: f64,
+    /// Time of the last refill.
     updated_ms: u64,
+    /// Moving average of the demand at this daemon as of `demand_ms`, in units per second.
     demand: f64,
     demand_ms: u64,
+    /// Units that this daemon has admitted.
     admitted: f64,
+    /// The other daemons by name.
     others: HashMap<String, Other>,
-    /// The part of the rate that belongs to daemons not yet heard of.
-    unknown_part: f64,
-    /// This daemon's part by weight.
-    own_part: f64,
-    /// What was left at the last tick, and what was let in since.
-    left_at_tick: f64,
-    since_tick: f64,
-    /// What this daemon left unused of its parts at earlier ticks: it lets a
-    /// request in that is larger than one part.
-    saved_turns: f64,
-    /// Whether all others were heard at the last tick.
-    all_heard: bool,
-    /// Of the slack, this daemon's part between two notices.
+    /// Share of the rate that belongs to daemons that are not known yet.
+    unknown_share: f64,
+    /// This daemon's share of the rate, by weight.
+    own_share: f64,
+    /// Level at the last tick, at least 0.
+    level_at_tick: f64,
+    /// Units admitted since the last tick.
+    admitted_since_tick: f64,
+    /// Units that this daemon left unused of its shares at earlier ticks. They admit a
+    /// request that is larger than one share.
+    unused_shares: f64,
+    /// No notice of another daemon was overdue at the last tick.
+    all_on_time: bool,
+    /// Units of the slack that this daemon may use between two notices.
     own_slack: f64,
-    /// When this account was opened.
+    /// Time at which this account was opened.
     opened_ms: u64,
-    /// Whether an older daemon has told what is left.
-    is_announced: bool,
-    /// Whether a request waits for the next notice.
-    is_turn_awaited: bool,
+    /// An older daemon has announced its level to this one.
+    has_adopted_level: bool,
+    /// A request waits for the next notice.
+    is_notice_awaited: bool,
 }
 
 impl QuotaAccount {
-    /// Starts with nothing heard and little left: what was let in before a
-    /// restart is not known.
-    pub fn new(own_part: f64, limit: &QuotaLimit, now_ms: u64) -> Self {
-        let start = limit.burst * START_LEVEL;
-        let likely = (limit.slack * START_SLACK).min(limit.burst);
+    /// Opens an account with a low level, since the admissions before a restart are not known.
+    /// `own_share` is this daemon's share of the rate until it knows other daemons.
+    pub fn new(own_share: f64, limit: &QuotaLimit, now_ms: u64) -> Self {
+        let start = limit.burst * START_BURST_SHARE;
+        let likely = (limit.slack * START_SLACK_SHARE).min(limit.burst);
         Self {
             level: start.max(likely),
             updated_ms: now_ms,
@@ -114,77 +123,81 @@
             demand_ms: now_ms,
             admitted: 0.0,
             others: HashMap::new(),
-            unknown_part: 1.0 - own_part,
-            own_part,
-            left_at_tick: 0.0,
-            since_tick: 0.0,
-            saved_turns: 0.0,
-            all_heard: false,
+            unknown_share: 1.0 - own_share,
+            own_share,
+            level_at_tick: 0.0,
+            admitted_since_tick: 0.0,
+            unused_shares: 0.0,
+            all_on_time: false,
             own_slack: 0.0,
             opened_ms: now_ms,
-            is_announced: false,
-            is_turn_awaited: false,
+            has_adopted_level: false,
+            is_notice_awaited: false,
         }
     }
 
-    /// Returns what is left, as this daemon sees it.
+    /// Returns the units left in the bucket, in this daemon's view.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Takes over what an older daemon says is left, while this one is new: it
-    /// can't know what was let in before it started.
-    pub fn learn_level(&mut self, told: f64, now_ms: u64) {
-        if now_ms >= self.opened_ms + LEARNING_MS {
+    /// Adopts the level that an older daemon announced, minus this daemon's own admissions,
+    /// while this daemon is new and can't know what was admitted before it started. Of
+    /// several announced levels, the lowest applies.
+    pub fn adopt_level(&mut self, announced: f64, now_ms: u64) {
+        if now_ms >= self.opened_ms + LEVEL_ADOPTION_MS {
             return;
         }
-        let told = told - self.admitted;
-        self.level = match self.is_announced {
-            true => self.level.min(told),
-            false => told,
+        let announced = announced - self.admitted;
+        self.level = match self.has_adopted_level {
+            true => self.level.min(announced),
+            false => announced,
         };
-        self.is_announced = true;
+        self.has_adopted_level = true;
     }
 
-    /// Takes out what was let in elsewhere and is this daemon's to count.
+    /// Takes out units that were admitted elsewhere and that this daemon has to count.
     pub fn record_admitted(&mut self, units: f64) {
         self.level -= units;
         self.admitted += units;
     }
 
-    /// Returns what was let in here so far.
+    /// Returns the units that this daemon has counted as admitted since it opened the account.
     pub fn admitted(&self) -> f64 {
         self.admitted
     }
 
-    /// Returns the weight with which this daemon asks for a part of the rate.
+    /// Returns the weight of this daemon's claim to a share of the rate: its demand, but at
+    /// least [`IDLE_SHARE`] of an even split.
     pub fn weight(&self, rate: f64, daemons: usize, now_ms: u64) -> f64 {
         let even = rate / daemons.max(1) as f64;
-        self.demand(now_ms).max(even * IDLE_PART)
+        self.demand(now_ms).max(even * IDLE_SHARE)
     }
 
-    /// Returns whether others should hear now of what was let in.
+    /// Returns whether the admissions should be announced to the other daemons now: a request
+    /// waits for the next notice, or the level is low and much was admitted since the last.
     pub fn should_announce(&self, burst: f64) -> bool {
-        let is_low = self.level < burst * LOW_LEVEL;
-        self.is_turn_awaited || (is_low && self.since_tick > burst * UNHEARD_BURST)
+        let is_low = self.level < burst * LOW_BURST_SHARE;
+        self.is_notice_awaited
+            || (is_low && self.admitted_since_tick > burst * EARLY_NOTICE_BURST_SHARE)
     }
 
-    /// Takes out what another daemon has let in since it was last heard, and
-    /// gives back what was charged for it beyond that while it was silent.
-    /// `is_younger` says that it has not run for longer than this one: all that
-    /// it let in was let in meanwhile.
+    /// Takes out what another daemon has admitted since its last notice, and gives back what
+    /// was charged for it while it was silent. `is_younger` says that the other daemon has not
+    /// run for longer than this one, so that all its admissions happened while this one ran.
     pub fn apply(&mut self, node: &str, incarnation: u64, total: f64, is_younger: bool) {
         let first = !self.others.contains_key(node);
         let other = self.others.entry(node.to_string()).or_default();
-        let news = match other.incarnation == incarnation {
+        let newly_admitted = match other.incarnation == incarnation {
             true => (total - other.total).max(0.0),
-            // What it let in before this daemon knew it is over and done.
+            // The admissions of an older daemon before the first contact are not counted.
             false if first && !is_younger => 0.0,
             false => total,
         };
-        // Kept, such charges would empty the buckets of daemons that get to know each other.
-        // The next refill cuts what is over the burst.
-        self.level += other.charged - news;
+        // The charges are given back, since they would otherwise empty the buckets of daemons
+        // that are only starting to exchange notices. The next refill caps the level at the
+        // burst.
+        self.level += other.charged - newly_admitted;
         *other = Other {
             incarnation,
             total,
@@ -192,7 +205,8 @@
         };
     }
 
-    /// Brings the account up to date with what is known of the others.
+    /// Refills the bucket, recomputes the shares by the weights of the other daemons, charges
+    /// silent daemons, and starts a new period between notices.
     pub fn tick(
         &mut self,
         own_weight: f64,
@@ -201,100 +215,106 @@
         now_ms: u64,
     ) {
         self.refill(limit, now_ms);
-        let all: f64 = own_weight + others.iter().map(|o| o.weight).sum::<f64>();
+        let total_weight: f64 = own_weight + others.iter().map(|o| o.weight).sum::<f64>();
         if !others.is_empty() {
-            self.unknown_part = 0.0;
-            self.own_part = own_weight / all.max(f64::MIN_POSITIVE);
+            self.unknown_share = 0.0;
+            self.own_share = own_weight / total_weight.max(f64::MIN_POSITIVE);
             let daemons = (others.len() + 1) as f64;
-            self.own_slack = limit.slack * UNHEARD_SLACK / daemons;
+            self.own_slack = limit.slack * UNANNOUNCED_SLACK_SHARE / daemons;
         }
         for other in others.iter().filter(|o| o.silent) {
             self.charge(
                 other,
-                other.weight / all.max(f64::MIN_POSITIVE),
+                other.weight / total_weight.max(f64::MIN_POSITIVE),
                 limit.rate,
                 now_ms,
             );
         }
-        self.all_heard = !others.iter().any(|o| o.late);
-        self.left_at_tick = self.level.max(0.0);
-        let part = self.left_at_tick * self.own_part * UNHEARD_PARTS;
-        let most = limit.burst * LARGE_REQUEST_LEVEL;
-        self.saved_turns = (self.saved_turns + part).min(most);
-        self.since_tick = 0.0;
-        self.is_turn_awaited = false;
+        self.all_on_time = !others.iter().any(|o| o.late);
+        self.level_at_tick = self.level.max(0.0);
+        let share = self.level_at_tick * self.own_share * UNANNOUNCED_SHARES;
+        let most = limit.burst * LARGE_REQUEST_BURST_SHARE;
+        self.unused_shares = (self.unused_shares + share).min(most);
+        self.admitted_since_tick = 0.0;
+        self.is_notice_awaited = false;
     }
 
-    /// Takes out the part of a silent daemon, back to when it was heard last.
-    fn charge(&mut self, silent: &OtherDaemon, part: f64, rate: f64, now_ms: u64) {
+    /// Takes out the share of the rate that a silent daemon may have used since the last
+    /// contact.
+    fn charge(&mut self, silent: &OtherDaemon, share: f64, rate: f64, now_ms: u64) {
         let other = self.others.entry(silent.node.clone()).or_default();
         let from_ms = match other.charged_to_ms {
             Some(to_ms) => to_ms,
             None => {
-                // It may use its part of what was left, too.
-                let left = self.level.max(0.0) * part;
+                // The silent daemon may also use its share of the level.
+                let left = self.level.max(0.0) * share;
                 self.level -= left;
                 other.charged += left;
                 silent.last_seen_ms
             }
         };
-        let used = rate * part * now_ms.saturating_sub(from_ms) as f64 / 1_000.0;
+        let used = rate * share * now_ms.saturating_sub(from_ms) as f64 / 1_000.0;
         other.charged_to_ms = Some(now_ms);
         other.charged += used;
         self.level -= used;
     }
 
-    /// Lets a request in. One larger than the burst allows needs half of it.
+    /// Admits a request. One that costs more than half of the burst needs a level of half of
+    /// the burst.
     ///
     /// # Errors
     ///
-    /// Returns why it is not let in now.
+    /// Returns why the request is not admitted now.
     pub fn admit(&mut self, cost: f64, limit: &QuotaLimit, now_ms: u64) -> Result<(), QuotaWait> {
         self.refill(limit, now_ms);
-        let needed = cost.min(limit.burst * LARGE_REQUEST_LEVEL);
-        let left = match self.unknown_part > 0.0 {
-            true => self.level.min(limit.burst * START_LEVEL),
-            false => self.left_at_tick.max(self.level),
+        let needed = cost.min(limit.burst * LARGE_REQUEST_BURST_SHARE);
+        let left = match self.unknown_share > 0.0 {
+            true => self.level.min(limit.burst * START_BURST_SHARE),
+            false => self.level_at_tick.max(self.level),
         };
-        let own = left * self.own_part * UNHEARD_PARTS;
-        let spare = match self.all_heard {
-            true => self.left_at_tick - limit.burst * SCARCE_LEVEL,
+        let own_allowance = left * self.own_share * UNANNOUNCED_SHARES;
+        let free_allowance = match self.all_on_time {
+            true => self.level_at_tick - limit.burst * SCARCE_BURST_SHARE,
             false => 0.0,
         };
-        let unheard = own.max(spare).max(self.own_slack);
-        let is_first = self.since_tick <= 0.0;
-        let has_saved = is_first && self.saved_turns >= needed;
-        let in_turn = has_saved || self.since_tick + cost <= unheard;
-        if self.level >= needed && in_turn {
+        let allowance = own_allowance.max(free_allowance).max(self.own_slack);
+        let is_first = self.admitted_since_tick <= 0.0;
+        let has_unused_shares = is_first && self.unused_shares >= needed;
+        let is_within_share = has_unused_shares || self.admitted_since_tick + cost <= allowance;
+        if self.level >= needed && is_within_share {
             self.level -= cost;
             self.admitted += cost;
-            self.since_tick += cost;
-            self.saved_turns = (self.saved_turns - cost).max(0.0);
+            self.admitted_since_tick += cost;
+            self.unused_shares = (self.unused_shares - cost).max(0.0);
             return Ok(());
         }
         let missing = needed - self.level;
         if missing <= 0.0 {
-            self.is_turn_awaited = true;
+            self.is_notice_awaited = true;
             return Err(QuotaWait::NotYetDue);
         }
-        let wait_s = missing / (limit.rate * (1.0 - self.unknown_part)).max(1.0);
+        let wait_s = missing / (limit.rate * (1.0 - self.unknown_share)).max(1.0);
         let wait_ms = (wait_s * 1_000.0).min(MAX_WAIT_MS) as u64 + 1;
         Err(QuotaWait::UsedUp(wait_ms))
     }
 
+    /// Adds the units gained since the last refill, up to the burst. The share of the rate that
+    /// belongs to unknown daemons is left out.
     fn refill(&mut self, limit: &QuotaLimit, now_ms: u64) {
-        let rate = limit.rate * (1.0 - self.unknown_part);
+        let rate = limit.rate * (1.0 - self.unknown_share);
         let elapsed_s = now_ms.saturating_sub(self.updated_ms) as f64 / 1_000.0;
         self.level = (self.level + rate * elapsed_s).min(limit.burst);
         self.updated_ms = self.updated_ms.max(now_ms);
     }
 
-    /// Notes what a request asks for, once, whether it is let in or not.
+    /// Records the cost of a request as demand, once for each request, whether it is admitted
+    /// or not.
     pub fn record_demand(&mut self, cost: f64, now_ms: u64) {
         self.demand = self.demand(now_ms) + cost * 1_000.0 / DEMAND_WINDOW_MS;
         self.demand_ms = now_ms;
     }
 
+    /// Returns the moving average of the demand at `now_ms`, in units per second.
     fn demand(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.demand_ms) as f64;
         self.demand * (-age_ms / DEMAND_WINDOW_MS).exp()
--- a/src/policy/quota/bounds.rs
+++ b/src/policy/quota/bounds.rs
@@ -4,23 +4,23 @@
     serde::Deserialize,
 };
 
-/// How exactly quotas have to hold over all daemons together.
+/// Settings that bound how far all daemons together may exceed a quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuotaBounds {
-    /// The length of a window over which they have to hold, in seconds.
+    /// Length of the windows over which the bound has to hold, in seconds.
     #[serde(deserialize_with = "not_negative")]
     pub window_s: f64,
-    /// By which share of what a window allows it may be exceeded.
+    /// Share of a window's quota by which it may be exceeded.
     #[serde(deserialize_with = "not_negative")]
     pub overshoot: f64,
-    /// By how many units more.
+    /// Units by which a window's quota may be exceeded in addition.
     #[serde(deserialize_with = "not_negative")]
     pub tolerance: f64,
 }
 
 impl QuotaBounds {
-    /// Returns a client account's limit.
+    /// Returns the limit of a client account, with the slack that these bounds give it.
     pub fn limit_of(&self, terms: &AccountTerms) -> QuotaLimit {
         let (rate, burst) = (terms.rate_per_s, terms.burst);
         let window = rate * self.window_s + burst;
--- a/src/policy/quota/limit.rs
+++ b/src/policy/quota/limit.rs
@@ -1,11 +1,12 @@
-/// A client account's limit, in units.
+/// The token bucket of a client account, in units of request cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Units a second.
+    /// Units that the bucket gains per second.
     pub rate: f64,
-    /// What may come on top of the rate at once.
+    /// Capacity of the bucket, in units.
     pub burst: f64,
-    /// By how much a window may be exceeded: for what daemons let in before
-    /// they hear of each other, never to be used for good.
+    /// Units by which the admissions of a window may exceed the quota. It covers what daemons
+    /// admit before they receive each other's notices, and must not become a permanent
+    /// addition to the rate.
     pub slack: f64,
 }
--- a/src/policy/quota/mod.rs
+++ b/src/policy/quota/mod.rs
@@ -1,4 +1,4 @@
-//! How quotas of client accounts hold over all daemons together.
+//! Quotas of client accounts, enforced jointly by all daemons.
 
 mod account;
 mod bounds;
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -4,22 +4,22 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// How many announced weights are remembered: a daemon that may be cut off goes
-/// by the least of them, since others may not have heard the newest.
+/// Number of announced weights kept. While another daemon may be cut off, this daemon uses
+/// the lowest of them, since others may not have received the latest.
 const REMEMBERED_WEIGHTS: usize = 3;
 
-/// What a daemon tells about a client account's quota.
+/// What a daemon announces about a client account's quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaNotice {
     /// The client account.
     pub account: ClientAccount,
-    /// The weight with which it asks for a part of the rate.
+    /// Weight of the daemon's claim to a share of the rate, in units per second.
     pub weight: f64,
-    /// What it has let in since it started.
+    /// Units that the daemon has admitted since it started.
     pub admitted: f64,
-    /// What is left of the quota, as it sees it.
+    /// Units left in the bucket, in the daemon's view.
     pub level: f64,
-    /// The weights of all daemons together.
+    /// Sum of the weights of all daemons, in units per second.
     pub demand: f64,
 }
 
@@ -28,13 +28,13 @@
 pub struct QuotaTable {
     bounds: QuotaBounds,
     accounts: HashMap<ClientAccount, QuotaAccount>,
-    /// The weights that were announced last, the newest at the end.
+    /// The weights announced last, the latest at the end.
     announced: HashMap<ClientAccount, VecDeque<f64>>,
     last_notices: Vec<QuotaNotice>,
 }
 
 impl QuotaTable {
-    /// Opens a book whose quotas hold within some bounds.
+    /// Makes an empty table whose quotas hold within `bounds`.
     pub fn new(bounds: QuotaBounds) -> Self {
         Self {
             bounds,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Notes what a client account's request asks for; `start_share` is the part of the
-    /// rate that a daemon has before it knows others.
+    /// Records the cost of a request of a client account as demand. `start_share` is the
+    /// share of the rate that a daemon uses before it knows other daemons.
     pub fn record_demand(
         &mut self,
         terms: &AccountTerms,
@@ -57,12 +57,13 @@
         }
     }
 
-    /// Lets a request of a client account in; `start_share` is the part of the rate
-    /// that a daemon has before it knows others.
+    /// Admits a request of a client account. An account without a rate is not limited.
+    /// `start_share` is the share of the rate that a daemon uses before it knows other
+    /// daemons.
     ///
     /// # Errors
     ///
-    /// Returns why it is not let in now.
+    /// Returns why the request is not admitted now.
     pub fn admit(
         &mut self,
         terms: &AccountTerms,
@@ -78,7 +79,7 @@
         account.admit(cost, &limit, now_ms)
     }
 
-    /// Takes in what another daemon tells; `is_younger` says that it has not
+    /// Applies the notices of another daemon. `is_younger` says that the other daemon has not
     /// run for longer than this one.
     pub fn apply(
         &mut self,
@@ -92,42 +93,42 @@
             if let Some(account) = self.accounts.get_mut(&notice.account) {
                 account.apply(node, incarnation, notice.admitted, is_younger);
                 if !is_younger {
-                    account.learn_level(notice.level, now_ms);
+                    account.adopt_level(notice.level, now_ms);
                 }
             }
         }
     }
 
-    /// Returns what is left of a client account's quota, as this daemon sees it.
+    /// Returns the units left in a client account's bucket, in this daemon's view.
     pub fn level(&self, terms: &AccountTerms) -> f64 {
         let account = self.accounts.get(&terms.name);
         account.map_or(terms.burst, QuotaAccount::level)
     }
 
-    /// Returns whether an account asked for no more than its rate when all
-    /// daemons last told what they were asked for: only then does a request that
-    /// waits end in service more likely than not. Beyond the rate, others take
-    /// what comes in meanwhile.
+    /// Returns whether the last announced demand of an account at all daemons is within its
+    /// rate. Only then is a request that waits for quota more likely than not to be served:
+    /// beyond the rate, other requests use up what the bucket gains meanwhile.
     pub fn is_within_rate(&self, terms: &AccountTerms) -> bool {
         self.demand(terms) <= terms.rate_per_s
     }
 
-    /// Returns what all daemons together were asked for of an account's quota, in
-    /// units a second, as they told last.
+    /// Returns an account's demand at all daemons together as of the last tick, in units per
+    /// second.
     pub fn demand(&self, terms: &AccountTerms) -> f64 {
-        let told = self.last_notices.iter().find(|n| n.account == terms.name);
-        told.map_or(0.0, |n| n.demand)
+        let notice = self.last_notices.iter().find(|n| n.account == terms.name);
+        notice.map_or(0.0, |n| n.demand)
     }
 
-    /// Returns whether others should hear now of what was let in.
+    /// Returns whether the admissions should be announced to the other daemons now.
     pub fn should_announce(&self, terms: &AccountTerms) -> bool {
         let account = self.accounts.get(&terms.name);
         terms.rate_per_s > 0.0 && account.is_some_and(|a| a.should_announce(terms.burst))
     }
 
-    /// Brings the accounts up to date and returns what to tell others.
-    /// `others` gives what is known of the other daemons, by client account. While one
-    /// may be cut off, no weight grows: what it asked for is still its own.
+    /// Brings the accounts up to date and returns the notices for the other daemons. `others`
+    /// holds the known state of the other daemons by client account. While another daemon may
+    /// be cut off, this daemon's weight does not grow, since the share that the other one
+    /// claimed is still reserved for it.
     pub fn tick(
         &mut self,
         accounts: &[AccountTerms],
@@ -147,9 +148,9 @@
             if any_late {
                 weight = announced.iter().copied().fold(weight, f64::min);
             }
-            // What another asked for is this daemon's to let in now: without it,
-            // the requests of a whole failure domain would be out of turn until
-            // its own demand has grown.
+            // This daemon takes over the weights of the daemons that it replaces. Otherwise
+            // the requests of a whole failure domain would have to wait until this daemon's
+            // own demand has grown.
             let taken_over = others.iter().filter(|o| o.replaced).map(|o| o.weight);
             weight = weight.max(taken_over.sum());
             let others: Vec<_> = others.iter().filter(|o| !o.replaced).cloned().collect();
@@ -172,19 +173,20 @@
         notices
     }
 
-    /// Returns what was told last.
+    /// Returns the notices of the last tick.
     pub fn last_notices(&self) -> &[QuotaNotice] {
         &self.last_notices
     }
 
-    /// Takes out what another daemon let in by itself and this one is to count.
+    /// Takes units out of the bucket that another daemon admitted on its own and that this
+    /// daemon has to count.
     pub fn record_admitted(&mut self, account: &ClientAccount, units: f64) {
         if let Some(account) = self.accounts.get_mut(account) {
             account.record_admitted(units);
         }
     }
 
-    /// Returns an account's limit.
+    /// Returns the limit of a client account.
     pub fn limit_of(&self, account: &AccountTerms) -> QuotaLimit {
         self.bounds.limit_of(account)
     }
@@ -196,8 +198,10 @@
         now_ms: u64,
     ) -> &mut QuotaAccount {
         let limit = self.bounds.limit_of(terms);
-        let fresh = || QuotaAccount::new(start_share, &limit, now_ms);
+        let new_account = || QuotaAccount::new(start_share, &limit, now_ms);
         let accounts = &mut self.accounts;
-        accounts.entry(terms.name.clone()).or_insert_with(fresh)
+        accounts
+            .entry(terms.name.clone())
+            .or_insert_with(new_account)
     }
 }
