--- a/src/policy/cooldowns/mod.rs
+++ b/src/policy/cooldowns/mod.rs
@@ -1,4 +1,5 @@
-//! For how long upstreams that turned a request away want nothing from a daemon.
+//! Cooldowns of upstreams: how long an upstream that refused a request with a retry time is
+//! not sent requests.
 
 mod cooldown_table;
 mod reported_cooldowns;
--- a/src/policy/cooldowns/reported_cooldowns.rs
+++ b/src/policy/cooldowns/reported_cooldowns.rs
@@ -4,40 +4,40 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// How many daemons an upstream must have asked for rest to be left alone by others, too:
-/// one of them may only be meant itself.
-const ASKED_DAEMONS: usize = 2;
+/// Number of daemons to which an upstream must have named a cooldown before other daemons
+/// avoid it, too. A cooldown named to a single daemon may concern only that daemon.
+const MIN_REPORTING_DAEMONS: usize = 2;
 
-/// What upstreams want of a daemon, and of those that it places for, as these report it.
-/// Times are milliseconds of the daemon's steady clock.
+/// The cooldowns that upstreams named to this daemon and to the daemons for which it places
+/// requests, as those report them. Times are milliseconds of the daemon's steady clock.
 #[derive(Clone, Debug, Default)]
 pub struct ReportedCooldowns {
     by_daemon: HashMap<BoxId, CooldownTable>,
 }
 
 impl ReportedCooldowns {
-    /// Takes in how much rest an upstream still wants of a daemon.
+    /// Applies the remaining cooldown that a daemon reports for an upstream.
     pub fn apply(&mut self, daemon: &BoxId, id: &UpstreamId, left: Duration, now_ms: u64) {
         let cooldowns = self.by_daemon.entry(daemon.clone()).or_default();
         cooldowns.record(id, left, now_ms);
     }
 
-    /// Returns the upstreams that want rest of so many daemons that it is no matter of one.
-    /// Without this, each daemon of many with few requests each would learn it by a request
-    /// turned away.
+    /// Returns the upstreams that are in cooldown for at least [`MIN_REPORTING_DAEMONS`]
+    /// daemons. Without this, where many daemons send few requests each, every daemon would
+    /// learn of the cooldown only by a refused request.
     pub fn in_cooldown_for_many(&self, now_ms: u64) -> Vec<UpstreamId> {
-        let mut asked: HashMap<&UpstreamId, usize> = HashMap::new();
+        let mut daemon_counts: HashMap<&UpstreamId, usize> = HashMap::new();
         let in_cooldown = self.by_daemon.values().flat_map(|b| b.in_cooldown(now_ms));
         for (id, _) in in_cooldown {
-            *asked.entry(id).or_default() += 1;
+            *daemon_counts.entry(id).or_default() += 1;
         }
-        let many = asked
+        let many = daemon_counts
             .into_iter()
-            .filter(|(_, count)| *count >= ASKED_DAEMONS);
+            .filter(|(_, count)| *count >= MIN_REPORTING_DAEMONS);
         many.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Forgets rests that are over, and upstreams that are gone.
+    /// Removes cooldowns that are over and those of upstreams that are no longer known.
     pub fn retain(&mut self, is_known: impl Fn(&UpstreamId) -> bool, now_ms: u64) {
         self.by_daemon.retain(|_, cooldowns| {
             cooldowns.retain(&is_known, now_ms);
--- a/src/policy/cooldowns/retry_after.rs
+++ b/src/policy/cooldowns/retry_after.rs
@@ -1,28 +1,29 @@
 use std::time::Duration;
 
-/// The longest text that is read as a time, in bytes: more digits say nothing.
+/// Maximum length of a header value that is parsed, in bytes. More digits add no useful
+/// precision.
 const MAX_TEXT_BYTES: usize = 32;
 
-/// When an upstream that refused a request may be sent requests again.
+/// The retry time in an upstream's refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// It names no time.
+    /// The refusal names no retry time.
     Absent,
-    /// It wants nothing from this daemon for so long.
+    /// The upstream is not to be sent requests of this daemon for this time.
     For(Duration),
-    /// It names something that is no number of seconds: nothing is learned from it.
+    /// The header value is not a number of seconds and is ignored.
     Unreadable,
 }
 
 impl RetryAfter {
-    /// Reads the values of a refusal's header, plain decimal numbers of seconds: the
-    /// longest, where there are several.
+    /// Parses the header values of a refusal, each a plain decimal number of seconds. Of
+    /// several valid values, the longest applies.
     pub fn read<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut named = Self::Absent;
         for value in values {
             named = match (named, seconds(value)) {
-                (Self::For(known), Some(time)) => Self::For(known.max(time)),
-                (Self::For(known), None) => Self::For(known),
+                (Self::For(longest), Some(time)) => Self::For(longest.max(time)),
+                (Self::For(longest), None) => Self::For(longest),
                 (_, Some(time)) => Self::For(time),
                 (_, None) => Self::Unreadable,
             };
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions. Pure and synchronous: time and randomness are arguments.
+//! The decisions of the daemons, as pure and synchronous code: it performs no I/O, and takes
+//! the time and the source of randomness as arguments.
 
 mod admission;
 mod clients;
--- a/src/policy/retries/mod.rs
+++ b/src/policy/retries/mod.rs
@@ -1,4 +1,5 @@
-//! Whether and when a request is sent again.
+//! Retries: budgets, backoff, the conditions for another attempt, and the detection of
+//! stalled streams.
 
 mod retry;
 mod retry_allowance;
--- a/src/policy/retries/retry_allowance.rs
+++ b/src/policy/retries/retry_allowance.rs
@@ -1,9 +1,9 @@
-/// One daemon's share of the budget for repeated sends to a service.
+/// One daemon's share of the retry budget of a service.
 ///
-/// Each first send earns a fraction of a repeat; what is not earned comes from
-/// a fixed share of the slack. Shares add up to less than the whole budget, so
-/// daemons need not talk about it. With more daemons than repeats a share is less
-/// than one, and a daemon has a repeat by chance.
+/// Each first send earns a fraction of a retry; further retries come from a fixed share of
+/// the budget's slack. The shares of all daemons add up to less than the whole budget, so
+/// that daemons need not coordinate. If there are more daemons than retries in the slack, a
+/// share is less than one retry, and a daemon gets a retry with that probability.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAllowance {
     balance: f64,
@@ -12,7 +12,8 @@
 }
 
 impl RetryAllowance {
-    /// Starts with the whole share of the slack.
+    /// Makes an allowance that holds its full share of the slack. `ratio` is the fraction of a
+    /// retry that each first send earns.
     pub fn new(ratio: f64, slack_share: f64) -> Self {
         Self {
             balance: slack_share,
@@ -21,25 +22,27 @@
         }
     }
 
-    /// Sets the share of the slack: it changes with the number of daemons.
+    /// Sets the share of the slack, which changes with the number of daemons.
     pub fn set_share(&mut self, slack_share: f64) {
         self.cap = slack_share;
         self.balance = self.balance.min(self.cap);
     }
 
-    /// Notes a first send.
+    /// Adds the fraction of a retry that a first send earns.
     pub fn earn(&mut self) {
         self.balance = (self.balance + self.ratio).min(self.cap);
     }
 
-    /// Spends a repeat, if one is left. A part of one is spent whole or lost, by a draw
-    /// from 0 to 1: those that draw anew until they win would have a whole one each.
+    /// Takes one retry from the allowance and returns whether there was one. `draw` is a
+    /// random number from 0 to 1: a balance of less than one retry grants a retry with that
+    /// probability and is used up in either case. If it remained after a lost draw, a daemon
+    /// could draw until it wins and would get a full retry.
     pub fn spend(&mut self, draw: f64) -> bool {
         if self.balance >= 1.0 {
             self.balance -= 1.0;
             return true;
         }
-        // A part of a larger share grows to a whole one.
+        // With a share of at least one retry, the balance can grow to a full retry.
         if self.cap >= 1.0 {
             return false;
         }
--- a/src/policy/retries/retry_situation.rs
+++ b/src/policy/retries/retry_situation.rs
@@ -1,22 +1,22 @@
-/// The least time in which it makes sense to send a request again, in milliseconds.
+/// Minimum time left before the deadline for another attempt to be useful, in milliseconds.
 const MIN_TIME_LEFT_MS: u64 = 30;
-/// How many upstreams are tried at most, unreachable ones included.
+/// Maximum number of upstreams tried for a request, including unreachable ones.
 const MAX_TRIED: usize = 6;
 
-/// Where a request stands after a try that failed.
+/// The state of a request after a failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RetrySituation {
-    /// Whether it may have run somewhere.
+    /// The request may have run on some upstream.
     pub may_have_run: bool,
-    /// Whether it may run more than once.
+    /// The request may run more than once, since its route declares it repeatable.
     pub repeatable: bool,
-    /// How many upstreams it has reached.
+    /// Number of upstreams that the request has reached.
     pub sends: u32,
-    /// How many it may reach.
+    /// Maximum of `sends`, set by the route.
     pub max_sends: u32,
-    /// How many were tried, unreachable ones included.
+    /// Number of upstreams tried, including unreachable ones.
     pub tried: usize,
-    /// The time that is left, in milliseconds.
+    /// Time left before the request's deadline, in milliseconds.
     pub time_left_ms: u64,
 }
 
