--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -30,7 +30,7 @@
 mod quarantine;
 mod quota;
 mod reclaim;
-mod repeats;
+mod retries;
 mod report;
 mod rollout_duty;
 mod rollouts;
--- a/tests/decisions/repeats.rs
+++ b/tests/decisions/retries.rs
@@ -15,17 +15,17 @@
 
 /// An outage: each first send fails, and each daemon repeats as often as it may. Returns
 /// how many were repeated.
-fn repeats(daemons: usize, slack: f64, firsts_each: u32, seed: u64) -> u32 {
+fn retries(daemons: usize, slack: f64, firsts_each: u32, seed: u64) -> u32 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut repeats = 0;
+    let mut retries = 0;
     for _ in 0..daemons {
         let mut allowance = RetryAllowance::new(RATIO, slack_share(slack, daemons));
         for _ in 0..firsts_each {
             allowance.earn();
-            repeats += u32::from(allowance.spend(rng.random()));
+            retries += u32::from(allowance.spend(rng.random()));
         }
     }
-    repeats
+    retries
 }
 
 #[test]
@@ -33,12 +33,12 @@
     for slack in [4.0, 52.0, 1_040.0] {
         for daemons in [1, 6, 30, 300, 985, 1_300, 2_000, 5_000] {
             for (seed, firsts) in (0..SEEDS).flat_map(|seed| [1, 4].map(|firsts| (seed, firsts))) {
-                let repeats = repeats(daemons, slack, firsts, seed);
+                let retries = retries(daemons, slack, firsts, seed);
                 let sent = daemons as f64 * f64::from(firsts);
                 let allowed = sent * RATIO + slack;
                 assert!(
-                    f64::from(repeats) <= allowed,
-                    "{repeats} of {allowed}: {daemons} daemons, slack {slack}, seed {seed}"
+                    f64::from(retries) <= allowed,
+                    "{retries} of {allowed}: {daemons} daemons, slack {slack}, seed {seed}"
                 );
             }
         }
@@ -48,7 +48,7 @@
 #[test]
 fn the_budget_is_of_use_at_any_number_of_daemons() {
     for daemons in [6, 300, 985, 2_000, 5_000] {
-        let sums = (0..SEEDS).map(|seed| repeats(daemons, 1_040.0, 1, seed));
+        let sums = (0..SEEDS).map(|seed| retries(daemons, 1_040.0, 1, seed));
         let mean = f64::from(sums.sum::<u32>()) / SEEDS as f64;
         let asked = daemons as f64;
         assert!(
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -182,20 +182,20 @@
 fn repeats_of_all_daemons_stay_within_the_budget() {
     // Eight daemons in outage: every request is repeated as often as allowed.
     let (ratio, slack, daemons) = (0.2, 52.0, 8);
-    let mut repeats = 0;
+    let mut retries = 0;
     let requests = 400;
     for _ in 0..daemons {
         let mut allowance = RetryAllowance::new(ratio, slack / f64::from(daemons));
         for _ in 0..requests / daemons {
             allowance.earn();
-            repeats += u32::from(allowance.spend(0.0));
+            retries += u32::from(allowance.spend(0.0));
         }
     }
     assert!(
-        f64::from(repeats) <= f64::from(requests) * ratio + slack,
-        "{repeats}"
+        f64::from(retries) <= f64::from(requests) * ratio + slack,
+        "{retries}"
     );
-    assert!(repeats >= 60, "the budget is of use: {repeats}");
+    assert!(retries >= 60, "the budget is of use: {retries}");
 }
 
 fn candidate() -> Candidate {
