--- a/tests/decisions/cooldowns.rs
+++ b/tests/decisions/cooldowns.rs
@@ -1,4 +1,4 @@
-//! For how long upstreams that turned requests away want nothing from a daemon.
+//! Cooldowns of upstreams that refused requests: parsing, expiry and exchange among daemons.
 
 use {
     saddlepulley::{
@@ -21,12 +21,12 @@
 }
 
 #[test]
-fn what_is_no_number_of_seconds_is_read_as_a_rest() {
+fn retry_times_that_are_no_number_of_seconds_start_no_cooldown() {
     assert_eq!(read(&[]), RetryAfter::Absent);
     assert_eq!(read(&["3"]), RetryAfter::For(seconds(3.0)));
     assert_eq!(read(&[" 0.25 "]), RetryAfter::For(seconds(0.25)));
     assert_eq!(read(&["0"]), RetryAfter::For(Duration::ZERO));
-    // The longest counts; beside it what can't be read is no matter.
+    // The longest value applies; values that cannot be parsed are ignored beside it.
     assert_eq!(read(&["1", "x", "2"]), RetryAfter::For(seconds(2.0)));
     let long = "9".repeat(300);
     for junk in [
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_later_word_cuts_a_rest_short() {
+fn a_later_response_does_not_shorten_a_cooldown() {
     let mut cooldowns = CooldownTable::default();
     cooldowns.record(&id("a"), seconds(3.0), 1_000);
     cooldowns.record(&id("a"), seconds(1.0), 1_500);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_rest_of_no_time_or_of_all_time_overflows() {
+fn cooldowns_of_zero_or_maximum_length_do_not_overflow() {
     let mut cooldowns = CooldownTable::default();
     cooldowns.record(&id("a"), Duration::ZERO, 1_000);
     assert!(!cooldowns.is_in_cooldown(&id("a"), 1_000));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn rests_that_are_over_and_upstreams_that_are_gone_are_kept() {
+fn expired_cooldowns_and_those_of_removed_upstreams_are_not_kept() {
     let mut cooldowns = CooldownTable::default();
     cooldowns.record(&id("over"), seconds(1.0), 0);
     cooldowns.record(&id("gone"), seconds(9.0), 0);
@@ -68,20 +68,20 @@
     assert_eq!(kept, [id("kept")]);
 }
 
-/// What an upstream wants of one daemon may concern only that one.
+/// A cooldown named to a single daemon may concern only that daemon.
 #[test]
-fn one_daemon_that_is_asked_for_rest_keeps_all_away() {
+fn a_cooldown_of_a_single_daemon_does_not_keep_the_others_away() {
     let (one, other) = (BoxId::from("one"), BoxId::from("other"));
-    let mut told = ReportedCooldowns::default();
-    told.apply(&one, &id("a"), seconds(3.0), 0);
-    told.apply(&one, &id("a"), seconds(2.0), 100);
-    assert!(told.in_cooldown_for_many(200).is_empty());
-    told.apply(&other, &id("a"), seconds(1.0), 200);
-    assert_eq!(told.in_cooldown_for_many(300), [id("a")]);
-    // Over for one of the two.
-    assert!(told.in_cooldown_for_many(1_200).is_empty());
-    told.apply(&other, &id("a"), seconds(9.0), 1_200);
-    assert_eq!(told.in_cooldown_for_many(1_300), [id("a")]);
-    told.retain(|_| true, 5_000);
-    assert!(told.in_cooldown_for_many(1_300).is_empty(), "forgotten");
+    let mut reported = ReportedCooldowns::default();
+    reported.apply(&one, &id("a"), seconds(3.0), 0);
+    reported.apply(&one, &id("a"), seconds(2.0), 100);
+    assert!(reported.in_cooldown_for_many(200).is_empty());
+    reported.apply(&other, &id("a"), seconds(1.0), 200);
+    assert_eq!(reported.in_cooldown_for_many(300), [id("a")]);
+    // The cooldown has ended for one of the two daemons.
+    assert!(reported.in_cooldown_for_many(1_200).is_empty());
+    reported.apply(&other, &id("a"), seconds(9.0), 1_200);
+    assert_eq!(reported.in_cooldown_for_many(1_300), [id("a")]);
+    reported.retain(|_| true, 5_000);
+    assert!(reported.in_cooldown_for_many(1_300).is_empty(), "forgotten");
 }
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests are placed, against the naive policy.
+//! The placement policies, also compared with the naive baseline.
 
 use {
     crate::support::{ask, upstream},
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn cheapest_takes_the_cheaper_box_while_it_is_on_target() {
+fn cheapest_on_target_chooses_the_cheaper_box_while_it_meets_the_target() {
     let mut dear = upstream("dear");
     dear.price_micros = 900;
     let cheap = upstream("cheap");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn cheapest_pays_more_rather_than_miss_the_target() {
+fn cheapest_on_target_chooses_a_dearer_box_rather_than_miss_the_target() {
     let mut dear = upstream("dear");
     dear.price_micros = 900;
     let mut cheap = upstream("cheap");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn keep_work_goes_where_the_prompt_is_cached() {
+fn keep_work_chooses_the_box_that_has_the_prompt_cached() {
     let plain = upstream("plain");
     let mut cached = upstream("cached");
     cached.cached_tokens = 992;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn keep_work_puts_long_work_where_a_reclaim_is_unlikely() {
+fn keep_work_chooses_the_box_whose_reclaim_is_unlikely() {
     let mut risky = upstream("risky");
     risky.hazard_per_s = 0.01;
     let mut safe = upstream("safe");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn own_dispatches_that_no_report_counts_yet_are_counted() {
+fn dispatches_since_the_last_report_are_counted() {
     let mut a = upstream("a");
     a.unreported = 40;
     let b = upstream("b");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_full_adaptive_limit_is_no_place() {
+fn upstreams_at_their_adaptive_limit_are_not_chosen() {
     let mut a = upstream("a");
     a.in_flight = a.limit;
     assert_eq!(
@@ -81,8 +81,8 @@
     assert_eq!(NaivePlacement.choose(&ask(), &[a], &mut rng()), Some(0));
 }
 
-/// Differential: over random worlds, each policy's estimate for its own measure
-/// is never worse than naive's, on average over the worlds.
+/// Differential test over random sets of upstreams: on average, each policy's choice is
+/// better than that of the naive policy by the policy's own measure.
 #[test]
 fn each_policy_beats_naive_on_its_own_measure() {
     use rand::Rng;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn shares_split_the_requests_of_a_row() {
+fn requests_of_a_row_are_split_by_its_policy_shares() {
     let shares = BTreeMap::from([
         (PolicyName::from("cheapest-on-target"), 25),
         (PolicyName::from("keep-work"), 75),
--- a/tests/decisions/quarantine.rs
+++ b/tests/decisions/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back because upstreams end under them.
+//! Quarantine of requests that crash the upstreams that run them.
 
 use {
     rand::{Rng, SeedableRng, seq::IndexedRandom},
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn fingerprints_tell_callers_methods_paths_and_bodies_apart() {
+fn fingerprints_differ_by_account_method_path_and_body() {
     let (a, b) = (ClientAccount::from("a"), ClientAccount::from("b"));
     let of = RequestFingerprint::of;
     let all = [
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_request_is_held_back_once_three_upstreams_ended_under_it() {
+fn a_request_is_held_back_after_three_crashes() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
         assert_eq!(crash_table.held_for(poison, n * 2_000), None, "{n}");
@@ -54,18 +54,18 @@
 }
 
 #[test]
-fn one_end_counts_once_whoever_saw_it_and_an_upstream_may_end_again() {
+fn a_crash_seen_by_several_daemons_counts_once_and_a_later_one_of_the_same_upstream_again() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
     assert!(crash_table.record_end(poison, &upstream(0), 0, 1_000));
     assert!(!crash_table.record_end(poison, &upstream(0), 0, 1_300));
-    let told = KnownCrash {
+    let announced = KnownCrash {
         fingerprint: poison,
         upstream: upstream(0),
         age_ms: 900,
         ran_ms: 90,
         is_cleared: false,
     };
-    assert!(!crash_table.apply(&told, None, 2_500));
+    assert!(!crash_table.apply(&announced, None, 2_500));
     for at_ms in [6_000, 11_000] {
         assert_eq!(crash_table.held_for(poison, at_ms), None);
         assert!(crash_table.record_end(poison, &upstream(0), 0, at_ms));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn requests_that_ran_beside_it_are_not_held_back() {
+fn requests_that_ran_beside_the_cause_are_not_held_back() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
         crash_table.record_end(poison, &upstream(n), 0, n * 100);
@@ -85,15 +85,16 @@
     assert_eq!(crash_table.held(300), vec![poison]);
 }
 
-/// All upstreams of a service are lost at one moment, and on each runs what is asked most.
+/// All upstreams of a service are lost at the same time while a frequent request runs on each
+/// of them.
 #[test]
-fn upstreams_that_are_lost_together_count_once() {
+fn simultaneous_crashes_count_once() {
     let (mut crash_table, often) = (crash_table(), request("often"));
     for n in 0..8 {
         crash_table.record_end(often, &upstream(n), 30 + n, 1_000 + n);
     }
     assert!(crash_table.held(1_010).is_empty());
-    // Twice more, one after the other, is no coincidence.
+    // Two more successive crashes are not a coincidence.
     crash_table.record_end(often, &upstream(8), 30, 2_000);
     assert!(crash_table.held(2_000).is_empty());
     crash_table.record_end(often, &upstream(9), 30, 3_000);
@@ -101,19 +102,19 @@
 }
 
 #[test]
-fn one_that_was_beside_it_each_time_is_told_apart_by_the_next_end() {
+fn a_crash_without_the_other_request_shows_which_of_two_is_the_cause() {
     let (mut crash_table, poison, beside) = (crash_table(), request("p"), request("i"));
     for n in 0..3 {
         crash_table.record_end(poison, &upstream(n), 0, n * 100);
         crash_table.record_end(beside, &upstream(n), 0, n * 100);
     }
-    assert!(crash_table.held(300).is_empty(), "not told apart yet");
+    assert!(crash_table.held(300).is_empty(), "cause not known yet");
     crash_table.record_end(poison, &upstream(3), 0, 400);
     assert_eq!(crash_table.held(400), vec![poison]);
 }
 
 #[test]
-fn requests_that_never_come_apart_are_held_back_a_little_later() {
+fn requests_that_always_run_together_are_both_held_back_after_more_crashes() {
     let (mut crash_table, one, other) = (crash_table(), request("p"), request("q"));
     for n in 0..5 {
         assert!(crash_table.held(n * 100).is_empty());
@@ -124,22 +125,22 @@
 }
 
 #[test]
-fn a_request_that_is_answered_whole_is_cleared_whatever_is_told_in_which_order() {
+fn a_completely_answered_request_is_cleared_in_any_order_of_announcements() {
     let (mut here, mut there, often) = (crash_table(), crash_table(), request("i"));
     for n in 0..3 {
         here.record_end(often, &upstream(n), 0, n * 100);
     }
-    let ends = here.to_announce(24, 300).hubs;
+    let crashes = here.to_announce(24, 300).hubs;
     assert!(here.record_complete(often));
-    assert!(!here.record_complete(often), "no news");
+    assert!(!here.record_complete(often), "cleared already");
     assert!(here.held(300).is_empty());
     let cleared = here.to_announce(24, 300).hubs;
-    assert!(cleared.iter().all(|end| end.is_cleared));
-    for end in cleared.iter().chain(&ends) {
-        there.apply(end, None, 400);
+    assert!(cleared.iter().all(|crash| crash.is_cleared));
+    for crash in cleared.iter().chain(&crashes) {
+        there.apply(crash, None, 400);
     }
     assert!(there.held(400).is_empty());
-    // What happens later counts.
+    // Later crashes count again.
     for n in 3..6 {
         there.record_end(often, &upstream(n), 0, n * 1_000);
     }
@@ -147,22 +148,22 @@
 }
 
 #[test]
-fn after_its_hold_one_more_end_holds_it_back_again() {
+fn one_more_crash_after_the_hold_time_holds_a_request_back_again() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..3 {
         crash_table.record_end(poison, &upstream(n), 0, n);
     }
-    let back_ms = HOLD_MS + 10;
-    crash_table.tick(back_ms);
-    assert_eq!(crash_table.held_for(poison, back_ms), None);
-    crash_table.record_end(poison, &upstream(3), 0, back_ms);
-    assert_eq!(crash_table.held_for(poison, back_ms), Some(HOLD_MS));
-    crash_table.tick(back_ms + 2 * HOLD_MS);
+    let restart_ms = HOLD_MS + 10;
+    crash_table.tick(restart_ms);
+    assert_eq!(crash_table.held_for(poison, restart_ms), None);
+    crash_table.record_end(poison, &upstream(3), 0, restart_ms);
+    assert_eq!(crash_table.held_for(poison, restart_ms), Some(HOLD_MS));
+    crash_table.tick(restart_ms + 2 * HOLD_MS);
     assert!(crash_table.is_empty());
 }
 
 #[test]
-fn what_is_kept_and_told_stays_bounded_and_the_most_suspected_come_first() {
+fn the_table_and_its_announcements_are_bounded_and_start_with_the_most_suspected() {
     let (mut crash_table, poison) = (crash_table(), request("p"));
     for n in 0..2 {
         crash_table.record_end(poison, &upstream(n), 0, n);
@@ -171,27 +172,30 @@
         crash_table.record_end(request(&n.to_string()), &upstream(n % 300), 0, n);
     }
     assert_eq!(crash_table.len(), 512);
-    let told = crash_table.to_announce(24, 20_000);
-    assert_eq!(told.hubs.len(), 24);
-    assert_eq!(told.hubs[0].fingerprint, poison);
+    let announced = crash_table.to_announce(24, 20_000);
+    assert_eq!(announced.hubs.len(), 24);
+    assert_eq!(announced.hubs[0].fingerprint, poison);
     crash_table.record_end(poison, &upstream(400), 0, 20_000);
     assert_eq!(crash_table.held(20_000), vec![poison]);
 }
 
 #[test]
-fn what_is_to_be_written_is_written_by_those_that_saw_it_and_dropped_when_cleared() {
+fn records_are_written_by_daemons_that_saw_a_crash_and_emptied_when_cleared() {
     let (mut here, mut there, poison) = (crash_table(), crash_table(), request("p"));
     here.record_end(poison, &upstream(0), 0, 0);
-    assert!(here.to_write(9, 0).is_empty(), "one end is no pattern");
+    assert!(here.to_write(9, 0).is_empty(), "one crash is no pattern");
     for n in 1..3 {
         here.record_end(poison, &upstream(n), 0, n);
         assert_eq!(here.to_write(9, n)[0].ends.len() as u64, n + 1);
     }
-    for end in here.to_announce(24, 3).hubs {
-        there.apply(&end, Some(true), 3);
+    for crash in here.to_announce(24, 3).hubs {
+        there.apply(&crash, Some(true), 3);
     }
     assert!(there.held_for(poison, 3).is_some());
-    assert!(there.to_write(9, 3).is_empty(), "it saw none of them");
+    assert!(
+        there.to_write(9, 3).is_empty(),
+        "it saw none of the crashes"
+    );
     let due = here.to_write(9, 3);
     assert_eq!(due[0].ends.len(), 3);
     here.record_written(&due[0]);
@@ -200,137 +204,142 @@
     assert!(here.to_write(9, 3)[0].ends.is_empty());
 }
 
-/// A daemon of the simulation: what it knows, and what is on its way to it.
+/// The messages in transit to a daemon of the simulation, by arrival time and message number.
 #[derive(Default)]
 struct Mailbox(BTreeMap<(u64, u64), KnownCrash>);
 
 const DAEMONS: usize = 6;
 const UPSTREAMS: u64 = 16;
 const TICK_MS: u64 = 100;
-const CONTACT_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 3_000;
 
-/// Plays two requests that end what runs them, others that come as often, and losses of
-/// upstreams that none of them caused; returns sends of the first two that came too late,
-/// and innocent requests that were held back of all that came.
+/// Simulates two requests that crash their upstreams, innocent requests, some of them as
+/// frequent, and losses of upstreams that no request causes. Returns the number of sends of
+/// each of the first two that came too late, the number of innocent requests that were held
+/// back, and the number of all innocent requests.
 fn play(seed: u64) -> ([usize; 2], usize, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    // From one each five seconds to three a second.
-    let comes = [0.02, 0.05, 0.1, 0.3][(seed % 4) as usize];
-    let mut books: Vec<CrashTable> = (0..DAEMONS).map(|_| crash_table()).collect();
-    let mut mail: Vec<Mailbox> = (0..DAEMONS).map(|_| Mailbox::default()).collect();
+    // From one request in five seconds to three in a second.
+    let send_probability = [0.02, 0.05, 0.1, 0.3][(seed % 4) as usize];
+    let mut tables: Vec<CrashTable> = (0..DAEMONS).map(|_| crash_table()).collect();
+    let mut mailboxes: Vec<Mailbox> = (0..DAEMONS).map(|_| Mailbox::default()).collect();
     let poisons = [request("p"), request("q")];
-    let mut back_ms = vec![0; UPSTREAMS as usize];
-    let (mut ends, mut third_ms, mut late) = ([0; 2], [None; 2], [0; 2]);
-    let (mut held, mut asked, mut letters) = (0, 0, 0);
-    // Innocent requests under way: who, where, at which daemon, since and until when.
-    let mut under_way: Vec<(RequestFingerprint, u64, usize, u64, u64)> = Vec::new();
+    let mut restart_ms = vec![0; UPSTREAMS as usize];
+    let (mut crash_counts, mut third_crash_ms, mut late) = ([0; 2], [None; 2], [0; 2]);
+    let (mut held, mut innocent_count, mut message_count) = (0, 0, 0);
+    // Innocent requests in flight: fingerprint, upstream, daemon, start and end time.
+    let mut in_flight: Vec<(RequestFingerprint, u64, usize, u64, u64)> = Vec::new();
     for now_ms in (0..40_000).step_by(TICK_MS as usize) {
-        for (crash_table, mailbox) in books.iter_mut().zip(&mut mail) {
+        for (crash_table, mailbox) in tables.iter_mut().zip(&mut mailboxes) {
             let due: Vec<_> = mailbox
                 .0
                 .range(..(now_ms, u64::MAX))
                 .map(|(k, _)| *k)
                 .collect();
             for key in due {
-                let mut end = mailbox.0.remove(&key).unwrap();
-                // What a datagram takes on its way is not in the age that it tells.
-                end.age_ms = end.age_ms.saturating_sub(rng.random_range(0..50));
-                crash_table.apply(&end, None, now_ms);
+                let mut crash = mailbox.0.remove(&key).unwrap();
+                // The announced age does not include the time that the datagram was under way.
+                crash.age_ms = crash.age_ms.saturating_sub(rng.random_range(0..50));
+                crash_table.apply(&crash, None, now_ms);
             }
         }
         let up: Vec<u64> = (0..UPSTREAMS)
-            .filter(|u| back_ms[*u as usize] <= now_ms)
+            .filter(|u| restart_ms[*u as usize] <= now_ms)
             .collect();
-        let mut ended: Vec<u64> = Vec::new();
-        // A loss of some upstreams, or of all, that no request caused.
+        let mut crashed: Vec<u64> = Vec::new();
+        // Losses of some or of all upstreams that no request causes.
         if rng.random_bool(0.002) {
-            ended.extend(up.choose_multiple(&mut rng, 4));
+            crashed.extend(up.choose_multiple(&mut rng, 4));
         }
         if rng.random_bool(0.001) {
-            ended.extend(&up);
+            crashed.extend(&up);
         }
         for (n, poison) in poisons.iter().enumerate() {
             let daemon = rng.random_range(0..DAEMONS);
-            if !rng.random_bool(comes) || books[daemon].held_for(*poison, now_ms).is_some() {
+            if !rng.random_bool(send_probability)
+                || tables[daemon].held_for(*poison, now_ms).is_some()
+            {
                 continue;
             }
             let Some(at) = up.choose(&mut rng) else {
                 continue;
             };
-            if third_ms[n].is_some_and(|third| now_ms > third + CONTACT_MS) {
+            if third_crash_ms[n].is_some_and(|third| now_ms > third + PROPAGATION_MS) {
                 late[n] += 1;
             }
-            ends[n] += 1;
-            if ends[n] == 3 {
-                third_ms[n] = Some(now_ms);
+            crash_counts[n] += 1;
+            if crash_counts[n] == 3 {
+                third_crash_ms[n] = Some(now_ms);
             }
-            books[daemon].record_end(*poison, &upstream(*at), 50, now_ms);
-            ended.push(*at);
+            tables[daemon].record_end(*poison, &upstream(*at), 50, now_ms);
+            crashed.push(*at);
         }
         for again in 0..2 {
             let once = request(&format!("{now_ms}/{again}"));
             let often = request(&format!("often {again}"));
             for innocent in [once, often] {
                 let daemon = rng.random_range(0..DAEMONS);
-                asked += 1;
-                if books[daemon].held_for(innocent, now_ms).is_some() {
+                innocent_count += 1;
+                if tables[daemon].held_for(innocent, now_ms).is_some() {
                     held += 1;
                     continue;
                 }
                 if let Some(at) = up.choose(&mut rng) {
                     let until_ms = now_ms + rng.random_range(100..1_500);
-                    under_way.push((innocent, *at, daemon, now_ms, until_ms));
+                    in_flight.push((innocent, *at, daemon, now_ms, until_ms));
                 }
             }
         }
-        under_way.retain(|(innocent, at, daemon, began_ms, until_ms)| {
-            if ended.contains(at) {
+        in_flight.retain(|(innocent, at, daemon, began_ms, until_ms)| {
+            if crashed.contains(at) {
                 let ran_ms = now_ms - began_ms;
-                books[*daemon].record_end(*innocent, &upstream(*at), ran_ms, now_ms);
+                tables[*daemon].record_end(*innocent, &upstream(*at), ran_ms, now_ms);
                 return false;
             }
             if now_ms >= *until_ms {
-                books[*daemon].record_complete(*innocent);
+                tables[*daemon].record_complete(*innocent);
                 return false;
             }
             true
         });
-        for at in ended {
-            back_ms[at as usize] = now_ms + rng.random_range(1_500..6_000);
+        for at in crashed {
+            restart_ms[at as usize] = now_ms + rng.random_range(1_500..6_000);
         }
-        for (from, teller) in books.iter_mut().enumerate() {
-            for end in teller.to_announce(24, now_ms).hubs {
+        for (from, announcer) in tables.iter_mut().enumerate() {
+            for crash in announcer.to_announce(24, now_ms).hubs {
                 for to in (0..DAEMONS).filter(|to| *to != from) {
                     if rng.random_bool(0.1) {
                         continue;
                     }
-                    letters += 1;
+                    message_count += 1;
                     let delay_ms = rng.random_range(0..600);
-                    // Hubs that pass it on tell its age then.
-                    let mut end = end.clone();
-                    end.age_ms += delay_ms;
-                    mail[to].0.insert((now_ms + delay_ms, letters), end);
+                    // Hubs that forward a crash add the time that they kept it to its age.
+                    let mut crash = crash.clone();
+                    crash.age_ms += delay_ms;
+                    mailboxes[to]
+                        .0
+                        .insert((now_ms + delay_ms, message_count), crash);
                 }
             }
         }
     }
-    (late, held, asked)
+    (late, held, innocent_count)
 }
 
 #[test]
-fn daemons_that_tell_each_other_with_losses_stop_in_time_and_hold_back_no_other() {
-    let (mut held, mut asked) = (0, 0);
+fn causes_are_held_back_in_time_and_innocent_requests_are_not_despite_lost_datagrams() {
+    let (mut held, mut innocent_count) = (0, 0);
     for seed in 0..400 {
-        let (late, held_here, asked_here) = play(seed);
+        let (late, held_here, innocent_count_here) = play(seed);
         assert!(
             late.iter().all(|n| *n <= 3),
             "seed {seed}: {late:?} too late"
         );
         held += held_here;
-        asked += asked_here;
+        innocent_count += innocent_count_here;
     }
     assert!(
-        held * 1_000 <= asked,
-        "{held} of {asked} innocent requests held back"
+        held * 1_000 <= innocent_count,
+        "{held} of {innocent_count} innocent requests held back"
     );
 }
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -1,4 +1,5 @@
-//! Quotas over several daemons, under seeds: lag, cuts and restarts.
+//! Quotas enforced by several daemons, simulated with fixed seeds: delayed and lost notices,
+//! partitions and restarts.
 
 use {
     crate::cluster_support::{address, told_account},
@@ -38,18 +39,21 @@
     tolerance: 72_000.0,
 };
 
-/// Daemons that offer `offered` times the rate together; `cut` says which are
-/// cut off from all others at a time. Returns what was let in, by time.
+/// A simulation of daemons that enforce the quota of one client account, and of the requests
+/// offered to them.
 struct Fleet {
     terms: AccountTerms,
-    books: Vec<QuotaTable>,
-    news: Vec<QuotaAnnouncer>,
+    tables: Vec<QuotaTable>,
+    announcers: Vec<QuotaAnnouncer>,
     lives: Vec<u64>,
     started_ms: Vec<u64>,
-    heard: Vec<HashMap<usize, (u64, Vec<QuotaNotice>)>>,
+    /// By receiver and sender: the time of the last contact, and the last notices.
+    received: Vec<HashMap<usize, (u64, Vec<QuotaNotice>)>>,
+    /// The admitted requests, as time and cost.
     admitted: Vec<(u64, f64)>,
+    /// Total cost of the refused requests.
     refused: f64,
-    /// How many of what is told of quotas is lost.
+    /// Probability that a batch of notices is lost.
     loss: f64,
     rng: ChaCha8Rng,
 }
@@ -58,11 +62,11 @@
     fn new(daemons: usize, seed: u64) -> Self {
         Self {
             terms: terms(),
-            books: vec![QuotaTable::new(BOUNDS); daemons],
-            news: (0..daemons).map(|_| QuotaAnnouncer::default()).collect(),
+            tables: vec![QuotaTable::new(BOUNDS); daemons],
+            announcers: (0..daemons).map(|_| QuotaAnnouncer::default()).collect(),
             lives: (0..daemons as u64).collect(),
             started_ms: vec![0; daemons],
-            heard: vec![HashMap::new(); daemons],
+            received: vec![HashMap::new(); daemons],
             admitted: Vec::new(),
             refused: 0.0,
             loss: 0.0,
@@ -71,13 +75,15 @@
     }
 
     fn restart(&mut self, daemon: usize) {
-        self.books[daemon] = QuotaTable::new(BOUNDS);
-        self.news[daemon] = QuotaAnnouncer::default();
+        self.tables[daemon] = QuotaTable::new(BOUNDS);
+        self.announcers[daemon] = QuotaAnnouncer::default();
         self.lives[daemon] += 1_000;
         self.started_ms[daemon] = self.admitted.last().map_or(0, |(at, _)| *at);
-        self.heard[daemon].clear();
+        self.received[daemon].clear();
     }
 
+    /// Offers `offered` times the rate to all daemons together until `until_ms`. `cut` is true
+    /// for daemons that are cut off from all others at a time.
     fn run(&mut self, until_ms: u64, offered: f64, cut: impl Fn(usize, u64) -> bool) {
         let from_ms = self
             .admitted
@@ -85,22 +91,22 @@
             .map_or(0, |(at, _)| *at / TICK_MS * TICK_MS);
         let mut now_ms = from_ms;
         while now_ms < until_ms {
-            self.tell(now_ms, &cut);
+            self.announce(now_ms, &cut);
             self.offer(now_ms, offered);
             now_ms += TICK_MS;
         }
     }
 
-    fn tell(&mut self, now_ms: u64, cut: &impl Fn(usize, u64) -> bool) {
-        let daemons = self.books.len();
+    fn announce(&mut self, now_ms: u64, cut: &impl Fn(usize, u64) -> bool) {
+        let daemons = self.tables.len();
         for from in 0..daemons {
             let others = self.others_of(from, now_ms);
             let notices =
-                self.books[from].tick(std::slice::from_ref(&self.terms), &others, daemons, now_ms);
+                self.tables[from].tick(std::slice::from_ref(&self.terms), &others, daemons, now_ms);
             let listeners = self.listeners_of(from);
-            let told = notices.iter().map(AnnouncedAccount::of).collect();
-            let told = self.news[from].due(told, listeners);
-            let notices: Vec<_> = told.iter().map(AnnouncedAccount::notice).collect();
+            let all = notices.iter().map(AnnouncedAccount::of).collect();
+            let due = self.announcers[from].due(all, listeners);
+            let notices: Vec<_> = due.iter().map(AnnouncedAccount::notice).collect();
             for to in (0..daemons).filter(|to| *to != from) {
                 if cut(from, now_ms) || cut(to, now_ms) {
                     continue;
@@ -108,28 +114,28 @@
                 let node = from.to_string();
                 let is_younger = self.started_ms[from] >= self.started_ms[to];
                 let incarnation = self.lives[from];
-                let heard = self.heard[to].entry(from).or_default();
-                heard.0 = now_ms;
+                let last_received = self.received[to].entry(from).or_default();
+                last_received.0 = now_ms;
                 if notices.is_empty() || self.rng.random_bool(self.loss) {
                     continue;
                 }
-                heard.1 = notices.clone();
-                self.books[to].apply(&node, incarnation, &notices, is_younger, now_ms);
+                last_received.1 = notices.clone();
+                self.tables[to].apply(&node, incarnation, &notices, is_younger, now_ms);
             }
         }
     }
 
-    /// Those that one has heard itself, silent ones too.
+    /// Returns the daemons from which a daemon has received notices, including silent ones.
     fn listeners_of(&self, at: usize) -> BTreeSet<Listener> {
-        let heard = self.heard[at].keys();
-        heard
+        let senders = self.received[at].keys();
+        senders
             .map(|from| (address(*from), self.lives[*from]))
             .collect()
     }
 
     fn others_of(&self, at: usize, now_ms: u64) -> HashMap<ClientAccount, Vec<OtherDaemon>> {
         let mut others: HashMap<ClientAccount, Vec<OtherDaemon>> = HashMap::new();
-        for (from, (last_seen_ms, notices)) in &self.heard[at] {
+        for (from, (last_seen_ms, notices)) in &self.received[at] {
             for notice in notices {
                 others
                     .entry(notice.account.clone())
@@ -148,7 +154,7 @@
     }
 
     fn offer(&mut self, now_ms: u64, offered: f64) {
-        let daemons = self.books.len();
+        let daemons = self.tables.len();
         let mut left = self.terms.rate_per_s * offered * TICK_MS as f64 / 1_000.0;
         while left > 0.0 {
             let cost = self.rng.random_range(500.0..15_000.0_f64);
@@ -156,15 +162,15 @@
             left -= cost;
             let start_share = 1.0 / daemons as f64;
             let at_ms = now_ms + self.rng.random_range(0..TICK_MS);
-            self.books[at].record_demand(&self.terms, cost, start_share, at_ms);
-            match self.books[at].admit(&self.terms, cost, start_share, at_ms) {
+            self.tables[at].record_demand(&self.terms, cost, start_share, at_ms);
+            match self.tables[at].admit(&self.terms, cost, start_share, at_ms) {
                 Ok(()) => self.admitted.push((at_ms, cost)),
                 Err(_) => self.refused += cost,
             }
         }
     }
 
-    /// The most that was let in within any window.
+    /// Returns the highest total cost admitted within any window.
     fn worst_window(&self) -> f64 {
         let starts = self.admitted.iter().map(|(at, _)| *at);
         let sums = starts.map(|start| {
@@ -176,7 +182,7 @@
     }
 }
 
-/// A limit that may not be exceeded at all.
+/// A limit without slack.
 fn exact(rate: f64, burst: f64) -> QuotaLimit {
     QuotaLimit {
         rate,
@@ -185,13 +191,13 @@
     }
 }
 
-/// What a window may hold at most: a tenth and some requests on top.
+/// The highest total cost that a window may admit: its quota, a tenth more, and the tolerance.
 fn allowed() -> f64 {
     (RATE * WINDOW_MS as f64 / 1_000.0 + BURST) * 1.1 + 72_000.0
 }
 
 #[test]
-fn offers_below_the_rate_are_let_in() {
+fn requests_below_the_rate_are_admitted() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(8, seed);
         fleet.run(3_000, 0.4, |_, _| false);
@@ -207,7 +213,7 @@
 }
 
 #[test]
-fn large_requests_of_a_account_with_a_small_limit_are_let_in_below_it() {
+fn large_requests_are_admitted_below_the_rate_of_an_account_with_a_small_limit() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(7, seed);
         fleet.terms.rate_per_s = 60_000.0;
@@ -225,7 +231,7 @@
 }
 
 #[test]
-fn after_a_loss_of_all_daemons_most_offers_below_the_rate_are_let_in_at_once() {
+fn most_requests_below_the_rate_are_admitted_right_after_all_daemons_restart() {
     let (mut refused, mut offered) = (0.0, 0.0);
     for seed in 0..40 {
         let mut fleet = Fleet::new(7, seed);
@@ -241,7 +247,7 @@
 }
 
 #[test]
-fn restarts_one_after_the_other_do_not_add_up() {
+fn successive_restarts_of_all_daemons_do_not_exceed_the_quota() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(7, seed);
         fleet.run(6_000, 4.0, |_, _| false);
@@ -256,7 +262,7 @@
 }
 
 #[test]
-fn a_account_that_sends_many_times_its_quota_is_held_to_it() {
+fn an_account_that_offers_many_times_its_rate_does_not_exceed_the_quota() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(8, seed);
         fleet.run(5_000, 0.5, |_, _| false);
@@ -267,11 +273,11 @@
 }
 
 #[test]
-fn daemons_that_are_cut_off_do_not_add_up_to_more() {
+fn daemons_that_are_cut_off_do_not_exceed_the_quota() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(6, seed);
         fleet.run(5_000, 0.9, |_, _| false);
-        // Two of six are alone; each of them is cut off from the other too.
+        // Two of six daemons are cut off from all others, and from each other.
         fleet.run(20_000, 4.0, |daemon, _| daemon < 2);
         let worst = fleet.worst_window();
         assert!(worst <= allowed(), "seed {seed}: {worst} of {}", allowed());
@@ -279,7 +285,7 @@
 }
 
 #[test]
-fn all_daemons_killed_twice_do_not_spend_their_bursts_anew() {
+fn daemons_that_are_all_killed_twice_do_not_admit_another_burst_each_time() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(8, seed);
         fleet.run(5_000, 1.0, |_, _| false);
@@ -294,7 +300,7 @@
 }
 
 #[test]
-fn the_quota_holds_where_some_of_what_is_told_is_lost() {
+fn lost_notices_do_not_exceed_the_quota() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(15, seed);
         fleet.loss = 0.1;
@@ -306,47 +312,47 @@
     }
 }
 
-/// Hubs told each other all accounts four times a second: of 333 accounts 0.7 MB a second
-/// out of each of 15 hubs, whether any request came or not.
+/// Guards against hubs that announce all accounts in every notice, four times a second: with
+/// 333 accounts, each of 15 hubs then sends 0.7 MB a second even without requests.
 #[test]
-fn what_hubs_tell_each_other_grows_with_the_accounts_in_use() {
+fn quota_announcements_grow_with_the_accounts_in_use_not_with_all_accounts() {
     const HUBS: usize = 15;
     const IN_USE: usize = 20;
     const ANNOUNCEMENTS: usize = 400;
     for accounts in [40, 333, 2_000] {
         let all: Vec<AnnouncedAccount> = (0..accounts).map(told_account).collect();
-        let mut news = QuotaAnnouncer::default();
+        let mut announcer = QuotaAnnouncer::default();
         let listeners: BTreeSet<Listener> = (0..HUBS).map(|n| (address(n), 1)).collect();
-        let mut told = HashMap::<String, usize>::new();
+        let mut announced = HashMap::<String, usize>::new();
         let mut count = 0;
         for n in 0..ANNOUNCEMENTS {
             let mut now = all.clone();
             now[n % IN_USE].admitted += n as f64;
-            // The number of daemons that are heard moves all the time.
-            let moved = 1.0 - (n % 3) as f32 / 100.0;
-            now.iter_mut().for_each(|account| account.weight *= moved);
-            for account in news.due(now, listeners.clone()) {
-                *told.entry(account.name).or_default() += 1;
+            // The number of known daemons, and with it all weights, changes all the time.
+            let factor = 1.0 - (n % 3) as f32 / 100.0;
+            now.iter_mut().for_each(|account| account.weight *= factor);
+            for account in announcer.due(now, listeners.clone()) {
+                *announced.entry(account.name).or_default() += 1;
                 count += 1;
             }
         }
-        assert_eq!(told.len(), accounts);
+        assert_eq!(announced.len(), accounts);
         let by_turns = ANNOUNCEMENTS * accounts / 8;
         assert!(
             count <= by_turns + 5 * accounts + 5 * ANNOUNCEMENTS,
             "{count}"
         );
-        assert!(told.values().all(|times| *times >= ANNOUNCEMENTS / 8));
-        // One that started anew needs to know what is left of each.
-        let mut anew = listeners.clone();
-        anew.remove(&(address(3), 1));
-        anew.insert((address(3), 2));
-        assert_eq!(news.due(all.clone(), anew).len(), accounts);
+        assert!(announced.values().all(|times| *times >= ANNOUNCEMENTS / 8));
+        // A restarted listener needs the level of each account.
+        let mut restarted = listeners.clone();
+        restarted.remove(&(address(3), 1));
+        restarted.insert((address(3), 2));
+        assert_eq!(announcer.due(all.clone(), restarted).len(), accounts);
     }
 }
 
 #[test]
-fn a_refused_request_is_told_when_to_come_back() {
+fn a_refused_request_is_given_a_retry_time_at_which_it_is_admitted() {
     let limit = exact(100.0, 1_000.0);
     let mut account = QuotaAccount::new(1.0, &limit, 0);
     let wait = account.admit(200.0, &limit, 0).unwrap_err();
@@ -357,7 +363,7 @@
 }
 
 #[test]
-fn one_that_is_out_of_turn_is_told_to_wait_for_the_next_notices() {
+fn a_request_beyond_the_share_of_its_daemon_waits_for_the_next_notices() {
     let limit = exact(100_000.0, 100_000.0);
     let mut account = QuotaAccount::new(0.1, &limit, 0);
     let other = OtherDaemon {
@@ -371,13 +377,13 @@
     account.tick(10_000.0, std::slice::from_ref(&other), &limit, 5_000);
     assert!(!account.should_announce(limit.burst));
     let wait = account.admit(30_000.0, &limit, 5_001).unwrap_err();
-    assert_eq!(wait, QuotaWait::NotYetDue, "larger than its part");
+    assert_eq!(wait, QuotaWait::NotYetDue, "larger than its share");
     assert!((100..=300).contains(&wait.retry_after_ms()));
     assert!(
         account.should_announce(limit.burst),
-        "others should hear soon"
+        "a waiting request is announced early"
     );
-    // What it left unused of its parts lets a larger request in, once.
+    // The unused shares of earlier ticks admit one larger request, once.
     for now_ms in [5_250, 5_500] {
         account.tick(10_000.0, std::slice::from_ref(&other), &limit, now_ms);
     }
@@ -387,7 +393,7 @@
 }
 
 #[test]
-fn the_quota_holds_when_all_of_a_large_system_restart_twice() {
+fn two_restarts_of_all_daemons_of_a_large_system_do_not_exceed_the_quota() {
     for seed in 0..5 {
         let mut fleet = Fleet::new(40, seed);
         fleet.run(9_000, 6.0, |_, _| false);
@@ -402,9 +408,9 @@
     }
 }
 
-/// A daemon whose notices came late has let nothing in meanwhile.
+/// A daemon whose notices are delayed has admitted nothing meanwhile.
 #[test]
-fn what_was_charged_for_a_silent_daemon_is_given_back_when_it_is_heard() {
+fn charges_for_a_silent_daemon_are_given_back_when_its_notice_arrives() {
     let limit = exact(100_000.0, 100_000.0);
     let mut account = QuotaAccount::new(0.5, &limit, 0);
     let others = |last_seen_ms: u64, silent: bool| {
@@ -424,16 +430,20 @@
     assert!(account.level() < 0.0, "charged: {}", account.level());
     account.apply("b", 1, 0.0, false);
     account.tick(50_000.0, &others(5_000, false), &limit, 5_001);
-    assert_eq!(account.level(), 100_000.0, "it had let nothing in");
+    assert_eq!(
+        account.level(),
+        100_000.0,
+        "the daemon had admitted nothing"
+    );
 }
 
 #[test]
-fn daemons_that_seem_silent_while_they_start_cost_their_accounts_nothing() {
+fn daemons_that_seem_silent_at_the_start_do_not_reduce_the_quota() {
     let (mut refused, mut offered) = (0.0, 0.0);
     for seed in 0..5 {
         let mut fleet = Fleet::new(15, seed);
-        // Each seems silent to the others for some seconds: they go by a
-        // shorter period than its own.
+        // Every other daemon seems silent for some seconds, as it does when the others expect
+        // shorter intervals between notices than it uses.
         fleet.run(4_000, 0.1, |daemon, now_ms| now_ms > 500 && daemon % 2 == 0);
         fleet.run(4_500, 0.0, |_, _| false);
         fleet.refused = 0.0;
@@ -445,11 +455,11 @@
 }
 
 #[test]
-fn waiting_is_worthwhile_only_while_an_account_asks_for_no_more_than_its_rate() {
+fn requests_may_wait_for_quota_only_while_the_demand_is_within_the_rate() {
     for (offered, is_within) in [(0.5, true), (3.0, false)] {
         let mut fleet = Fleet::new(8, 1);
         fleet.run(6_000, offered, |_, _| false);
-        for quota_table in &fleet.books {
+        for quota_table in &fleet.tables {
             assert_eq!(
                 quota_table.is_within_rate(&fleet.terms),
                 is_within,
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -1,8 +1,8 @@
-//! Repeated sends of all daemons together stay within the budget, however many daemons
-//! there are.
+//! Retries of all daemons together stay within the budget, for any number of daemons.
 //!
-//! Each daemon had one repeat at least: from more daemons than the slack has repeats on,
-//! an outage of an upstream's service let all of them together send more than is allowed.
+//! Guards against a share of at least one retry for each daemon: with more daemons than
+//! retries in the slack, an outage of a service then makes all daemons together exceed the
+//! budget.
 
 use {
     rand::{Rng, SeedableRng},
@@ -13,8 +13,8 @@
 const RATIO: f64 = 0.2;
 const SEEDS: u64 = 40;
 
-/// An outage: each first send fails, and each daemon repeats as often as it may. Returns
-/// how many were repeated.
+/// Plays an outage: each first send fails, and each daemon retries as often as its allowance
+/// permits. Returns the number of retries.
 fn retries(daemons: usize, slack: f64, firsts_each: u32, seed: u64) -> u32 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut retries = 0;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn repeats_stay_within_the_budget_at_any_number_of_daemons() {
+fn retries_stay_within_the_budget_at_any_number_of_daemons() {
     for slack in [4.0, 52.0, 1_040.0] {
         for daemons in [1, 6, 30, 300, 985, 1_300, 2_000, 5_000] {
             for (seed, firsts) in (0..SEEDS).flat_map(|seed| [1, 4].map(|firsts| (seed, firsts))) {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_budget_is_of_use_at_any_number_of_daemons() {
+fn most_of_the_slack_is_used_at_any_number_of_daemons() {
     for daemons in [6, 300, 985, 2_000, 5_000] {
         let sums = (0..SEEDS).map(|seed| retries(daemons, 1_040.0, 1, seed));
         let mean = f64::from(sums.sum::<u32>()) / SEEDS as f64;
@@ -58,9 +58,9 @@
     }
 }
 
-/// One that fails again and again has no more than its share.
+/// A daemon whose sends fail repeatedly gets no more retries than its share.
 #[test]
-fn those_that_draw_again_do_not_win_more() {
+fn repeated_draws_do_not_win_more_than_the_share() {
     let wins = (0..1_000).map(|seed| {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut allowance = RetryAllowance::new(RATIO, 0.4);
--- a/tests/decisions/spill.rs
+++ b/tests/decisions/spill.rs
@@ -1,4 +1,4 @@
-//! When a request goes to another failure domain.
+//! When a request is sent to another failure domain.
 
 use {
     crate::support::{ask, upstream},
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn it_stays_while_the_target_is_met() {
+fn requests_stay_while_the_target_is_met() {
     assert_eq!(chosen(&domain("a", 3, 0), 0, &[domain("b", 0, 0)]), None);
 }
 
 #[test]
-fn it_goes_where_there_is_room_when_the_target_would_be_missed() {
+fn requests_that_would_miss_the_target_go_to_a_domain_with_free_slots() {
     let others = [domain("b", 16, 30), domain("c", 2, 0)];
     assert_eq!(
         chosen(&domain("a", 16, 20), 0, &others),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn requests_that_wait_before_it_count() {
+fn queued_requests_count_toward_the_expected_latency() {
     let others = [domain("c", 2, 0)];
     assert_eq!(chosen(&domain("a", 10, 0), 0, &others), None);
     assert_eq!(
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn it_stays_where_no_domain_has_room() {
+fn requests_stay_if_no_other_domain_has_free_slots() {
     let others = [domain("b", 16, 1), domain("c", 14, 0)];
     assert_eq!(chosen(&domain("a", 16, 20), 0, &others), None);
 }
 
 #[test]
-fn several_domains_share_by_their_room() {
+fn requests_are_spread_over_domains_by_their_free_slots() {
     let others = [domain("b", 8, 0), domain("c", 0, 0)];
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let here = domain("a", 16, 20);
