--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -72,7 +72,7 @@
         incarnation: 1,
         sequence,
         every_ms: 500,
-        leans_on_you: false,
+        is_dependent: false,
         wants_digest: true,
         wants_all: true,
         status: DaemonStatus::default(),
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -111,7 +111,7 @@
         announce_held_to(gateway, to).await;
         announce_in_force(gateway, &BTreeSet::from([to])).await;
     }
-    if report.wants_all && report.leans_on_you {
+    if report.wants_all && report.is_dependent {
         let all = gateway.announced_quotas();
         let told = gateway.members.lock().quotas_for(&report.daemon.name, all);
         for part in quotas_parts(gateway, told, gateway.next_sequence(), 0) {
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -71,7 +71,7 @@
     /// Takes in a report; returns what is new.
     pub fn apply_report(&mut self, report: &Report, now_ms: u64) -> ReportChanges {
         let member = self.member(&report.daemon.name, report.incarnation, now_ms);
-        member.leans = report.leans_on_you;
+        member.leans = report.is_dependent;
         if !member.leans {
             return ReportChanges::default();
         }
--- a/src/cluster/hubs/report.rs
+++ b/src/cluster/hubs/report.rs
@@ -15,7 +15,7 @@
     /// After how long it will report again at the latest, in milliseconds.
     pub every_ms: u32,
     /// Whether it lets its requests in through this hub.
-    pub leans_on_you: bool,
+    pub is_dependent: bool,
     /// Whether it wants the hub's digest.
     pub wants_digest: bool,
     /// Whether it wants to be told of quotas and other daemons, too.
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -122,7 +122,7 @@
 
 async fn report_to_hub(gateway: &Gateway, hub: SocketAddr, wants_all: bool) {
     let mut report = own_report(gateway, hub, REPORT_EVERY_MS);
-    report.leans_on_you = true;
+    report.is_dependent = true;
     report.wants_all = wants_all;
     report.wants_digest |= wants_all;
     (report.alone, report.standalone_batch) = gateway.standalone_quotas.lock().to_announce(hub);
@@ -158,7 +158,7 @@
         incarnation: gateway.incarnation,
         sequence: gateway.next_sequence(),
         every_ms: every_ms as u32,
-        leans_on_you: false,
+        is_dependent: false,
         wants_digest,
         wants_all: false,
         status: gateway.status(),
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -21,7 +21,7 @@
         incarnation: 1,
         sequence,
         every_ms: 500,
-        leans_on_you: true,
+        is_dependent: true,
         wants_digest: true,
         wants_all: true,
         status: DaemonStatus::default(),
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -89,7 +89,7 @@
             incarnation: 1,
             sequence: self.sequence,
             every_ms: every_ms as u32,
-            leans_on_you: false,
+            is_dependent: false,
             wants_digest: true,
             wants_all: true,
             status: DaemonStatus::default(),
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -155,7 +155,7 @@
             incarnation: 1,
             sequence: self.sequence,
             every_ms: 2 * ROUND_MS as u32,
-            leans_on_you: true,
+            is_dependent: true,
             wants_digest: true,
             wants_all: true,
             status: DaemonStatus {
@@ -363,7 +363,7 @@
         incarnation: 5,
         sequence,
         every_ms: 500,
-        leans_on_you: true,
+        is_dependent: true,
         wants_digest: false,
         wants_all: false,
         status: DaemonStatus {
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -100,7 +100,7 @@
         incarnation: 5,
         sequence: 6,
         every_ms: 500,
-        leans_on_you: true,
+        is_dependent: true,
         wants_digest: true,
         wants_all: false,
         status: status(),
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -15,7 +15,7 @@
         incarnation: 1,
         sequence,
         every_ms: 500,
-        leans_on_you: true,
+        is_dependent: true,
         wants_digest: false,
         wants_all: false,
         status: DaemonStatus::default(),
