--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -71,7 +71,7 @@
         daemon: entry(n),
         incarnation: 1,
         sequence,
-        every_ms: 500,
+        interval_ms: 500,
         is_dependent: false,
         wants_digest: true,
         wants_all: true,
--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -143,10 +143,10 @@
     loop {
         let daemons = world.boxes.read().live_entries().count() as u64;
         // At most ten pages a second from all boxes together.
-        let every_ms = SCORES_EVERY_MS
+        let interval_ms = SCORES_EVERY_MS
             .min((daemons * 1_000).max(5_000))
             .max(daemons * 100);
-        tokio::time::sleep(Duration::from_millis(every_ms)).await;
+        tokio::time::sleep(Duration::from_millis(interval_ms)).await;
         publish_page(&world, &mut number, from_ms).await;
         from_ms = now_ms();
     }
--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -251,12 +251,12 @@
 pub async fn keep_snapshots(world: Arc<World>) {
     let mut last_at = world.table_in_force().folded_to;
     let mut last_ms = now_ms();
-    let every_ms = world.settings.platform.log_retention_s * 1_000 / 4;
+    let interval_ms = world.settings.platform.log_retention_s * 1_000 / 4;
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let table = world.table_in_force();
         let passed = table.folded_to.saturating_sub(last_at);
-        let due = passed >= SNAPSHOT_EVERY || now_ms().saturating_sub(last_ms) > every_ms;
+        let due = passed >= SNAPSHOT_EVERY || now_ms().saturating_sub(last_ms) > interval_ms;
         if !due || table.version == 0 || !is_first_box(&world) {
             continue;
         }
--- a/src/cluster/hubs/digest.rs
+++ b/src/cluster/hubs/digest.rs
@@ -37,7 +37,7 @@
     /// For how long it has run, in milliseconds.
     pub age_ms: u64,
     /// After how long it will tell the next one, in milliseconds.
-    pub every_ms: u32,
+    pub interval_ms: u32,
     /// How many daemons let requests in through it, itself among them.
     pub dependents: u32,
     /// How many daemons there are, as far as it knows.
@@ -65,7 +65,7 @@
             incarnation,
             sequence,
             age_ms: 0,
-            every_ms: 0,
+            interval_ms: 0,
             dependents: 1,
             daemons: 1,
             status: DaemonStatus {
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -46,7 +46,7 @@
     sequence: u64,
 ) -> BTreeSet<SocketAddr> {
     let own = gateway.settings.listen.peers;
-    let (mut hubs, listeners, silent, every_ms) = {
+    let (mut hubs, listeners, silent, interval_ms) = {
         let peers = gateway.peers.lock();
         (
             peers.hub_addresses(),
@@ -56,7 +56,7 @@
         )
     };
     hubs.remove(&own);
-    let digest = own_digest(gateway, gateway.domain().as_str(), every_ms);
+    let digest = own_digest(gateway, gateway.domain().as_str(), interval_ms);
     let age_ms = gateway.hub_age_ms();
     let mut packets = vec![digest_packet(digest.clone())];
     let quotas = in_parts(quota_announcer.due(gateway.tick_quotas(), listeners));
@@ -74,7 +74,7 @@
         let is_other = |to: &SocketAddr| *to != own && !hubs.contains(to);
         let to: BTreeSet<SocketAddr> = to.into_iter().filter(is_other).collect();
         let mut digest = digest.clone();
-        digest.every_ms = (every_ms * each) as u32;
+        digest.interval_ms = (interval_ms * each) as u32;
         send_all(gateway, &[digest_packet(digest)], &to).await;
     }
     hubs
@@ -120,11 +120,11 @@
     }
 }
 
-fn own_digest(gateway: &Gateway, domain: &str, every_ms: u64) -> Digest {
+fn own_digest(gateway: &Gateway, domain: &str, interval_ms: u64) -> Digest {
     let daemon = gateway.peers.lock().own().clone();
     let mut digest = Digest::new(daemon, gateway.incarnation, gateway.next_sequence());
     digest.age_ms = gateway.hub_age_ms();
-    digest.every_ms = every_ms as u32;
+    digest.interval_ms = interval_ms as u32;
     digest.dependents = gateway.members.lock().dependents();
     digest.daemons = gateway.daemons() as u32;
     digest.status = gateway.status();
--- a/src/cluster/hubs/report.rs
+++ b/src/cluster/hubs/report.rs
@@ -13,7 +13,7 @@
     /// Rises with each report of a life.
     pub sequence: u64,
     /// After how long it will report again at the latest, in milliseconds.
-    pub every_ms: u32,
+    pub interval_ms: u32,
     /// Whether it lets its requests in through this hub.
     pub is_dependent: bool,
     /// Whether it wants the hub's digest.
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -89,7 +89,7 @@
         };
         let seed = seeds[query.seed];
         if seed != gateway.settings.listen.peers {
-            let mut report = own_report(gateway, seed, query.every_ms);
+            let mut report = own_report(gateway, seed, query.interval_ms);
             (report.wants_digest, report.wants_all) = (true, true);
             gateway.send_packet(&report_packet(report), seed).await;
         }
@@ -148,7 +148,7 @@
     Packet::from(Datagram::Report(report)).with(Extension::Level(EXTENSION_LEVEL))
 }
 
-fn own_report(gateway: &Gateway, hub: SocketAddr, every_ms: u64) -> Report {
+fn own_report(gateway: &Gateway, hub: SocketAddr, interval_ms: u64) -> Report {
     let peers = gateway.peers.lock();
     let daemon = peers.own().clone();
     let wants_digest = peers.wants_digest(hub, MEMBERS_EVERY_MS);
@@ -157,7 +157,7 @@
         daemon,
         incarnation: gateway.incarnation,
         sequence: gateway.next_sequence(),
-        every_ms: every_ms as u32,
+        interval_ms: interval_ms as u32,
         is_dependent: false,
         wants_digest,
         wants_all: false,
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -29,7 +29,7 @@
     /// When another told last that it hears it.
     announced_ms: Option<u64>,
     /// How often it tells of itself, in milliseconds.
-    every_ms: u64,
+    interval_ms: u64,
     /// Its state, as told last.
     pub(super) status: DaemonStatus,
     /// What it told as a hub.
@@ -63,7 +63,7 @@
             incarnation: 0,
             last_seen_ms: None,
             announced_ms: Some(now_ms),
-            every_ms: 0,
+            interval_ms: 0,
             status: DaemonStatus::default(),
             hub: None,
             report_sequence: 0,
@@ -90,7 +90,7 @@
         self.record_incarnation(digest.incarnation);
         self.set_entry(digest.daemon.clone());
         self.last_seen_ms = Some(now_ms);
-        self.every_ms = u64::from(digest.every_ms);
+        self.interval_ms = u64::from(digest.interval_ms);
         self.status = digest.status;
         match &mut self.hub {
             Some(hub) => hub.digest = digest,
@@ -116,7 +116,7 @@
         self.report_sequence = report.sequence;
         self.set_entry(report.daemon.clone());
         self.last_seen_ms = Some(now_ms);
-        self.every_ms = u64::from(report.every_ms);
+        self.interval_ms = u64::from(report.interval_ms);
         self.status = report.status;
         true
     }
@@ -211,7 +211,7 @@
         let Some(last_seen_ms) = self.last_seen_ms else {
             return true;
         };
-        now_ms.saturating_sub(last_seen_ms) as f64 >= self.every_ms as f64 * periods
+        now_ms.saturating_sub(last_seen_ms) as f64 >= self.interval_ms as f64 * periods
     }
 
     /// Returns when it was last heard or told of.
--- a/src/policy/hubs/seed_backoff.rs
+++ b/src/policy/hubs/seed_backoff.rs
@@ -20,7 +20,7 @@
     /// Which of the seeds.
     pub seed: usize,
     /// How long until the same seed is asked again at the latest, in milliseconds.
-    pub every_ms: u64,
+    pub interval_ms: u64,
 }
 
 impl SeedBackoff {
@@ -42,7 +42,7 @@
         let pauses = std::iter::successors(Some(self.pause_ms), |ms| Some(doubled(*ms)));
         let next_query = SeedQuery {
             seed: self.next % seeds,
-            every_ms: pauses.take(seeds).sum(),
+            interval_ms: pauses.take(seeds).sum(),
         };
         self.next = next_query.seed + 1;
         let half_ms = self.pause_ms / 2;
--- a/tests/decisions/cluster_support.rs
+++ b/tests/decisions/cluster_support.rs
@@ -24,7 +24,7 @@
 /// A digest of a hub of domain `a`.
 pub fn digest_of(name: &str, sequence: u64) -> Digest {
     let mut digest = Digest::new(entry(name, "a", 7), 1, sequence);
-    digest.every_ms = 250;
+    digest.interval_ms = 250;
     digest
 }
 
--- a/tests/decisions/config_spread.rs
+++ b/tests/decisions/config_spread.rs
@@ -19,7 +19,7 @@
 /// A daemon as others hear of it.
 fn digest(name: &str, domain: &str, port: u16, config_version: u64) -> Digest {
     let mut digest = Digest::new(entry(name, domain, port), 1, 1);
-    digest.every_ms = 250;
+    digest.interval_ms = 250;
     digest.status.config_version = config_version;
     digest
 }
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -20,7 +20,7 @@
         daemon: entry(&format!("n{n}"), &domain(n), n),
         incarnation: 1,
         sequence,
-        every_ms: 500,
+        interval_ms: 500,
         is_dependent: true,
         wants_digest: true,
         wants_all: true,
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -81,14 +81,14 @@
         self.on_their_way.push((self.by_address[&to], message));
     }
 
-    fn report(&mut self, from: usize, to: SocketAddr, every_ms: u64) {
+    fn report(&mut self, from: usize, to: SocketAddr, interval_ms: u64) {
         self.sequence += 1;
         let table = &self.daemons[from].table;
         let report = Report {
             daemon: table.own().clone(),
             incarnation: 1,
             sequence: self.sequence,
-            every_ms: every_ms as u32,
+            interval_ms: interval_ms as u32,
             is_dependent: false,
             wants_digest: true,
             wants_all: true,
@@ -104,7 +104,7 @@
         self.sequence += 1;
         let table = &self.daemons[from].table;
         let mut digest = Digest::new(table.own().clone(), 1, self.sequence);
-        digest.every_ms = DIGEST_MS as u32;
+        digest.interval_ms = DIGEST_MS as u32;
         digest.status.is_hub = table.is_hub();
         digest.known = table.named_for(domain, &mut self.rng);
         digest
@@ -119,7 +119,7 @@
             Message::Report(report) => {
                 self.daemons[own].table.apply_report(&report, now_ms);
                 let mut answer = self.digest(own, &report.daemon.domain);
-                answer.every_ms = REPORT_MS as u32;
+                answer.interval_ms = REPORT_MS as u32;
                 self.send(report.daemon.address, Message::Digest(answer));
             }
         }
@@ -160,16 +160,16 @@
         };
         if ask.seed != own {
             *self.asked.entry(ask.seed).or_default() += 1;
-            self.report(own, address(ask.seed), ask.every_ms);
+            self.report(own, address(ask.seed), ask.interval_ms);
         }
         self.report_to_hubs(own, REPORT_MS);
     }
 
-    fn report_to_hubs(&mut self, own: usize, every_ms: u64) {
+    fn report_to_hubs(&mut self, own: usize, interval_ms: u64) {
         let table = &self.daemons[own].table;
         if !table.is_hub() {
             for hub in table.own_hubs() {
-                self.report(own, hub, every_ms);
+                self.report(own, hub, interval_ms);
             }
         }
     }
@@ -233,7 +233,7 @@
     let mut asked = Vec::new();
     for now_ms in (0..10_000).step_by(50) {
         if let Some(ask) = backoff.next_query(3, 1, now_ms) {
-            assert!(ask.every_ms >= 700, "until it is asked again");
+            assert!(ask.interval_ms >= 700, "until it is asked again");
             asked.push((now_ms, ask.seed));
         }
     }
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -56,7 +56,7 @@
 fn a_hub_that_tells_seldom_is_not_silent_for_that() {
     let mut peers = PeerTable::new(entry("own", "a", 1));
     let mut digest = digest_of("n", 1);
-    digest.every_ms = 3_750;
+    digest.interval_ms = 3_750;
     peers.apply_digest(digest, 1_000);
     peers.tick(1, 8_000);
     assert_eq!(peers.live_addresses(), [address(7)]);
@@ -93,7 +93,7 @@
     far.apply_digest(digest, 1_000);
     far.apply_quotas(&quotas, 1_000);
     let mut next = Digest::new(entry("next", "a", 3), 1, 1);
-    (next.dependents, next.every_ms) = (40, 250);
+    (next.dependents, next.interval_ms) = (40, 250);
     far.apply_digest(next, 1_800);
     far.tick(1, 1_900);
     assert_eq!(others(&far), None);
@@ -137,7 +137,7 @@
         self.sequence += 1;
         let table = &self.tables[from];
         let mut digest = Digest::new(table.own().clone(), 1, self.sequence);
-        digest.every_ms = 2 * ROUND_MS as u32;
+        digest.interval_ms = 2 * ROUND_MS as u32;
         digest.status.is_hub = table.is_hub();
         digest.known = table.named_for(for_domain, &mut self.rng);
         digest
@@ -154,7 +154,7 @@
             daemon,
             incarnation: 1,
             sequence: self.sequence,
-            every_ms: 2 * ROUND_MS as u32,
+            interval_ms: 2 * ROUND_MS as u32,
             is_dependent: true,
             wants_digest: true,
             wants_all: true,
@@ -362,7 +362,7 @@
         daemon: entry(name, "a", daemon),
         incarnation: 5,
         sequence,
-        every_ms: 500,
+        interval_ms: 500,
         is_dependent: true,
         wants_digest: false,
         wants_all: false,
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -55,7 +55,7 @@
 fn digest() -> Digest {
     let mut digest = Digest::new(entry("edge-1", 1), u64::MAX, 70_000);
     digest.age_ms = 90_000;
-    digest.every_ms = 250;
+    digest.interval_ms = 250;
     digest.dependents = 7;
     digest.daemons = 21;
     digest.status = status();
@@ -99,7 +99,7 @@
         daemon: entry("edge-3", 3),
         incarnation: 5,
         sequence: 6,
-        every_ms: 500,
+        interval_ms: 500,
         is_dependent: true,
         wants_digest: true,
         wants_all: false,
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -365,7 +365,7 @@
             continue;
         }
         let mut digest = Digest::new(entry(hub, domain, n), 1, 1);
-        digest.every_ms = 250;
+        digest.interval_ms = 250;
         table.apply_digest(digest, 1_000);
         table.record_level(hub, *level);
     }
@@ -435,7 +435,7 @@
         PermitIssuer::Other(address(0))
     );
     let mut digest = Digest::new(entry("a2", "a", 0), 2, 1);
-    digest.every_ms = 250;
+    digest.interval_ms = 250;
     table.apply_digest(digest, 1_200);
     assert_eq!(table.permit_issuer(1, "a", false), PermitIssuer::Nobody);
 }
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -14,7 +14,7 @@
         daemon: entry("m", "a", 9),
         incarnation: 1,
         sequence,
-        every_ms: 500,
+        interval_ms: 500,
         is_dependent: true,
         wants_digest: false,
         wants_all: false,
