--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -177,7 +177,7 @@
 
     /// Notes that a daemon could not reach an upstream; returns whether another
     /// one missed it just before.
-    pub fn is_missed_by_others(&mut self, name: &str, id: &UpstreamId, now_ms: u64) -> bool {
+    pub fn is_unreachable_for_others(&mut self, name: &str, id: &UpstreamId, now_ms: u64) -> bool {
         let before = self.missed.insert(id.clone(), (name.to_string(), now_ms));
         before.is_some_and(|(by, at_ms)| by != name && now_ms < at_ms + MISSED_WITHIN_MS)
     }
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -159,7 +159,7 @@
         MemberEvent::Unreachable { upstream } => {
             let id = UpstreamId::from(upstream.as_str());
             let mut members = gateway.members.lock();
-            let is_missed = members.is_missed_by_others(name, &id, now_ms);
+            let is_missed = members.is_unreachable_for_others(name, &id, now_ms);
             drop(members);
             if is_missed {
                 gateway.loads.lock().entry(&id).record_unreachable(now_ms);
