--- a/src/cluster/hubs/report.rs
+++ b/src/cluster/hubs/report.rs
@@ -62,7 +62,7 @@
         upstream: String,
     },
     /// A request ended whole.
-    Stayed {
+    Completed {
         /// The service.
         service: String,
         /// How long it was there, in milliseconds.
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -180,7 +180,7 @@
             };
             gateway.learn_first_event(&service.as_str().into(), event);
         }
-        MemberEvent::Stayed { service, ms } => {
+        MemberEvent::Completed { service, ms } => {
             gateway.learn_stay(&service.as_str().into(), f64::from(ms));
         }
     }
--- a/src/gateway/engines.rs
+++ b/src/gateway/engines.rs
@@ -64,7 +64,7 @@
     /// Notes how long a request stayed that ended whole, in milliseconds.
     pub(super) fn record_stay(&self, service: &ServiceName, stay_ms: f64) {
         self.learn_stay(service, stay_ms);
-        self.record_event(|| MemberEvent::Stayed {
+        self.record_event(|| MemberEvent::Completed {
             service: service.to_string(),
             ms: stay_ms as f32,
         });
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -90,7 +90,7 @@
         MemberEvent::Misdirected {
             upstream: upstream(),
         },
-        MemberEvent::Stayed {
+        MemberEvent::Completed {
             service: llm(),
             ms: 800.0,
         },
