--- a/benches/placing.rs
+++ b/benches/placing.rs
@@ -74,6 +74,6 @@
         avoided: Vec::new(),
         in_cooldown: Vec::new(),
         domain: FailureDomain::from("a"),
-        apart_by: None,
+        isolation_key: None,
     }
 }
--- a/src/cluster/hubs/query.rs
+++ b/src/cluster/hubs/query.rs
@@ -47,7 +47,7 @@
     /// Others that the daemon can't reach now.
     pub avoided: Vec<String>,
     /// By what it is placed in place of its prompt, if it is to run apart from others.
-    pub apart_by: Option<u64>,
+    pub isolation_key: Option<u64>,
 }
 
 /// A hub's answer.
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -223,7 +223,7 @@
             avoided: typed(&query.place.avoided),
             in_cooldown: Vec::new(),
             domain,
-            apart_by: query.place.apart_by,
+            isolation_key: query.place.isolation_key,
         };
         let Some(placement) = self.choose_permitted(&request, &query.request).await else {
             return HubDecision::NoUpstream;
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -36,7 +36,7 @@
     /// The failure domain of its daemon.
     pub domain: FailureDomain,
     /// By what it is placed in place of its prompt, so that it runs apart from others.
-    pub apart_by: Option<u64>,
+    pub isolation_key: Option<u64>,
 }
 
 /// Where requests are sent, and what is learned from how they fare.
@@ -120,7 +120,7 @@
             parts: parts.map(|p| (p.chain, p.tokens)).collect(),
             tried: tried.iter().map(ToString::to_string).collect(),
             avoided,
-            apart_by: self.placed_apart_by(context),
+            isolation_key: self.placed_apart_by(context),
         }
     }
 
@@ -175,7 +175,7 @@
             avoided: Vec::new(),
             in_cooldown: self.in_cooldown(),
             domain: self.domain().clone(),
-            apart_by: self.placed_apart_by(context),
+            isolation_key: self.placed_apart_by(context),
         };
         self.choose_permitted(&request, context.id_text()).await
     }
@@ -343,7 +343,7 @@
         if !self.settings.mechanisms.homes {
             return None;
         }
-        let chain = request.apart_by.or(request.prompt.shared_chain())?;
+        let chain = request.isolation_key.or(request.prompt.shared_chain())?;
         let is_tried = |index: &usize| request.tried.contains(&ready.upstreams[*index].id);
         let is_barred = |index: &usize| barred.get(*index).copied().unwrap_or(false);
         let usable = 0..ready.hashes.len();
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -130,7 +130,7 @@
             tried: vec!["i-1".into()],
             avoided: vec!["i-2".into()],
             // From 7 on:
-            apart_by: None,
+            isolation_key: None,
             // Until here.
         },
     }
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -57,7 +57,7 @@
             parts: Vec::new(),
             tried: Vec::new(),
             avoided: Vec::new(),
-            apart_by: None,
+            isolation_key: None,
         },
     }
 }
