--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -44,7 +44,7 @@
     terms: AccountTerms,
     books: Vec<QuotaTable>,
     news: Vec<QuotaAnnouncer>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     started_ms: Vec<u64>,
     heard: Vec<HashMap<usize, (u64, Vec<QuotaNotice>)>>,
     admitted: Vec<(u64, f64)>,
@@ -60,7 +60,7 @@
             terms: terms(),
             books: vec![QuotaTable::new(BOUNDS); daemons],
             news: (0..daemons).map(|_| QuotaAnnouncer::default()).collect(),
-            lives: (0..daemons as u64).collect(),
+            incarnations: (0..daemons as u64).collect(),
             started_ms: vec![0; daemons],
             heard: vec![HashMap::new(); daemons],
             admitted: Vec::new(),
@@ -73,7 +73,7 @@
     fn restart(&mut self, daemon: usize) {
         self.books[daemon] = QuotaTable::new(BOUNDS);
         self.news[daemon] = QuotaAnnouncer::default();
-        self.lives[daemon] += 1_000;
+        self.incarnations[daemon] += 1_000;
         self.started_ms[daemon] = self.admitted.last().map_or(0, |(at, _)| *at);
         self.heard[daemon].clear();
     }
@@ -107,7 +107,7 @@
                 }
                 let node = from.to_string();
                 let is_younger = self.started_ms[from] >= self.started_ms[to];
-                let incarnation = self.lives[from];
+                let incarnation = self.incarnations[from];
                 let heard = self.heard[to].entry(from).or_default();
                 heard.0 = now_ms;
                 if notices.is_empty() || self.rng.random_bool(self.loss) {
@@ -123,7 +123,7 @@
     fn listeners_of(&self, at: usize) -> BTreeSet<Listener> {
         let heard = self.heard[at].keys();
         heard
-            .map(|from| (address(*from), self.lives[*from]))
+            .map(|from| (address(*from), self.incarnations[*from]))
             .collect()
     }
 
--- a/tests/gateway/restart_soak.rs
+++ b/tests/gateway/restart_soak.rs
@@ -104,7 +104,7 @@
 
 struct World {
     store: Store,
-    lives: Vec<Option<Incarnation>>,
+    incarnations: Vec<Option<Incarnation>>,
     runs: Runs,
     clock_ms: u64,
 }
@@ -115,7 +115,7 @@
     }
 
     fn enter(&self, index: usize, state: &str, sequence: u64) {
-        let Some(incarnation) = &self.lives[index] else {
+        let Some(incarnation) = &self.incarnations[index] else {
             return;
         };
         let mut entry = entry(incarnation.address, state, sequence);
@@ -125,14 +125,15 @@
 
     async fn start(&mut self, index: usize, at: Option<SocketAddr>) {
         self.clock_ms += 1_000;
-        self.lives[index] = Some(Incarnation::start(Self::id(index), at, self.runs.clone()).await);
+        self.incarnations[index] =
+            Some(Incarnation::start(Self::id(index), at, self.runs.clone()).await);
         self.enter(index, "ready", 1);
     }
 
     /// An upstream ends in one way or another and starts again under its id.
     async fn restart(&mut self, rng: &mut ChaCha8Rng) {
         let index = rng.random_range(0..UPSTREAMS);
-        let old = self.lives[index]
+        let old = self.incarnations[index]
             .as_ref()
             .map(|incarnation| incarnation.address);
         let pause = Duration::from_millis(rng.random_range(0..300));
@@ -149,7 +150,7 @@
                     .put_bytes("keyed.servers", key.as_bytes(), b"[1,");
             }
         }
-        self.lives[index] = None;
+        self.incarnations[index] = None;
         tokio::time::sleep(pause).await;
         let at = old.filter(|_| rng.random_bool(0.5));
         self.start(index, at).await;
@@ -188,7 +189,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut world = World {
         store,
-        lives: (0..UPSTREAMS).map(|_| None).collect(),
+        incarnations: (0..UPSTREAMS).map(|_| None).collect(),
         runs: Runs::default(),
         clock_ms: 1_000,
     };
