--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -77,7 +77,7 @@
         wants_all: true,
         status: DaemonStatus::default(),
         events: Vec::new(),
-        alone: Vec::new(),
+        admitted_standalone: Vec::new(),
         standalone_batch: 0,
     }
 }
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -55,7 +55,7 @@
     /// What happened to requests.
     pub events: Vec<MemberEvent>,
     /// What was let in without a hub, by client account.
-    pub alone: Vec<(ClientAccount, f64)>,
+    pub admitted_standalone: Vec<(ClientAccount, f64)>,
 }
 
 /// The daemons that report to a hub. Times are milliseconds of the daemon's
@@ -80,13 +80,16 @@
         let events = fresh.map(|(_, event)| event.clone()).collect();
         let newest = report.events.iter().map(|(n, _)| *n).max();
         member.last_event = last_event.max(newest.unwrap_or(0));
-        let mut alone = Vec::new();
+        let mut admitted_standalone = Vec::new();
         if report.standalone_batch > member.last_alone {
             member.last_alone = report.standalone_batch;
             let typed = |(name, units): &(String, f64)| (ClientAccount::from(&**name), *units);
-            alone = report.alone.iter().map(typed).collect();
+            admitted_standalone = report.admitted_standalone.iter().map(typed).collect();
+        }
+        ReportChanges {
+            events,
+            admitted_standalone,
         }
-        ReportChanges { events, alone }
     }
 
     /// Takes in what a daemon has at upstreams.
--- a/src/cluster/hubs/report.rs
+++ b/src/cluster/hubs/report.rs
@@ -26,8 +26,8 @@
     pub events: Vec<(u64, MemberEvent)>,
     /// What it let in by itself, by client account; the same until the hub has
     /// heard `standalone_batch`.
-    pub alone: Vec<(String, f64)>,
-    /// The number of `alone`; 0 for none.
+    pub admitted_standalone: Vec<(String, f64)>,
+    /// The number of `admitted_standalone`; 0 for none.
     pub standalone_batch: u64,
 }
 
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -125,8 +125,9 @@
     report.is_dependent = true;
     report.wants_all = wants_all;
     report.wants_digest |= wants_all;
-    (report.alone, report.standalone_batch) = gateway.standalone_quotas.lock().to_announce(hub);
-    let events = match report.alone.is_empty() {
+    (report.admitted_standalone, report.standalone_batch) =
+        gateway.standalone_quotas.lock().to_announce(hub);
+    let events = match report.admitted_standalone.is_empty() {
         true => MAX_EVENTS,
         false => MAX_EVENTS / 2,
     };
@@ -163,7 +164,7 @@
         wants_all: false,
         status: gateway.status(),
         events: Vec::new(),
-        alone: Vec::new(),
+        admitted_standalone: Vec::new(),
         standalone_batch: 0,
     }
 }
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -137,7 +137,7 @@
         return;
     }
     let news = gateway.members.lock().apply_report(report, now_ms);
-    for (account, units) in &news.alone {
+    for (account, units) in &news.admitted_standalone {
         gateway.quotas.lock().record_admitted(account, *units);
     }
     for event in news.events {
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -94,7 +94,7 @@
             wants_all: true,
             status: DaemonStatus::default(),
             events: Vec::new(),
-            alone: Vec::new(),
+            admitted_standalone: Vec::new(),
             standalone_batch: 0,
         };
         self.send(to, Message::Report(report));
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -163,7 +163,7 @@
                 ..DaemonStatus::default()
             },
             events: Vec::new(),
-            alone: Vec::new(),
+            admitted_standalone: Vec::new(),
             standalone_batch: 0,
         };
         self.tables[to].apply_report(&report, self.now_ms);
@@ -371,7 +371,7 @@
             ..DaemonStatus::default()
         },
         events: Vec::new(),
-        alone: Vec::new(),
+        admitted_standalone: Vec::new(),
         standalone_batch: 0,
     }
 }
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -105,7 +105,7 @@
         wants_all: false,
         status: status(),
         events: (1..).zip(events).collect(),
-        alone: vec![("t".into(), 17.5)],
+        admitted_standalone: vec![("t".into(), 17.5)],
         standalone_batch: 4,
     }
 }
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -20,7 +20,7 @@
         wants_all: false,
         status: DaemonStatus::default(),
         events: events.to_vec(),
-        alone: vec![("t".into(), 100.0)],
+        admitted_standalone: vec![("t".into(), 100.0)],
         standalone_batch: alone,
     }
 }
@@ -33,10 +33,10 @@
         (n, MemberEvent::Unreachable { upstream })
     };
     let news = members.apply_report(&report(1, &[event(1)], 1), 0);
-    assert_eq!((news.events.len(), news.alone.len()), (1, 1));
+    assert_eq!((news.events.len(), news.admitted_standalone.len()), (1, 1));
     let news = members.apply_report(&report(2, &[event(1), event(2)], 1), 100);
     assert_eq!(news.events, [event(2).1]);
-    assert!(news.alone.is_empty());
+    assert!(news.admitted_standalone.is_empty());
     assert_eq!(members.dependents(), 2);
     members.tick(3_000);
     assert_eq!(members.dependents(), 1, "it fell silent");
@@ -115,8 +115,8 @@
     let mut units = 0;
     for sequence in 1..=40 {
         let mut report = report(sequence, &log.to_announce(12), 0);
-        (report.alone, report.standalone_batch) = standalone.to_announce(address(1));
-        units += report.alone.len();
+        (report.admitted_standalone, report.standalone_batch) = standalone.to_announce(address(1));
+        units += report.admitted_standalone.len();
         let bytes = Datagram::Report(report).encode();
         assert!(bytes.is_ok(), "{bytes:?}");
     }
