--- a/src/cluster/hubs/digest.rs
+++ b/src/cluster/hubs/digest.rs
@@ -8,57 +8,56 @@
     std::net::SocketAddr,
 };
 
-/// How many other daemons a digest names: with them it stays below the size of
-/// one datagram.
+/// The most other daemons that a digest names, so that it fits into one datagram.
 pub const MAX_DIGEST_DAEMONS: usize = 16;
 
-/// A daemon that holds the duties, or that is ready to.
+/// A daemon that holds the duties, or that is ready to take them over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct DutyDaemon {
-    /// Where it listens for other daemons.
+    /// The address at which it receives datagrams of other daemons.
     pub address: SocketAddr,
-    /// Which life of it.
+    /// The daemon's incarnation.
     pub incarnation: u64,
-    /// Whether it says that it holds them; else it watches the holder, and wants
-    /// to know the same.
+    /// True if the daemon reports itself as the holder. Otherwise it watches the holder, and
+    /// receives the same messages so that it can take over.
     pub holds: bool,
 }
 
-/// What a hub tells of itself: the other hubs some times a second, and those of
-/// its failure domain that report to it.
+/// The state that a hub announces: several times a second to the other hubs, and less often to
+/// the daemons of its failure domain that report to it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Digest {
-    /// The daemon.
+    /// The hub that sends the digest.
     pub daemon: DaemonEntry,
-    /// Which life of it.
+    /// The hub's incarnation.
     pub incarnation: u64,
-    /// Rises with each digest of a life.
+    /// Increases with each digest of an incarnation.
     pub sequence: u64,
-    /// For how long it has run, in milliseconds.
+    /// How long it has been a hub, in milliseconds.
     pub age_ms: u64,
-    /// After how long it will tell the next one, in milliseconds.
+    /// The time until the receiver gets the next digest, in milliseconds.
     pub interval_ms: u32,
-    /// How many daemons let requests in through it, itself among them.
+    /// The number of daemons that send their admission queries to it, itself included.
     pub dependents: u32,
-    /// How many daemons there are, as far as it knows.
+    /// The number of daemons that it knows of.
     pub daemons: u32,
-    /// Its state; that it no longer is a hub is told once.
+    /// The daemon's state. A daemon that stops being a hub announces this, too.
     pub status: DaemonStatus,
-    /// Daemons that hold the duties or are ready to, by what they say.
+    /// Daemons that hold the duties or are ready to take them over, as they report it.
     pub duty_daemons: Vec<DutyDaemon>,
-    /// By service, the work that it was offered, a second.
+    /// The work offered to it, per second and service.
     pub demand: Vec<(String, f32)>,
-    /// By service, how long its engines take to read a prompt token, in
-    /// milliseconds, and on how many comparisons that rests.
+    /// By service, the time in which its engines process a prompt token, in milliseconds, and the
+    /// number of comparisons behind this estimate.
     pub reading: Vec<(String, f32, u32)>,
-    /// The newest roll-out of each service.
+    /// The newest rollout of each service.
     pub rollouts: Vec<Rollout>,
-    /// Other daemons that it hears.
+    /// Other daemons that it receives messages from.
     pub known: Vec<DaemonEntry>,
 }
 
 impl Digest {
-    /// Starts a digest that tells nothing but who sends it.
+    /// Creates a digest that holds nothing but its sender.
     pub fn new(daemon: DaemonEntry, incarnation: u64, sequence: u64) -> Self {
         Self {
             daemon,
@@ -80,10 +79,11 @@
         }
     }
 
-    /// Returns what it tells of how fast a service's engines read.
+    /// Returns the prompt reading speed of a service's engines, or none if the digest has no valid
+    /// value.
     pub fn reading_speed(&self, service: &str) -> Option<ReadingSpeed> {
-        let told = self.reading.iter().find(|(name, ..)| name == service);
-        let speed = told.map(|(_, ms_per_token, comparisons)| ReadingSpeed {
+        let entry = self.reading.iter().find(|(name, ..)| name == service);
+        let speed = entry.map(|(_, ms_per_token, comparisons)| ReadingSpeed {
             ms_per_token: f64::from(*ms_per_token),
             comparisons: *comparisons,
         });
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -8,17 +8,18 @@
     },
 };
 
-/// The least time between two digests.
+/// The minimum time between two digests.
 const DIGEST_PAUSE: Duration = Duration::from_millis(50);
-/// Each how many digests the seeds are told: those that start ask them.
+/// Every how many digests one is sent to the seeds, which daemons that start query.
 const SEEDS_EVERY: u64 = 4;
-/// Each how many digests the silent daemons of the failure domain are told: one
-/// that started again hears of the others even if no seed lives.
+/// Every how many digests one is sent to the silent daemons of the failure domain, so that a
+/// restarted daemon learns of the others even if no seed is alive.
 const SILENT_EVERY: u64 = 8;
-/// How often a hub tells those that report to it, in milliseconds.
-pub(in crate::cluster) const MEMBERS_EVERY_MS: u64 = 600;
+/// The interval at which a hub sends its digest to the daemons that report to it, in milliseconds.
+pub(in crate::cluster) const MEMBER_DIGEST_INTERVAL_MS: u64 = 600;
 
-/// Tells the other hubs about this daemon for as long as it is a hub.
+/// Sends digests, quotas and loads to the other hubs while this daemon is a hub. When it stops being
+/// one, announces that to the former receivers.
 pub(in crate::cluster) async fn announce_digests(gateway: Arc<Gateway>) {
     let mut sequence = 0;
     let mut listeners = FormerListeners::default();
@@ -26,16 +27,21 @@
     loop {
         sequence += 1;
         if gateway.tick_peers() {
-            let told = announce_to_hubs(&gateway, &mut quota_announcer, sequence).await;
-            listeners.record_announced(told);
-        } else if let Some(told) = listeners.to_announce() {
-            let digest = own_digest(&gateway, gateway.domain().as_str(), MEMBERS_EVERY_MS);
-            send_all(&gateway, &[digest_packet(digest)], told).await;
+            let receivers = announce_to_hubs(&gateway, &mut quota_announcer, sequence).await;
+            listeners.record_announced(receivers);
+        } else if let Some(receivers) = listeners.to_announce() {
+            let digest = own_digest(
+                &gateway,
+                gateway.domain().as_str(),
+                MEMBER_DIGEST_INTERVAL_MS,
+            );
+            send_all(&gateway, &[digest_packet(digest)], receivers).await;
         }
-        // Sooner, if an account at its limit was let in more than others know.
+        // The next digest is sent early if this hub admitted more for an account at its limit than
+        // the other hubs know of.
         let early = gateway.announce_early.notified();
-        let every = Duration::from_millis(gateway.peers.lock().digest_every_ms());
-        let _ = tokio::time::timeout(every - DIGEST_PAUSE, early).await;
+        let interval = Duration::from_millis(gateway.peers.lock().digest_every_ms());
+        let _ = tokio::time::timeout(interval - DIGEST_PAUSE, early).await;
         tokio::time::sleep(DIGEST_PAUSE).await;
     }
 }
@@ -64,8 +70,8 @@
     let loads = loads_parts(gateway, &gateway.led_loads(), sequence, 0);
     packets.extend(quotas.into_iter().chain(loads).map(Packet::from));
     send_all(gateway, &packets, &hubs).await;
-    // Others hear of this hub more seldom, and are told so: at its own pace it
-    // would seem silent to them.
+    // Seeds and silent daemons get fewer digests. These state the longer interval, since by the
+    // usual one this hub would count as silent.
     let seeds = gateway.settings.peers.seeds.iter().copied();
     for (to, each) in [(silent, SILENT_EVERY), (seeds.collect(), SEEDS_EVERY)] {
         if !sequence.is_multiple_of(each) {
@@ -92,10 +98,10 @@
     Packet::from(Datagram::Digest(digest)).with(Extension::Level(EXTENSION_LEVEL))
 }
 
-/// Tells a daemon that reports to this one.
+/// Sends the digest to a daemon that reports to this one, and all else that its report requests.
 pub(in crate::cluster) async fn announce_to_member(gateway: &Gateway, report: &Report) {
     let to = report.daemon.address;
-    let mut digest = own_digest(gateway, &report.daemon.domain, MEMBERS_EVERY_MS);
+    let mut digest = own_digest(gateway, &report.daemon.domain, MEMBER_DIGEST_INTERVAL_MS);
     let others = gateway.peers.lock().duty_daemons().into_iter();
     let others = others.map(|((address, incarnation), holds)| DutyDaemon {
         address,
@@ -113,8 +119,8 @@
     }
     if report.wants_all && report.is_dependent {
         let all = gateway.announced_quotas();
-        let told = gateway.members.lock().quotas_for(&report.daemon.name, all);
-        for part in quotas_parts(gateway, told, gateway.next_sequence(), 0) {
+        let parts = gateway.members.lock().quotas_for(&report.daemon.name, all);
+        for part in quotas_parts(gateway, parts, gateway.next_sequence(), 0) {
             gateway.send_datagram(&part, to).await;
         }
     }
@@ -168,19 +174,20 @@
         .collect()
 }
 
-/// Makes the parts of what a daemon has at upstreams.
+/// Splits a daemon's loads at upstreams into datagrams. `counted` is the id up to which the
+/// daemon's admission queries are included in them.
 pub(in crate::cluster) fn loads_parts(
     gateway: &Gateway,
     loads: &LoadSums,
     sequence: u64,
     counted: u64,
 ) -> Vec<Datagram> {
-    let told = loads.iter().map(|(id, (active, tokens))| AnnouncedLoad {
+    let announced = loads.iter().map(|(id, (active, tokens))| AnnouncedLoad {
         upstream: id.to_string(),
         active: *active,
         waiting_tokens: u32::try_from(*tokens).unwrap_or(u32::MAX),
     });
-    let parts = in_parts(told.collect());
+    let parts = in_parts(announced.collect());
     let count = parts.len() as u32;
     let numbered = parts.into_iter().zip(0..);
     numbered
--- a/src/cluster/hubs/event_log.rs
+++ b/src/cluster/hubs/event_log.rs
@@ -1,40 +1,41 @@
 use {crate::cluster::MemberEvent, std::collections::VecDeque};
 
-/// How often an event is told: a datagram may be lost.
-const TOLD_TIMES: u8 = 2;
-/// How many events wait to be told at most; the oldest are dropped, since hubs
-/// only learn from them.
+/// How many reports carry an event, since a datagram may be lost.
+const ANNOUNCEMENTS: u8 = 2;
+/// The most events that wait to be announced. The oldest are dropped beyond that: hubs use events
+/// only to learn how upstreams and engines perform.
 const MAX_WAITING: usize = 48;
 
-/// What happened to a daemon's requests, as far as hubs have not heard of it.
+/// Events of a daemon's requests that are still to be announced to hubs.
 #[derive(Debug, Default)]
 pub struct EventLog {
-    last: u64,
+    last_number: u64,
+    /// The number of each event, how many times it was announced, and the event.
     waiting: VecDeque<(u64, u8, MemberEvent)>,
 }
 
 impl EventLog {
-    /// Notes an event.
+    /// Adds an event.
     pub fn record(&mut self, event: MemberEvent) {
-        self.last += 1;
-        self.waiting.push_back((self.last, 0, event));
+        self.last_number += 1;
+        self.waiting.push_back((self.last_number, 0, event));
         if self.waiting.len() > MAX_WAITING {
             self.waiting.pop_front();
         }
     }
 
-    /// Returns the events to tell next, with their numbers.
+    /// Returns at most `most` events to announce next, the oldest first, with their numbers.
     pub fn to_announce(&mut self, most: usize) -> Vec<(u64, MemberEvent)> {
-        let mut told = Vec::new();
+        let mut announced = Vec::new();
         for (number, times, event) in self.waiting.iter_mut().take(most) {
             *times += 1;
-            told.push((*number, event.clone()));
+            announced.push((*number, event.clone()));
         }
-        self.waiting.retain(|(_, times, _)| *times < TOLD_TIMES);
-        told
+        self.waiting.retain(|(_, times, _)| *times < ANNOUNCEMENTS);
+        announced
     }
 
-    /// Returns whether something waits to be told for the first time.
+    /// Returns true if an event has not been announced yet.
     pub fn has_unannounced(&self) -> bool {
         self.waiting.iter().any(|(_, times, _)| *times == 0)
     }
--- a/src/cluster/hubs/former_listeners.rs
+++ b/src/cluster/hubs/former_listeners.rs
@@ -1,27 +1,29 @@
 use std::{collections::BTreeSet, net::SocketAddr};
 
-/// How often those that took a daemon for a hub are told that it no longer is one: a
-/// datagram may be lost, and they count it as one for as long as its part of the quotas is
-/// reserved.
+/// How many times a daemon announces that it is no longer a hub. A datagram may be lost, and a
+/// daemon that receives none of them counts the sender as a hub for as long as its part of the
+/// quotas is reserved.
 const ANNOUNCEMENTS: u8 = 4;
 
-/// Those that a daemon told of itself as a hub, which it no longer is.
+/// The daemons to which a daemon announced itself as a hub while it was one.
 #[derive(Debug, Default)]
 pub struct FormerListeners {
     addresses: BTreeSet<SocketAddr>,
-    left: u8,
+    /// How many times the daemon still announces that it is no longer a hub.
+    announcements_left: u8,
 }
 
 impl FormerListeners {
-    /// Notes whom the daemon told as a hub, which it still is.
+    /// Records the receivers of the newest digest that the daemon sent as a hub.
     pub fn record_announced(&mut self, addresses: BTreeSet<SocketAddr>) {
         self.addresses = addresses;
-        self.left = ANNOUNCEMENTS;
+        self.announcements_left = ANNOUNCEMENTS;
     }
 
-    /// Returns whom to tell now that it no longer is a hub.
+    /// Returns the daemons to notify that this one is no longer a hub, and counts one
+    /// announcement. None if all announcements were made or there are no receivers.
     pub fn to_announce(&mut self) -> Option<&BTreeSet<SocketAddr>> {
-        self.left = self.left.checked_sub(1)?;
+        self.announcements_left = self.announcements_left.checked_sub(1)?;
         (!self.addresses.is_empty()).then_some(&self.addresses)
     }
 }
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -14,12 +14,13 @@
     tokio::sync::mpsc,
 };
 
-/// How many hubs are asked before a daemon decides for itself.
-const ASKED_HUBS: usize = 2;
-/// How often each is asked: a datagram may be lost.
-const ASKED_TIMES: u32 = 2;
-/// How much longer than its hold an answer may take that a hub holds back: it may have to
-/// ask others for a permit, for as long as [`PermitClient`](crate::cluster::PermitDesk) waits at most.
+/// How many hubs are queried before a daemon decides by itself.
+const MAX_QUERIED_HUBS: usize = 2;
+/// How many times a query is sent to each hub, since a datagram may be lost.
+const ATTEMPTS_PER_HUB: u32 = 2;
+/// The time beyond the request's longest hold for which the answer to a held request is awaited.
+/// The hub may have to request a permit from another daemon, for which
+/// [`PermitClient`](crate::cluster::PermitClient) waits a limited time.
 const HOLD_GRACE: Duration = Duration::from_millis(200);
 
 /// Sends this daemon's admission queries to the hubs of its failure domain.
@@ -31,7 +32,7 @@
 #[derive(Debug, Default)]
 struct ClientState {
     last_id: u64,
-    /// Questions whose requests are not counted at an upstream yet.
+    /// Queries whose requests are neither counted in this daemon's loads nor over yet.
     open: BTreeSet<u64>,
     waiting: HashMap<u64, mpsc::UnboundedSender<ReceivedDecision>>,
     hubs: HashMap<SocketAddr, HubContact>,
@@ -40,14 +41,14 @@
 /// A hub's decision as received by the daemon that sent the query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedDecision {
-    /// What is to be done.
+    /// The hub's decision.
     pub decision: HubDecision,
-    /// Whether the placement has a permit, where its upstream names a limit: hubs of earlier
-    /// builds know of none.
+    /// True if the placement has a permit, in case its upstream names a rate limit. Hubs of earlier
+    /// builds don't know of permits.
     pub has_permit: bool,
 }
 
-/// A question that is open until its request is counted, or over.
+/// A query that is open until its request is counted in this daemon's loads, or over.
 #[derive(Debug)]
 struct OpenQuery<'a> {
     client: &'a HubClient,
@@ -63,8 +64,7 @@
 }
 
 impl HubClient {
-    /// Asks the hubs whether a request may be let in and where it shall run;
-    /// none if none of them answers in time.
+    /// Queries the hubs to admit and place a request. None if no hub answers in time.
     pub async fn query(
         &self,
         gateway: &Gateway,
@@ -87,20 +87,20 @@
         let datagram = Datagram::AdmissionQuery(query);
         for hub in hubs {
             match self.query_hub(gateway, hub, &datagram, &mut answers).await {
-                // It said that it would answer later.
-                Some(heard) if heard.decision == HubDecision::Held => {
-                    if let Some(heard) = decided_within(hold, &mut answers).await {
-                        return Some(heard);
+                // The hub answers later.
+                Some(received) if received.decision == HubDecision::Held => {
+                    if let Some(received) = decided_within(hold, &mut answers).await {
+                        return Some(received);
                     }
                 }
-                Some(heard) => return Some(heard),
+                Some(received) => return Some(received),
                 None => self.record_silent(hub, gateway),
             }
         }
         None
     }
 
-    /// Asks one hub, some times if it doesn't answer; returns its first answer.
+    /// Queries one hub, repeatedly if it does not answer. Returns its first answer.
     async fn query_hub(
         &self,
         gateway: &Gateway,
@@ -108,14 +108,14 @@
         query: &Datagram,
         answers: &mut mpsc::UnboundedReceiver<ReceivedDecision>,
     ) -> Option<ReceivedDecision> {
-        for time in 1..=ASKED_TIMES {
-            let asked_at = BootInstant::now();
+        for attempt in 1..=ATTEMPTS_PER_HUB {
+            let sent_at = BootInstant::now();
             gateway.send_datagram(query, hub).await;
-            let wait = self.timeout(hub) * time;
-            if let Ok(Some(heard)) = tokio::time::timeout(wait, answers.recv()).await {
-                // The time to an answer is known only if it was asked once.
-                self.record_answer(hub, (time == 1).then(|| asked_at.elapsed()));
-                return Some(heard);
+            let wait = self.timeout(hub) * attempt;
+            if let Ok(Some(received)) = tokio::time::timeout(wait, answers.recv()).await {
+                // The response time is known only if the query was sent once.
+                self.record_answer(hub, (attempt == 1).then(|| sent_at.elapsed()));
+                return Some(received);
             }
         }
         None
@@ -141,28 +141,28 @@
             contact.is_some_and(|c| c.is_avoided(now_ms))
         };
         let usable = hubs.into_iter().filter(|hub| !is_avoided(hub));
-        usable.take(ASKED_HUBS).collect()
+        usable.take(MAX_QUERIED_HUBS).collect()
     }
 
-    /// Returns the hub through which requests are let in now.
-    pub fn leans_on(&self, gateway: &Gateway) -> Option<SocketAddr> {
+    /// Returns the hub that the next admission query goes to, or none if no hub is usable.
+    pub fn queried_hub(&self, gateway: &Gateway) -> Option<SocketAddr> {
         self.hubs_to_query(gateway).first().copied()
     }
 
-    /// Returns up to which number all questions are counted in at upstreams, or
-    /// over.
+    /// Returns the id up to which the requests of all queries are counted in this daemon's loads,
+    /// or over.
     pub fn counted(&self) -> u64 {
         let state = self.state.lock();
         let first_open = state.open.first().copied();
         first_open.map_or(state.last_id, |id| id - 1)
     }
 
-    /// Takes in a hub's answer.
+    /// Applies a hub's answer.
     pub fn apply(&self, answer: Answer, has_permit: bool) {
         let state = self.state.lock();
         if let Some(tx) = state.waiting.get(&answer.id) {
             let decision = answer.decision;
-            // One that no longer waits has decided otherwise.
+            // If the receiver no longer waits, this daemon has already decided without this answer.
             let _ = tx.send(ReceivedDecision {
                 decision,
                 has_permit,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Notes that a hub was heard from.
+    /// Records that a datagram from a hub arrived.
     pub fn record_contact(&self, hub: SocketAddr) {
         if let Some(contact) = self.state.lock().hubs.get_mut(&hub) {
             contact.record_contact();
@@ -187,7 +187,7 @@
     }
 
     fn record_silent(&self, hub: SocketAddr, gateway: &Gateway) {
-        log::info!(target: "hubs", "a hub does not answer. hub={hub}");
+        log::info!(target: "hubs", "hub did not answer in time. hub={hub}");
         metrics::counter!(SILENT_HUBS).increment(1);
         let mut state = self.state.lock();
         let contact = state.hubs.entry(hub).or_default();
@@ -201,23 +201,23 @@
     }
 }
 
-/// Waits for an answer that decides. A hub that was asked twice may say twice that
-/// it holds the request.
+/// Waits for a decision other than [`HubDecision::Held`]. A hub that got the query twice may answer
+/// twice that it holds the request.
 async fn decided_within(
     hold: Duration,
     answers: &mut mpsc::UnboundedReceiver<ReceivedDecision>,
 ) -> Option<ReceivedDecision> {
     let decided = async {
         loop {
-            let heard = answers.recv().await?;
-            if heard.decision != HubDecision::Held {
-                return Some(heard);
+            let received = answers.recv().await?;
+            if received.decision != HubDecision::Held {
+                return Some(received);
             }
         }
     };
-    // In vain: another hub is asked.
+    // After a timeout the caller queries another hub.
     tokio::time::timeout(hold, decided).await.ok().flatten()
 }
 
-/// Counts hubs that did not answer a question in time.
+/// Counts admission queries that a hub did not answer in time.
 pub const SILENT_HUBS: &str = "saddlepulley_silent_hubs_total";
--- a/src/cluster/hubs/loads_part.rs
+++ b/src/cluster/hubs/loads_part.rs
@@ -5,57 +5,58 @@
     std::collections::HashMap,
 };
 
-/// The load that a daemon has at one upstream.
+/// A daemon's load at one upstream.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AnnouncedLoad {
-    /// The upstream.
+    /// The upstream's id.
     pub upstream: String,
-    /// Requests that are there.
+    /// The number of requests that run there.
     pub active: u32,
-    /// Prompt tokens of those that have not begun to answer.
+    /// The prompt tokens of those requests whose answer has not begun.
     pub waiting_tokens: u32,
 }
 
-/// A part of what a daemon has at upstreams. All parts of a sequence together
-/// are the whole.
+/// A part of the loads that a daemon has at upstreams. All parts of the same sequence number
+/// together are complete.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LoadsPart {
     /// The daemon's name.
     pub name: String,
-    /// Which life of it.
+    /// The daemon's incarnation.
     pub incarnation: u64,
-    /// Rises with each telling of a life.
+    /// Increases with each announcement of an incarnation.
     pub sequence: u64,
-    /// Which part this is, from 0.
+    /// The index of this part, from 0.
     pub part: u32,
-    /// How many parts there are.
+    /// The number of parts of this sequence number.
     pub parts: u32,
-    /// Each question up to this one is counted in, or over.
+    /// The id up to which the requests of all of the daemon's admission queries are either included
+    /// in the loads or over.
     pub counted: u64,
-    /// What is at upstreams.
+    /// The loads by upstream.
     pub loads: Vec<AnnouncedLoad>,
 }
 
-/// Requests and waiting prompt tokens by upstream. Names of upstreams come from the
-/// platform, not from callers: a hash that is fast will do.
+/// Requests and waiting prompt tokens by upstream. Upstream ids come from the platform, not from
+/// clients, so a fast hash without protection against chosen keys is enough.
 pub type LoadSums = RapidHashMap<UpstreamId, (u32, u64)>;
 
-/// The newest whole of what a daemon told of its loads.
+/// The newest complete loads received from a daemon.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedLoads {
     incarnation: u64,
     sequence: u64,
-    /// Parts of a newer telling that is not whole yet.
+    /// The received parts of a newer sequence number that is not complete yet, by index.
     pending: HashMap<u32, Vec<AnnouncedLoad>>,
     pending_sequence: u64,
-    /// Each question up to this one is counted in.
+    /// The id up to which the daemon's admission queries are included in the loads, or over.
     pub counted: u64,
-    /// What is at upstreams.
+    /// The requests and waiting prompt tokens by upstream.
     pub loads: Vec<(UpstreamId, u32, u64)>,
 }
 
 impl ReceivedLoads {
-    /// Takes in a part; returns whether a newer whole is known by it.
+    /// Applies a part. Returns true if it completes newer loads.
     pub fn apply(&mut self, part: LoadsPart) -> bool {
         if part.incarnation != self.incarnation {
             *self = Self {
@@ -76,8 +77,8 @@
         }
         self.sequence = part.sequence;
         self.counted = part.counted;
-        let told = self.pending.drain().flat_map(|(_, loads)| loads);
-        self.loads = told
+        let announced = self.pending.drain().flat_map(|(_, loads)| loads);
+        self.loads = announced
             .map(|l| {
                 let id = UpstreamId::from(l.upstream.as_str());
                 (id, l.active, u64::from(l.waiting_tokens))
@@ -87,7 +88,7 @@
     }
 }
 
-/// Adds requests and waiting tokens at an upstream to sums.
+/// Adds the load at an upstream to the sums.
 pub fn add_load(sums: &mut LoadSums, id: &UpstreamId, active: u32, tokens: u64) {
     match sums.get_mut(id) {
         Some(sum) => *sum = (sum.0 + active, sum.1 + tokens),
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -4,57 +4,61 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// How long a daemon counts whose reports stay away, in milliseconds: some of
-/// its periods.
+/// The time without a report after which a daemon is removed, in milliseconds: several of its
+/// report intervals.
 const MEMBER_SILENT_MS: u64 = 2_000;
-/// How long a placement counts that no report has counted in, in milliseconds:
-/// the question may have been answered in vain.
-const BOOKED_MS: u64 = 1_500;
-/// How many answers to a daemon's questions are remembered: asked again, it gets
-/// the same one.
+/// How long a placement counts that is not included in the daemon's loads, in milliseconds. The
+/// daemon may not have received or used the answer.
+const RESERVATION_MS: u64 = 1_500;
+/// How many answers to a daemon's queries are kept, so that a repeated query gets the same answer.
 const REMEMBERED_ANSWERS: usize = 64;
-/// For how long an account counts as one whose requests come to a daemon, in milliseconds:
-/// longer than it may have to do without a hub.
+/// How long after its last query a client account counts as used at a daemon, in milliseconds:
+/// longer than the daemon may have to run without a hub.
 const USED_MS: u64 = 30_000;
-/// Within how many milliseconds two daemons must miss an upstream for it to
-/// count as gone for all: one may only be cut off itself.
-const MISSED_WITHIN_MS: u64 = 2_000;
+/// The window in which two daemons must fail to reach an upstream for it to count as unreachable
+/// for all, in milliseconds. A single daemon may be cut off itself.
+const UNREACHABLE_WINDOW_MS: u64 = 2_000;
 
 /// A daemon that reports to this one.
 #[derive(Debug, Default)]
 struct Member {
     incarnation: u64,
     last_seen_ms: u64,
-    /// Whether it lets its requests in through this daemon.
-    leans: bool,
+    /// True if it sends its admission queries to this daemon.
+    is_dependent: bool,
     loads: ReceivedLoads,
-    /// When its loads were last told whole.
+    /// When its last complete loads arrived.
     loads_ms: u64,
-    booked: Vec<Booking>,
+    reservations: Vec<Reservation>,
+    /// The number of the last event that was applied.
     last_event: u64,
-    last_alone: u64,
-    /// The client accounts whose requests it asked to let in, and when last.
+    /// The number of the last batch of units admitted without a hub that was applied.
+    last_standalone_batch: u64,
+    /// The client accounts that it queried for, and the time of the last query.
     accounts: HashMap<ClientAccount, u64>,
-    /// Where its next turn among the other accounts begins.
+    /// The index among the other accounts from which the next announcement continues.
     next_account: usize,
+    /// The newest answers by query id.
     answers: VecDeque<(u64, HubDecision)>,
 }
 
-/// A placement that no report has counted in yet.
+/// A placement that is not included in the daemon's loads yet.
 #[derive(Debug)]
-struct Booking {
+struct Reservation {
+    /// The id of the admission query.
     query: u64,
     upstream: UpstreamId,
+    /// The prompt tokens that the upstream has to process.
     tokens: u64,
     at_ms: u64,
 }
 
-/// The changes that a report brought.
+/// What of a report was not applied before.
 #[derive(Debug, Default, PartialEq)]
 pub struct ReportChanges {
-    /// What happened to requests.
+    /// New events of the daemon's requests.
     pub events: Vec<MemberEvent>,
-    /// What was let in without a hub, by client account.
+    /// The units that were admitted without a hub, by client account.
     pub admitted_standalone: Vec<(ClientAccount, f64)>,
 }
 
@@ -63,16 +67,16 @@
 #[derive(Debug, Default)]
 pub struct MemberTable {
     members: HashMap<String, Member>,
-    /// Who missed an upstream last, and when.
-    missed: HashMap<UpstreamId, (String, u64)>,
+    /// The daemon that last failed to reach an upstream, and when.
+    unreachable: HashMap<UpstreamId, (String, u64)>,
 }
 
 impl MemberTable {
-    /// Takes in a report; returns what is new.
+    /// Applies a report. Returns what was not applied before.
     pub fn apply_report(&mut self, report: &Report, now_ms: u64) -> ReportChanges {
         let member = self.member(&report.daemon.name, report.incarnation, now_ms);
-        member.leans = report.is_dependent;
-        if !member.leans {
+        member.is_dependent = report.is_dependent;
+        if !member.is_dependent {
             return ReportChanges::default();
         }
         let last_event = member.last_event;
@@ -81,8 +85,8 @@
         let newest = report.events.iter().map(|(n, _)| *n).max();
         member.last_event = last_event.max(newest.unwrap_or(0));
         let mut admitted_standalone = Vec::new();
-        if report.standalone_batch > member.last_alone {
-            member.last_alone = report.standalone_batch;
+        if report.standalone_batch > member.last_standalone_batch {
+            member.last_standalone_batch = report.standalone_batch;
             let typed = |(name, units): &(String, f64)| (ClientAccount::from(&**name), *units);
             admitted_standalone = report.admitted_standalone.iter().map(typed).collect();
         }
@@ -92,13 +96,14 @@
         }
     }
 
-    /// Takes in what a daemon has at upstreams.
+    /// Applies a part of a daemon's loads. When the loads are complete, drops the reservations that
+    /// they include.
     pub fn apply_loads(&mut self, part: LoadsPart, now_ms: u64) {
         let member = self.member(&part.name, part.incarnation, now_ms);
         if member.loads.apply(part) {
             member.loads_ms = now_ms;
             let counted = member.loads.counted;
-            member.booked.retain(|b| b.query > counted);
+            member.reservations.retain(|r| r.query > counted);
         }
     }
 
@@ -114,10 +119,11 @@
         member
     }
 
-    /// Returns the answer that a question already got.
+    /// Returns the answer that a query already got, and records that its daemon and its client
+    /// account are in use.
     pub fn known_answer(&mut self, query: &AdmissionQuery, now_ms: u64) -> Option<HubDecision> {
         let member = self.member(&query.name, query.incarnation, now_ms);
-        member.leans = true;
+        member.is_dependent = true;
         if let Some(quota) = &query.quota {
             let account = ClientAccount::from(quota.account.as_str());
             member.accounts.insert(account, now_ms);
@@ -126,7 +132,7 @@
         known.map(|(_, decision)| decision.clone())
     }
 
-    /// Remembers an answer, and counts the request in where it was placed.
+    /// Keeps an answer, and adds a reservation at the upstream where the request was placed.
     pub fn record_answer(&mut self, query: &AdmissionQuery, decision: &HubDecision, now_ms: u64) {
         let member = self.member(&query.name, query.incarnation, now_ms);
         if let HubDecision::Placed {
@@ -135,7 +141,7 @@
             ..
         } = decision
         {
-            member.booked.push(Booking {
+            member.reservations.push(Reservation {
                 query: query.id,
                 upstream: UpstreamId::from(upstream.as_str()),
                 tokens: *unread_tokens,
@@ -149,8 +155,8 @@
         }
     }
 
-    /// Returns what to tell a daemon of the client accounts: of those whose requests come to
-    /// it each time, of the others by turns, as far as there is room.
+    /// Returns the client accounts to announce to a daemon, in parts: each time all that it uses,
+    /// and the others in rotation as far as there is room.
     pub fn quotas_for(
         &mut self,
         name: &str,
@@ -159,15 +165,15 @@
         let Some(member) = self.members.get_mut(name) else {
             return Vec::new();
         };
-        let is_used = |told: &AnnouncedAccount| member.accounts.contains_key(told.name.as_str());
-        let (mut told, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(is_used);
-        let used = told.len();
+        let is_used = |a: &AnnouncedAccount| member.accounts.contains_key(a.name.as_str());
+        let (mut announced, mut others): (Vec<_>, Vec<_>) = all.into_iter().partition(is_used);
+        let used = announced.len();
         let begin = member.next_account.checked_rem(others.len()).unwrap_or(0);
         others.rotate_left(begin);
-        told.extend(others);
+        announced.extend(others);
         let mut parts = Vec::new();
         let mut count = 0;
-        for part in in_parts(told) {
+        for part in in_parts(announced) {
             if count > 0 && count >= used {
                 break;
             }
@@ -178,56 +184,58 @@
         parts
     }
 
-    /// Notes that a daemon could not reach an upstream; returns whether another
-    /// one missed it just before.
+    /// Records that a daemon could not reach an upstream. Returns true if another daemon failed to
+    /// reach it shortly before.
     pub fn is_unreachable_for_others(&mut self, name: &str, id: &UpstreamId, now_ms: u64) -> bool {
-        let before = self.missed.insert(id.clone(), (name.to_string(), now_ms));
-        before.is_some_and(|(by, at_ms)| by != name && now_ms < at_ms + MISSED_WITHIN_MS)
+        let before = self
+            .unreachable
+            .insert(id.clone(), (name.to_string(), now_ms));
+        before.is_some_and(|(by, at_ms)| by != name && now_ms < at_ms + UNREACHABLE_WINDOW_MS)
     }
 
-    /// Forgets daemons that fell silent, and placements that came to nothing.
+    /// Removes silent daemons, and expired reservations, accounts and unreachable upstreams.
     pub fn tick(&mut self, now_ms: u64) {
         self.members
             .retain(|_, m| now_ms < m.last_seen_ms + MEMBER_SILENT_MS);
         for member in self.members.values_mut() {
-            member.booked.retain(|b| now_ms < b.at_ms + BOOKED_MS);
+            member
+                .reservations
+                .retain(|r| now_ms < r.at_ms + RESERVATION_MS);
             member.accounts.retain(|_, at_ms| now_ms < *at_ms + USED_MS);
         }
-        self.missed
-            .retain(|_, (_, at_ms)| now_ms < *at_ms + MISSED_WITHIN_MS);
+        self.unreachable
+            .retain(|_, (_, at_ms)| now_ms < *at_ms + UNREACHABLE_WINDOW_MS);
     }
 
-    /// Returns how many daemons let their requests in through this one, itself
-    /// included.
+    /// Returns the number of daemons that send their admission queries to this one, itself included.
     pub fn dependents(&self) -> u32 {
-        1 + self.members.values().filter(|m| m.leans).count() as u32
+        1 + self.members.values().filter(|m| m.is_dependent).count() as u32
     }
 
-    /// Returns how old the oldest loads are that such a daemon told, in
-    /// milliseconds.
+    /// Returns the age of the oldest loads of a dependent daemon, in milliseconds.
     pub fn oldest_loads_ms(&self, now_ms: u64) -> u64 {
-        let dependents = self.members.values().filter(|m| m.leans);
+        let dependents = self.members.values().filter(|m| m.is_dependent);
         let ages = dependents.map(|m| now_ms.saturating_sub(m.loads_ms));
         ages.max().unwrap_or(0)
     }
 
-    /// Returns how many such daemons there are, and how old their loads are in sum, in
+    /// Returns the number of dependent daemons, and the sum of the ages of their loads in
     /// milliseconds.
     pub fn loads_ages(&self, now_ms: u64) -> (u64, u64) {
-        let dependents = self.members.values().filter(|m| m.leans);
+        let dependents = self.members.values().filter(|m| m.is_dependent);
         let ages = dependents.map(|m| now_ms.saturating_sub(m.loads_ms));
         ages.fold((0, 0), |(count, sum), age_ms| (count + 1, sum + age_ms))
     }
 
-    /// Tells what those daemons have at upstreams: requests and waiting prompt
-    /// tokens.
-    pub fn each_load(&self, mut tell: impl FnMut(&UpstreamId, u32, u64)) {
-        for member in self.members.values().filter(|m| m.leans) {
+    /// Calls `visit` with the requests and waiting prompt tokens of each load of the dependent
+    /// daemons, and of each reservation.
+    pub fn each_load(&self, mut visit: impl FnMut(&UpstreamId, u32, u64)) {
+        for member in self.members.values().filter(|m| m.is_dependent) {
             for (id, active, tokens) in &member.loads.loads {
-                tell(id, *active, *tokens);
+                visit(id, *active, *tokens);
             }
-            for booking in &member.booked {
-                tell(&booking.upstream, 1, booking.tokens);
+            for reservation in &member.reservations {
+                visit(&reservation.upstream, 1, reservation.tokens);
             }
         }
     }
--- a/src/cluster/hubs/mod.rs
+++ b/src/cluster/hubs/mod.rs
@@ -1,4 +1,5 @@
-//! What hubs and the daemons that ask them tell each other.
+//! Messages between hubs and the daemons that send them admission queries, and the tasks that
+//! send and apply these messages.
 
 mod cooldowns_part;
 mod digest;
--- a/src/cluster/hubs/query.rs
+++ b/src/cluster/hubs/query.rs
@@ -1,88 +1,92 @@
 use bincode::{Decode, Encode};
 
-/// A daemon's query to a hub of its failure domain: whether a request is admitted, and
-/// to which upstream it goes.
+/// A daemon's query to a hub of its failure domain to admit a request and choose an upstream for
+/// it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AdmissionQuery {
     /// The daemon's name.
     pub name: String,
-    /// Which life of it.
+    /// The daemon's incarnation.
     pub incarnation: u64,
-    /// The number of the question: asked again, it is answered the same.
+    /// The id of the query, which increases within an incarnation. A repeated query gets the same
+    /// answer.
     pub id: u64,
-    /// The client's id of the attempt, for logs.
+    /// The request's id, for logs.
     pub request: String,
-    /// What it would take of a quota, if it is not let in yet.
+    /// What the request takes from a quota; none if it is admitted already.
     pub quota: Option<QuotaQuery>,
-    /// What has to be known to place it.
+    /// What the hub needs to place the request.
     pub place: PlacementQuery,
 }
 
 /// The cost of a request, counted against a client account's quota.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct QuotaQuery {
-    /// The account.
+    /// The client account.
     pub account: String,
-    /// Units.
+    /// The cost in quota units.
     pub cost: f64,
-    /// How long the request may be held for its turn, in milliseconds.
+    /// The longest time for which the hub may hold the request until the quota allows it, in
+    /// milliseconds.
     pub max_wait_ms: u32,
 }
 
-/// What has to be known of a request to place it.
+/// What a hub needs to know of a request to place it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PlacementQuery {
-    /// The service.
+    /// The requested service.
     pub service: String,
-    /// Within how long an answer is wanted, in milliseconds.
+    /// The target latency of the answer, in milliseconds.
     pub target_ms: u64,
-    /// The prompt's tokens; none, if the request names none.
+    /// The number of prompt tokens; none if the request does not state it.
     pub tokens_in: Option<u64>,
-    /// The most tokens of the answer.
+    /// The most tokens that the answer may have.
     pub tokens_out: u64,
-    /// The prompt's parts: hashes of each with all before it, and tokens.
+    /// The prompt's parts: for each, the hash of the prompt up to its end, and its tokens.
     pub parts: Vec<(u64, u64)>,
-    /// Upstreams that were tried.
+    /// Upstreams that were tried for this request, which are not chosen again.
     pub tried: Vec<String>,
-    /// Others that the daemon can't reach now.
+    /// Other upstreams that the daemon can't reach now.
     pub avoided: Vec<String>,
-    /// By what it is placed in place of its prompt, if it is to run apart from others.
+    /// The key by which the request is placed instead of its prompt, if it is suspected to crash
+    /// upstreams and must run apart from others.
     pub isolation_key: Option<u64>,
 }
 
-/// A hub's answer.
+/// A hub's answer to an admission query.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Answer {
-    /// The number of the question.
+    /// The id of the query.
     pub id: u64,
-    /// Which life of the daemon asked.
+    /// The incarnation of the daemon that sent the query.
     pub incarnation: u64,
-    /// What is to be done.
+    /// The hub's decision.
     pub decision: HubDecision,
 }
 
 /// A hub's decision on an admission query.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum HubDecision {
-    /// It is let in and may run.
+    /// The request is admitted and placed.
     Placed {
-        /// The upstream.
+        /// The chosen upstream's id.
         upstream: String,
-        /// The prompt tokens that it is expected to read.
+        /// The prompt tokens that the upstream is expected to process for this request, without
+        /// those that it has cached.
         unread_tokens: u64,
-        /// The prompt tokens of other requests that it is known to read first.
+        /// The prompt tokens of other requests that the upstream is known to process first.
         waiting_tokens: u64,
     },
-    /// It is let in, but no upstream is ready.
+    /// The request is admitted, but no upstream is ready.
     NoUpstream,
-    /// It is beyond the quota, and may come back after some milliseconds.
+    /// The request exceeds the quota and may be repeated after some time.
     Refused {
-        /// The time.
+        /// The time after which to repeat it, in milliseconds.
         wait_ms: u64,
     },
-    /// It is held for its turn; the answer comes later.
+    /// The hub holds the request until the quota or a permit allows it, and answers later.
     Held,
-    /// The hub doesn't know the service or the client account: the daemon may
-    /// have a newer configuration.
+    /// The hub does not know the service or the client account: the daemon may have a newer
+    /// configuration.
     Unknown,
 }
--- a/src/cluster/hubs/query_answers.rs
+++ b/src/cluster/hubs/query_answers.rs
@@ -3,8 +3,8 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Answers a question of a daemon that reports to this one: at once, or later where the
-/// request is held or a permit has to be asked for.
+/// Answers an admission query of a daemon that reports to this one. The answer is sent at once, or
+/// later if the request is held or a permit has to be requested.
 pub(in crate::cluster) async fn answer_query(
     gateway: &Arc<Gateway>,
     query: AdmissionQuery,
@@ -19,7 +19,7 @@
             match futures_util::poll!(pending.as_mut()) {
                 std::task::Poll::Ready(decision) => decision,
                 std::task::Poll::Pending => {
-                    // Ends by itself when the request has been held long enough.
+                    // The task ends when the request has been held for its longest time.
                     tokio::spawn(answer_later(gateway.clone(), query.clone(), pending, from));
                     HubDecision::Held
                 }
@@ -50,12 +50,12 @@
         incarnation: query.incarnation,
         decision,
     };
-    // What this daemon places has a permit where that is needed.
+    // Requests that this daemon places have a permit where the upstream needs one.
     let packet = Packet::from(Datagram::Answer(answer)).with(Extension::HasPermit);
     gateway.send_packet(&packet, to).await;
 }
 
-/// Decides for another daemon whether a request is let in, and where it runs.
+/// Admits and places a request for another daemon.
 async fn decide(gateway: Arc<Gateway>, query: AdmissionQuery) -> HubDecision {
     let Some(table) = gateway.table() else {
         return HubDecision::Unknown;
@@ -66,7 +66,7 @@
     }
     if let Some(quota) = &query.quota {
         let mut accounts = table.config().accounts.iter();
-        let Some(account) = accounts.find(|t| t.name.as_str() == quota.account) else {
+        let Some(account) = accounts.find(|a| a.name.as_str() == quota.account) else {
             return HubDecision::Unknown;
         };
         let max_wait = Duration::from_millis(u64::from(quota.max_wait_ms));
--- a/src/cluster/hubs/report.rs
+++ b/src/cluster/hubs/report.rs
@@ -3,69 +3,71 @@
     bincode::{Decode, Encode},
 };
 
-/// What a daemon reports to a hub of its failure domain.
+/// A daemon's report to a hub of its failure domain.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Report {
-    /// The daemon.
+    /// The daemon that reports.
     pub daemon: DaemonEntry,
-    /// Which life of it.
+    /// The daemon's incarnation.
     pub incarnation: u64,
-    /// Rises with each report of a life.
+    /// Increases with each report of an incarnation.
     pub sequence: u64,
-    /// After how long it will report again at the latest, in milliseconds.
+    /// The longest time until its next report, in milliseconds.
     pub interval_ms: u32,
-    /// Whether it lets its requests in through this hub.
+    /// True if the daemon sends its admission queries to this hub.
     pub is_dependent: bool,
-    /// Whether it wants the hub's digest.
+    /// True if the daemon requests the hub's digest.
     pub wants_digest: bool,
-    /// Whether it wants to be told of quotas and other daemons, too.
+    /// True if the digest shall name other daemons, and crashes, limits and quotas shall be sent
+    /// along.
     pub wants_all: bool,
-    /// Its state.
+    /// The daemon's state.
     pub status: DaemonStatus,
-    /// What happened lately, numbered in order: told twice, taken in once.
+    /// Recent events, numbered in order. Each is sent more than once, and the hub applies it
+    /// once.
     pub events: Vec<(u64, MemberEvent)>,
-    /// What it let in by itself, by client account; the same until the hub has
-    /// heard `standalone_batch`.
+    /// The units that the daemon admitted without a hub, by client account. The same batch is
+    /// sent more than once, and the hub applies it once by the number in `standalone_batch`.
     pub admitted_standalone: Vec<(String, f64)>,
-    /// The number of `admitted_standalone`; 0 for none.
+    /// The number of the batch in `admitted_standalone`; 0 if there is none.
     pub standalone_batch: u64,
 }
 
-/// What happened to a request of a daemon: hubs learn from it how upstreams
-/// fare and how fast engines are.
+/// An event of a daemon's request. Hubs learn from events which upstreams fail and how fast
+/// engines are.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum MemberEvent {
     /// A request ended at an upstream.
     Ended {
-        /// The upstream.
+        /// The upstream's id.
         upstream: String,
-        /// Whether it failed there.
+        /// True if it failed there.
         failed: bool,
     },
     /// An upstream could not be reached.
     Unreachable {
-        /// The upstream.
+        /// The upstream's id.
         upstream: String,
     },
-    /// An answer that nothing waited before began.
+    /// An answer began, with no other request waiting before it at the upstream.
     FirstEvent {
-        /// The service.
+        /// The service's name.
         service: String,
-        /// The prompt tokens that had to be read.
+        /// The prompt tokens that the upstream had to process.
         unread_tokens: u32,
-        /// How long it took, in milliseconds.
+        /// The time to the first event of the answer, in milliseconds.
         after_ms: f32,
     },
-    /// Another upstream has the address of one.
+    /// The address of an upstream belongs to another one.
     Misdirected {
-        /// The upstream.
+        /// The upstream's id.
         upstream: String,
     },
-    /// A request ended whole.
+    /// A request completed.
     Completed {
-        /// The service.
+        /// The service's name.
         service: String,
-        /// How long it was there, in milliseconds.
+        /// The time from its start to its end at the upstream, in milliseconds.
         ms: f32,
     },
 }
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -3,39 +3,40 @@
     std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// The least time between two reports: so old are loads at most that a hub
-/// decides by, beside the way.
+/// The minimum time between two reports. It bounds the age of the loads by which a hub places
+/// requests, apart from the network delay.
 const REPORT_PAUSE: Duration = Duration::from_millis(100);
-/// The longest time between two reports to the hub that is asked, in
+/// The longest time between two reports to the hub that gets the admission queries, in
 /// milliseconds.
-const REPORT_EVERY_MS: u64 = 500;
-/// How often other hubs are told that this daemon lives, in milliseconds.
-const ALIVE_EVERY_MS: u64 = 1_000;
-/// For how long after its start a daemon asks its seeds also if it hears hubs, in
-/// milliseconds: until then the others have started, too.
+const REPORT_INTERVAL_MS: u64 = 500;
+/// The interval of the reports to the other hubs of the failure domain, in milliseconds. These
+/// reports only show that this daemon is alive.
+const ALIVE_INTERVAL_MS: u64 = 1_000;
+/// The time after its start for which a daemon queries its seeds even if it knows live hubs, in
+/// milliseconds. After it, daemons that were started together are all running.
 const STARTING_MS: u64 = 1_000;
-/// How old what is known of quotas and other daemons may be, in milliseconds.
-const ALL_EVERY_MS: u64 = 1_800;
-/// How many events one report tells at most: with them it stays below the size
-/// of one datagram.
+/// The interval at which a daemon requests the quotas and the other daemons from its hub, in
+/// milliseconds. It bounds the age of what the daemon knows of them.
+const ALL_INTERVAL_MS: u64 = 1_800;
+/// The most events in one report, so that it fits into one datagram.
 const MAX_EVENTS: usize = 24;
 
-/// Reports to the hubs of the failure domain for as long as this daemon isn't
-/// one itself, and to its seeds until it hears any.
+/// Reports to the hubs of the failure domain while this daemon is no hub itself, and to its seeds
+/// while it knows no live hub.
 pub(in crate::cluster) async fn announce_reports(gateway: Arc<Gateway>) {
     let mut reporter = Reporter {
         seed_backoff: SeedBackoff::new(gateway.draw()),
         hears_hubs: false,
         reported: (None, 0),
-        alive_ms: 0,
-        all_ms: 0,
+        alive_sent_ms: 0,
+        all_requested_ms: 0,
         gateway: gateway.clone(),
     };
     let mut is_woken = false;
     loop {
         let pause_ms = match reporter.turn(is_woken).await {
             true => 0,
-            false => REPORT_EVERY_MS,
+            false => REPORT_INTERVAL_MS,
         };
         let pause = Duration::from_millis(pause_ms).saturating_sub(REPORT_PAUSE);
         let early = gateway.report_early.notified();
@@ -48,22 +49,22 @@
     gateway: Arc<Gateway>,
     seed_backoff: SeedBackoff,
     hears_hubs: bool,
-    /// The hub through which requests are let in, as it was reported to last, and when.
+    /// The hub that got the last full report, and the time of that report.
     reported: (Option<SocketAddr>, u64),
-    /// When the other hubs were told last that this daemon lives.
-    alive_ms: u64,
-    /// When all was asked for last.
-    all_ms: u64,
+    /// When the other hubs got their last report.
+    alive_sent_ms: u64,
+    /// When the quotas and the other daemons were last requested.
+    all_requested_ms: u64,
 }
 
 impl Reporter {
-    /// Reports what is due; returns whether this daemon still looks for others.
+    /// Sends the reports that are due. Returns true if this daemon still queries its seeds.
     async fn turn(&mut self, is_woken: bool) -> bool {
         let now_ms = self.gateway.steady_ms();
         let is_starting = self.is_starting(now_ms);
-        let asks_all = is_starting && self.query_seed(now_ms).await;
+        let is_seed_queried = is_starting && self.query_seed(now_ms).await;
         if !self.gateway.is_hub() {
-            self.report(asks_all, is_woken, now_ms).await;
+            self.report(is_seed_queried, is_woken, now_ms).await;
         }
         is_starting
     }
@@ -77,7 +78,7 @@
         now_ms < STARTING_MS || !hears_hubs
     }
 
-    /// Asks a seed who the others are, if that is due; returns whether it was.
+    /// Queries a seed for the other daemons if that is due. Returns true if it was due.
     async fn query_seed(&mut self, now_ms: u64) -> bool {
         let gateway = &self.gateway;
         let seeds = &gateway.settings.peers.seeds;
@@ -96,24 +97,24 @@
         true
     }
 
-    async fn report(&mut self, asks_all: bool, is_woken: bool, now_ms: u64) {
+    async fn report(&mut self, is_seed_queried: bool, is_woken: bool, now_ms: u64) {
         let gateway = &self.gateway;
-        let leans_on = gateway.hub_client.leans_on(gateway);
-        let wants_all = asks_all || now_ms >= self.all_ms + ALL_EVERY_MS;
+        let queried_hub = gateway.hub_client.queried_hub(gateway);
+        let wants_all = is_seed_queried || now_ms >= self.all_requested_ms + ALL_INTERVAL_MS;
         if wants_all {
-            self.all_ms = now_ms;
+            self.all_requested_ms = now_ms;
         }
         let (reported_to, reported_ms) = self.reported;
-        let is_due = reported_to != leans_on || now_ms >= reported_ms + REPORT_EVERY_MS;
-        if let Some(hub) = leans_on.filter(|_| wants_all || is_woken || is_due) {
-            self.reported = (leans_on, now_ms);
+        let is_due = reported_to != queried_hub || now_ms >= reported_ms + REPORT_INTERVAL_MS;
+        if let Some(hub) = queried_hub.filter(|_| wants_all || is_woken || is_due) {
+            self.reported = (queried_hub, now_ms);
             report_to_hub(gateway, hub, wants_all).await;
         }
-        if asks_all || now_ms >= self.alive_ms + ALIVE_EVERY_MS {
-            self.alive_ms = now_ms;
+        if is_seed_queried || now_ms >= self.alive_sent_ms + ALIVE_INTERVAL_MS {
+            self.alive_sent_ms = now_ms;
             let hubs: BTreeSet<_> = gateway.peers.lock().own_hubs().into_iter().collect();
-            for hub in hubs.into_iter().filter(|h| Some(*h) != leans_on) {
-                let report = own_report(gateway, hub, ALIVE_EVERY_MS);
+            for hub in hubs.into_iter().filter(|h| Some(*h) != queried_hub) {
+                let report = own_report(gateway, hub, ALIVE_INTERVAL_MS);
                 gateway.send_packet(&report_packet(report), hub).await;
             }
         }
@@ -121,7 +122,7 @@
 }
 
 async fn report_to_hub(gateway: &Gateway, hub: SocketAddr, wants_all: bool) {
-    let mut report = own_report(gateway, hub, REPORT_EVERY_MS);
+    let mut report = own_report(gateway, hub, REPORT_INTERVAL_MS);
     report.is_dependent = true;
     report.wants_all = wants_all;
     report.wants_digest |= wants_all;
@@ -152,7 +153,7 @@
 fn own_report(gateway: &Gateway, hub: SocketAddr, interval_ms: u64) -> Report {
     let peers = gateway.peers.lock();
     let daemon = peers.own().clone();
-    let wants_digest = peers.wants_digest(hub, MEMBERS_EVERY_MS);
+    let wants_digest = peers.wants_digest(hub, MEMBER_DIGEST_INTERVAL_MS);
     drop(peers);
     Report {
         daemon,
