--- a/src/cluster/leaving/leaving_announcer.rs
+++ b/src/cluster/leaving/leaving_announcer.rs
@@ -3,26 +3,28 @@
     std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How often news are told. What a daemon hears binds all after some of these: it tells its
-/// hubs, these the other hubs, these those that report to them.
-const TELL_EVERY: Duration = Duration::from_millis(200);
-/// How many upstreams are told at a time: one datagram full, and only while upstreams leave.
-const MOST_TOLD: usize = 64;
+/// The interval of announcements. An upstream that says to one daemon that it leaves is known to
+/// all after a few of these intervals: the daemon notifies its hubs, these the other hubs, and each
+/// hub the daemons that report to it.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
+/// The most upstreams in one announcement: as many as fit into one datagram. Announcements are sent
+/// only while upstreams leave.
+const MAX_ANNOUNCED: usize = 64;
 
-/// Tells other daemons of upstreams whose answers say that they leave. Each answer tells one
-/// daemon; without this the others send on for as long as the source says nothing, and what
-/// they send meets the upstream's end.
+/// Announces upstreams whose answers say that they leave. Each answer reaches only one daemon.
+/// Without announcements the others would send requests until the shared source lists the upstream
+/// as leaving, and the upstream would end while it runs them.
 pub(in crate::cluster) async fn announce_leaving(gateway: Arc<Gateway>) {
     loop {
-        tokio::time::sleep(TELL_EVERY).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
         if gateway.leaving_queue.lock().is_empty() {
             continue;
         }
         let (hubs, members) = gateway.hubs_and_members();
-        let told = gateway.leaving_queue.lock().to_announce(MOST_TOLD);
+        let announced = gateway.leaving_queue.lock().to_announce(MAX_ANNOUNCED);
         let is_hub = gateway.is_hub();
-        send_leaving(&gateway, &told.hubs, is_hub, &hubs).await;
-        send_leaving(&gateway, &told.members, is_hub, &members).await;
+        send_leaving(&gateway, &announced.hubs, is_hub, &hubs).await;
+        send_leaving(&gateway, &announced.members, is_hub, &members).await;
     }
 }
 
@@ -47,11 +49,12 @@
     }
 }
 
-/// Takes in what another daemon told of upstreams that leave.
+/// Applies another daemon's announcement of leaving upstreams.
 pub(in crate::cluster) fn apply_leaving(gateway: &Arc<Gateway>, part: &LeavingPart) {
-    // A hub passes on what it hears: of hubs to those that report to it, of others to all.
-    let passes_on = gateway.is_hub().then_some(!part.among_hubs);
+    // A hub forwards the announcement: from another hub to the daemons that report to it, from
+    // any other daemon to hubs as well.
+    let forwards_to_hubs = gateway.is_hub().then_some(!part.among_hubs);
     for name in &part.upstreams {
-        gateway.mark_leaving(&UpstreamId::from(name.as_str()), passes_on);
+        gateway.mark_leaving(&UpstreamId::from(name.as_str()), forwards_to_hubs);
     }
 }
--- a/src/cluster/leaving/leaving_part.rs
+++ b/src/cluster/leaving/leaving_part.rs
@@ -1,11 +1,12 @@
 use bincode::{Decode, Encode};
 
-/// Upstreams whose answers said that they leave, as a daemon tells others. What is told
-/// again, or out of order, changes nothing: a life that leaves doesn't come back.
+/// Upstreams whose answers said that they leave, as a daemon announces them. Repeated and reordered
+/// parts have no effect, since an incarnation that leaves doesn't come back.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LeavingPart {
-    /// Whether a hub tells other hubs: these tell only those that report to them.
+    /// True if a hub announces them. The receiver, if it is a hub, forwards them only to the daemons
+    /// that report to it, and otherwise to hubs as well.
     pub among_hubs: bool,
-    /// The upstreams.
+    /// The ids of the upstreams.
     pub upstreams: Vec<String>,
 }
--- a/src/cluster/leaving/leaving_queue.rs
+++ b/src/cluster/leaving/leaving_queue.rs
@@ -1,61 +1,63 @@
 use {crate::names::UpstreamId, std::collections::BTreeMap};
 
-/// How often news of an upstream that leaves are told: a datagram may be lost. Three of four
-/// times in a row are lost once in 10,000 where one in ten is.
+/// How many times a leaving upstream is announced, since a datagram may be lost. Where one datagram
+/// in ten is lost, all four are lost once in 10,000 times.
 const ANNOUNCEMENTS: u8 = 4;
 
 /// Leaving upstreams that are still to be announced to other daemons.
 #[derive(Debug, Default)]
 pub struct LeavingQueue {
-    due: BTreeMap<UpstreamId, Telling>,
+    due: BTreeMap<UpstreamId, PendingAnnouncement>,
 }
 
 #[derive(Debug)]
-struct Telling {
-    left: u8,
+struct PendingAnnouncement {
+    announcements_left: u8,
+    /// True if it is announced to other hubs too.
     announces_to_hubs: bool,
 }
 
 /// Leaving upstreams to announce next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeavingToAnnounce {
-    /// The hubs of all failure domains, or those of the daemon's own if it is none.
+    /// The upstreams to announce to hubs: those of all failure domains if the daemon is a hub,
+    /// otherwise those of its own failure domain.
     pub hubs: Vec<UpstreamId>,
-    /// The daemons that report to a hub.
+    /// The upstreams to announce to the daemons that report to this one, if it is a hub.
     pub members: Vec<UpstreamId>,
 }
 
 impl LeavingQueue {
-    /// Notes an upstream to tell others of: the daemons that report to this one, and hubs,
-    /// unless a hub told it.
+    /// Adds an upstream to announce to the daemons that report to this one, and to hubs if
+    /// `announces_to_hubs` is set. It is not set if a hub announced the upstream to this daemon.
     pub fn record(&mut self, id: UpstreamId, announces_to_hubs: bool) {
-        let left = ANNOUNCEMENTS;
+        let announcements_left = ANNOUNCEMENTS;
         self.due.insert(
             id,
-            Telling {
-                left,
+            PendingAnnouncement {
+                announcements_left,
                 announces_to_hubs,
             },
         );
     }
 
-    /// Returns the news to tell next, at most some: first those that were told least.
+    /// Returns at most `most` upstreams to announce next, those with the fewest announcements first.
     pub fn to_announce(&mut self, most: usize) -> LeavingToAnnounce {
-        let mut told = LeavingToAnnounce::default();
+        let mut announced = LeavingToAnnounce::default();
         let mut due: Vec<_> = self.due.iter_mut().collect();
-        due.sort_by_key(|(_, telling)| std::cmp::Reverse(telling.left));
-        for (id, telling) in due.into_iter().take(most) {
-            telling.left -= 1;
-            if telling.announces_to_hubs {
-                told.hubs.push(id.clone());
+        due.sort_by_key(|(_, pending)| std::cmp::Reverse(pending.announcements_left));
+        for (id, pending) in due.into_iter().take(most) {
+            pending.announcements_left -= 1;
+            if pending.announces_to_hubs {
+                announced.hubs.push(id.clone());
             }
-            told.members.push(id.clone());
+            announced.members.push(id.clone());
         }
-        self.due.retain(|_, telling| telling.left > 0);
-        told
+        self.due.retain(|_, pending| pending.announcements_left > 0);
+        announced
     }
 
-    /// Returns whether nobody is to be told of anything.
+    /// Returns true if nothing is to be announced.
     pub fn is_empty(&self) -> bool {
         self.due.is_empty()
     }
--- a/src/cluster/leaving/mod.rs
+++ b/src/cluster/leaving/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams whose answers say that they leave: told to all.
+//! Announces upstreams whose answers say that they leave to all daemons.
 
 mod leaving_announcer;
 mod leaving_part;
