--- a/src/cluster/quotas/mod.rs
+++ b/src/cluster/quotas/mod.rs
@@ -1,4 +1,4 @@
-//! What is told of client accounts' quotas.
+//! Announcements of client accounts' quotas, and the quotas that daemons enforce without a hub.
 
 mod quota_announcer;
 mod quotas_part;
--- a/src/cluster/quotas/quotas_part.rs
+++ b/src/cluster/quotas/quotas_part.rs
@@ -3,40 +3,40 @@
     bincode::{Decode, Encode},
 };
 
-/// A part of what a hub tells of client accounts' quotas. Each account stands
-/// for itself: a part that is lost hides no other.
+/// A part of a hub's announcement of client accounts' quotas. Each account is independent of the
+/// others, so that a lost part does not invalidate another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct QuotasPart {
-    /// The daemon's name.
+    /// The hub's name.
     pub name: String,
-    /// Which life of it.
+    /// The hub's incarnation.
     pub incarnation: u64,
-    /// Rises with each telling of a life.
+    /// Increases with each announcement of an incarnation.
     pub sequence: u64,
-    /// For how long it has run, in milliseconds.
+    /// How long it has been a hub, in milliseconds; 0 in an announcement to a daemon that reports to
+    /// it.
     pub age_ms: u64,
-    /// By account, the weight with which it asks for a part of the quota, what
-    /// it has let in, what it sees left, and what all daemons asked for.
+    /// The announced client accounts.
     pub quotas: Vec<AnnouncedAccount>,
 }
 
 /// A client account's quota state as a hub announces it.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AnnouncedAccount {
-    /// The account.
+    /// The client account's name.
     pub name: String,
-    /// The weight with which the daemon asks for a part of the quota.
+    /// The weight with which the hub requests a part of the quota.
     pub weight: f32,
-    /// What it has let in since it started.
+    /// The units that it has admitted since it started.
     pub admitted: f64,
-    /// What is left, as it sees it.
+    /// The units left in the quota, as the hub knows it.
     pub level: f32,
-    /// The weights of all daemons together.
+    /// The sum of the weights of all daemons.
     pub demand: f32,
 }
 
 impl AnnouncedAccount {
-    /// Makes what is told from a notice.
+    /// Converts a notice to its wire form.
     pub fn of(notice: &QuotaNotice) -> Self {
         Self {
             name: notice.account.to_string(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns it with typed names.
+    /// Converts it back to a notice.
     pub fn notice(&self) -> QuotaNotice {
         QuotaNotice {
             account: ClientAccount::from(self.name.as_str()),
--- a/src/cluster/quotas/standalone_quotas.rs
+++ b/src/cluster/quotas/standalone_quotas.rs
@@ -6,27 +6,28 @@
     std::{collections::HashMap, net::SocketAddr},
 };
 
-/// How often a batch is told: a datagram may be lost.
-const TOLD_TIMES: u8 = 2;
-/// How many accounts a batch names at most: with them and some events a report
-/// stays below the size of one datagram (20 bytes an account).
-const MAX_TOLD_ACCOUNTS: usize = 24;
+/// How many times a batch is announced, since a datagram may be lost.
+const ANNOUNCEMENTS: u8 = 2;
+/// The most accounts in a batch, so that a report with it and some events fits into one datagram
+/// (20 bytes an account).
+const MAX_BATCH_ACCOUNTS: usize = 24;
 
-/// What a daemon that asks hubs knows of a client account that it lets in by itself.
+/// The state of a client account whose requests a daemon admits without a hub.
 #[derive(Clone, Copy, Debug, Default)]
 struct StandaloneAccount {
     quota: StandaloneQuota,
     demand: DemandMeter,
-    /// When what it was told last was told: what it spent counts from there.
+    /// The time of the quota state that a hub announced last. Spent units count from this time on.
     announced_ms: u64,
-    /// Since when it has decided by itself without having been told of the account.
+    /// The time since which the daemon has decided without a hub and without any announced state of
+    /// the account.
     unreported_since_ms: Option<u64>,
 }
 
 impl StandaloneAccount {
-    /// Returns what is reckoned with where nothing was told: the daemon's even part of
-    /// what is earned since it first decided by itself.
-    fn untold(&mut self, daemons: usize, now_ms: u64) -> ReceivedQuota {
+    /// Returns the quota state to assume if no hub has announced any. It gives the daemon an even
+    /// share of what the rate has provided since its first decision without a hub.
+    fn assumed_quota(&mut self, daemons: usize, now_ms: u64) -> ReceivedQuota {
         ReceivedQuota {
             level: 0.0,
             demand: self.demand.per_s(now_ms) * daemons as f64,
@@ -35,84 +36,85 @@
     }
 }
 
-/// What a daemon that asks hubs lets in by itself while none answers, by client
-/// account, and what they have not heard of it yet.
+/// The quotas by which a daemon that is no hub admits requests while no hub answers, by client
+/// account, and the admitted units that are still to be announced to hubs.
 #[derive(Debug, Default)]
 pub struct StandaloneQuotas {
     accounts: HashMap<ClientAccount, StandaloneAccount>,
-    /// What was let in and not told yet.
-    untold: HashMap<ClientAccount, f64>,
-    /// What is told until the hub has heard it.
+    /// Units that were admitted without a hub and not announced yet.
+    unannounced: HashMap<ClientAccount, f64>,
+    /// The units that are being announced, by account name.
     batch: Vec<(String, f64)>,
     batch_number: u64,
-    /// How often the batch was told, and to whom.
-    told: u8,
+    /// How many times the batch was announced, and to which hub.
+    announcements: u8,
     announced_to: Option<SocketAddr>,
 }
 
 impl StandaloneQuotas {
-    /// Notes what a request asks for.
+    /// Records the cost of a request as demand of its account.
     pub fn record_demand(&mut self, account: &ClientAccount, cost: f64, now_ms: u64) {
         let standalone = self.accounts.entry(account.clone()).or_default();
         standalone.demand.record(cost, now_ms);
     }
 
-    /// Notes that a hub decided on a request of an account.
+    /// Records that a hub decided on a request of an account.
     pub fn record_decided(&mut self, account: &ClientAccount) {
         if let Some(standalone) = self.accounts.get_mut(account) {
             standalone.unreported_since_ms = None;
         }
     }
 
-    /// Lets a request in by itself, if the daemon's part allows it: by what it was told of
-    /// the account, or else its even part among so many daemons.
+    /// Admits a request without a hub if the daemon's part of the quota allows it. The part follows
+    /// from the account's `received` state, or without one is an even share among `daemons`.
     pub fn admit(
         &mut self,
         account: &ClientAccount,
         cost: f64,
-        told: Option<ReceivedQuota>,
+        received: Option<ReceivedQuota>,
         daemons: usize,
         limit: &QuotaLimit,
         now_ms: u64,
     ) -> bool {
         let standalone = self.accounts.entry(account.clone()).or_default();
-        let told = told.unwrap_or_else(|| standalone.untold(daemons, now_ms));
-        if standalone.announced_ms != told.at_ms {
-            // What a hub had heard of by then it has counted.
-            standalone.announced_ms = told.at_ms;
-            standalone.quota.spent = self.untold.get(account).copied().unwrap_or(0.0);
+        let received = received.unwrap_or_else(|| standalone.assumed_quota(daemons, now_ms));
+        if standalone.announced_ms != received.at_ms {
+            // The hub's state includes the units that were announced before it.
+            standalone.announced_ms = received.at_ms;
+            standalone.quota.spent = self.unannounced.get(account).copied().unwrap_or(0.0);
         }
         let own_demand = standalone.demand.per_s(now_ms);
         if !standalone
             .quota
-            .admit(cost, own_demand, told, limit, now_ms)
+            .admit(cost, own_demand, received, limit, now_ms)
         {
             return false;
         }
-        *self.untold.entry(account.clone()).or_default() += cost;
+        *self.unannounced.entry(account.clone()).or_default() += cost;
         true
     }
 
-    /// Returns what to tell a hub, and its number; 0 if there is nothing.
+    /// Returns the batch to announce to a hub and its number, or an empty batch and 0 if there is
+    /// none.
     pub fn to_announce(&mut self, hub: SocketAddr) -> (Vec<(String, f64)>, u64) {
-        let is_done = self.batch.is_empty() || self.told >= TOLD_TIMES;
+        let is_done = self.batch.is_empty() || self.announcements >= ANNOUNCEMENTS;
         if is_done {
-            let next = self.untold.keys().take(MAX_TOLD_ACCOUNTS).cloned();
+            let next = self.unannounced.keys().take(MAX_BATCH_ACCOUNTS).cloned();
             let next: Vec<ClientAccount> = next.collect();
-            let untold = next
+            let entries = next
                 .into_iter()
-                .filter_map(|a| self.untold.remove_entry(&a));
-            self.batch = untold.map(|(a, units)| (a.to_string(), units)).collect();
+                .filter_map(|a| self.unannounced.remove_entry(&a));
+            self.batch = entries.map(|(a, units)| (a.to_string(), units)).collect();
             self.batch_number += u64::from(!self.batch.is_empty());
-            self.told = 0;
+            self.announcements = 0;
             self.announced_to = Some(hub);
         }
-        // Another hub would count it once more.
+        // Another hub would count the batch a second time.
         if self.batch.is_empty() || self.announced_to != Some(hub) {
-            self.told = TOLD_TIMES;
+            self.announcements = ANNOUNCEMENTS;
             return (Vec::new(), 0);
         }
-        self.told += 1;
+        self.announcements += 1;
         (self.batch.clone(), self.batch_number)
     }
 }
