--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -20,7 +20,7 @@
 const ATTEMPTS_PER_HUB: u32 = 2;
 /// The time beyond the request's longest hold for which the answer to a held request is awaited.
 /// The hub may have to request a permit from another daemon, for which
-/// [`PermitClient`](crate::cluster::PermitClient) waits a limited time.
+/// [`PermitClient`](crate::cluster::PermitClient) waits at most this long.
 const HOLD_GRACE: Duration = Duration::from_millis(200);
 
 /// Sends this daemon's admission queries to the hubs of its failure domain.
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -4,8 +4,8 @@
     std::collections::{HashMap, VecDeque},
 };
 
-/// The time without a report after which a daemon is removed, in milliseconds: several of its
-/// report intervals.
+/// The time without a message from a daemon after which it is removed, in milliseconds: several
+/// of its report intervals.
 const MEMBER_SILENT_MS: u64 = 2_000;
 /// How long a placement counts that is not included in the daemon's loads, in milliseconds. The
 /// daemon may not have received or used the answer.
--- a/src/cluster/usage/mod.rs
+++ b/src/cluster/usage/mod.rs
@@ -1,4 +1,4 @@
-//! How counts of requests reach the holder of the duties.
+//! Announces usage counts (requests by client account) to the holder of the duties.
 
 mod usage_announcer;
 mod usage_part;
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -13,35 +13,41 @@
     },
 };
 
-/// How often counts are told that the holder of the duties has not heard.
-const USAGE_EVERY: Duration = Duration::from_millis(500);
-/// The same for a daemon that stops: some round trips between failure domains, and
-/// time for a small box to answer.
-const LAST_USAGE_EVERY: Duration = Duration::from_millis(200);
-/// The window before which all is told where nothing is known to be.
-const NOTHING_WHOLE: u64 = 0;
-/// In how many rounds a daemon that stops waits for all that are told usage.
+/// The interval at which counts are announced that a receiver has not acknowledged.
+const USAGE_INTERVAL: Duration = Duration::from_millis(500);
+/// The same interval for a daemon that stops: several round trips between failure domains, and time
+/// for a small box to answer.
+const LAST_USAGE_INTERVAL: Duration = Duration::from_millis(200);
+/// The window to pass for forwarded counts: no window is known to be complete.
+const NOTHING_COMPLETE: u64 = 0;
+/// The number of rounds in which a daemon that stops waits for the acknowledgements of all
+/// receivers of usage.
 const ROUNDS_FOR_ALL: u32 = 3;
-/// How many windows are told: as many as are kept.
-const TOLD_WINDOWS: usize = 8;
+/// The number of the newest windows that are announced: as many as are kept.
+const ANNOUNCED_WINDOWS: usize = 8;
 
-/// The usage counts of one incarnation of a daemon that holders of the duties have acknowledged.
+/// Announces the usage counts of one incarnation of a daemon, and tracks what each receiver has
+/// acknowledged.
 #[derive(Debug, Default)]
 pub struct UsageAnnouncer {
     last_number: u64,
+    /// The receivers by address and incarnation.
     holders: HashMap<(SocketAddr, u64), HolderView>,
 }
 
 #[derive(Debug, Default)]
 struct HolderView {
-    heard: BTreeMap<u64, BTreeMap<String, u32>>,
+    /// The acknowledged counts by window.
+    acknowledged: BTreeMap<u64, BTreeMap<String, u32>>,
+    /// The newest `complete_before` that was acknowledged.
     acknowledged_before: u64,
-    /// Parts that were sent, by number.
+    /// The parts of the newest announcement that are not acknowledged yet, by number.
     sent: HashMap<u64, UsagePart>,
 }
 
 impl UsageAnnouncer {
-    /// Returns what to tell a holder: what it has not heard, in parts.
+    /// Returns the counts that a holder has not acknowledged, in parts to announce to it. `window`
+    /// is the current window: those before it are over.
     pub fn parts(
         &mut self,
         daemon: (&str, u64),
@@ -84,100 +90,102 @@
         parts
     }
 
-    /// Takes in that a holder has heard a part.
-    pub fn apply(&mut self, from: SocketAddr, heard: UsageAck) {
-        let Some(view) = self.holders.get_mut(&(from, heard.holder_incarnation)) else {
+    /// Applies a holder's acknowledgement of a part.
+    pub fn apply(&mut self, from: SocketAddr, ack: UsageAck) {
+        let Some(view) = self.holders.get_mut(&(from, ack.holder_incarnation)) else {
             return;
         };
-        let Some(part) = view.sent.remove(&heard.number) else {
+        let Some(part) = view.sent.remove(&ack.number) else {
             return;
         };
         view.acknowledged_before = view.acknowledged_before.max(part.complete_before);
         if part.counts.is_empty() {
-            // Kept, windows without counts would push out those that have some, which
-            // would be told for ever.
+            // Windows without counts are not kept: they would push out windows with counts, which
+            // would then be announced forever.
             return;
         }
-        let known = view.heard.entry(part.window).or_default();
+        let known = view.acknowledged.entry(part.window).or_default();
         known.extend(part.counts);
-        while view.heard.len() > TOLD_WINDOWS {
-            view.heard.pop_first();
+        while view.acknowledged.len() > ANNOUNCED_WINDOWS {
+            view.acknowledged.pop_first();
         }
     }
 }
 
 impl HolderView {
     fn lacking(&self, window: u64, counts: &AccountCounts) -> AnnouncedCounts {
-        let heard = self.heard.get(&window);
-        let known = |name: &str| heard.and_then(|h| h.get(name)).copied().unwrap_or(0);
-        let told = counts.iter().map(|(name, n)| (name.to_string(), *n as u32));
-        told.filter(|(name, n)| *n > known(name)).collect()
+        let acknowledged = self.acknowledged.get(&window);
+        let known = |name: &str| acknowledged.and_then(|a| a.get(name)).copied().unwrap_or(0);
+        let announced = counts.iter().map(|(name, n)| (name.to_string(), *n as u32));
+        announced.filter(|(name, n)| *n > known(name)).collect()
     }
 }
 
-/// Tells those that are told usage what they have not heard, as long as the daemon
-/// runs.
+/// Announces the counts that receivers have not acknowledged, as long as the daemon runs.
 pub(in crate::cluster) async fn announce_usage(gateway: Arc<Gateway>) {
     if !gateway.settings.duties.usage {
         return;
     }
     loop {
-        tokio::time::sleep(USAGE_EVERY).await;
+        tokio::time::sleep(USAGE_INTERVAL).await;
         for listener in duty_listeners(&gateway) {
             announce_own(&gateway, &listener).await;
-            pass_on(&gateway, &listener).await;
+            forward_counts(&gateway, &listener).await;
         }
     }
 }
 
-/// Tells the last counts of a daemon that stops until they are heard. One that is told
-/// and says nothing for some rounds may be gone; then it is enough that another has
-/// heard all.
+/// Announces the last counts of a daemon that stops until they are acknowledged. A receiver that
+/// does not answer for some rounds may have stopped; after these it is enough that one other
+/// receiver has acknowledged all counts.
 pub async fn announce_last_usage(gateway: &Gateway, max_wait: Duration) {
     if !gateway.settings.duties.usage || gateway.daemons() < 2 {
         return;
     }
-    let told = async {
+    let acknowledged_by_receivers = async {
         for round in 0.. {
             let listeners = duty_listeners(gateway);
-            let mut heard = 0;
+            let mut acknowledged = 0;
             for listener in &listeners {
                 let own = announce_own(gateway, listener).await;
-                let others = pass_on(gateway, listener).await;
-                heard += usize::from(own && others);
+                let others = forward_counts(gateway, listener).await;
+                acknowledged += usize::from(own && others);
             }
-            let is_patient = round < ROUNDS_FOR_ALL;
-            if heard > 0 && (heard == listeners.len() || !is_patient) {
+            let waits_for_all = round < ROUNDS_FOR_ALL;
+            if acknowledged > 0 && (acknowledged == listeners.len() || !waits_for_all) {
                 return;
             }
-            tokio::time::sleep(LAST_USAGE_EVERY).await;
+            tokio::time::sleep(LAST_USAGE_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(max_wait, told).await.is_err() {
+    if tokio::time::timeout(max_wait, acknowledged_by_receivers)
+        .await
+        .is_err()
+    {
         log::warn!(
             target: "duties",
-            "the last counts were not heard. patience_ms={}",
+            "last usage counts were not acknowledged in time. patience_ms={}",
             max_wait.as_millis()
         );
     }
 }
 
-/// A daemon that holds the duties or watches who does.
+/// A daemon that receives usage counts, since it holds the duties or watches their holder.
 struct DutyListener {
     address: SocketAddr,
     incarnation: u64,
-    /// Since when it is known to be one, by the steady clock.
+    /// When it became known as one, in milliseconds of the steady clock.
     since_ms: u64,
 }
 
-/// Returns where other daemons that hold the duties, or watch who does, listen.
+/// Returns the addresses of the other daemons that hold the duties or watch their holder.
 pub(in crate::cluster) fn duty_addresses(gateway: &Gateway) -> Vec<SocketAddr> {
     let listeners = duty_listeners(gateway).into_iter();
     listeners.map(|listener| listener.address).collect()
 }
 
-/// Returns the other daemons that are told usage. Those that watch the holder hear
-/// the same as it: one that takes over must report windows that are all but due.
+/// Returns the other daemons that receive usage counts. Daemons that watch the holder receive the
+/// same counts as the holder, since one that takes over must report windows that are almost due.
 fn duty_listeners(gateway: &Gateway) -> Vec<DutyListener> {
     let now_ms = gateway.steady_ms();
     let own_address = gateway.settings.listen.peers;
@@ -194,36 +202,37 @@
         .collect()
 }
 
-/// Tells the own counts; returns whether all of them were heard.
+/// Announces this daemon's own counts. Returns true if all of them are acknowledged.
 async fn announce_own(gateway: &Gateway, listener: &DutyListener) -> bool {
     let counts = ReceivedUsage {
         name: gateway.settings.node.name.to_string(),
         incarnation: gateway.incarnation,
-        windows: gateway.usage.lock().newest(TOLD_WINDOWS),
+        windows: gateway.usage.lock().newest(ANNOUNCED_WINDOWS),
     };
     let window = gateway.window_of(now_ms());
-    tell(gateway, listener, &counts, window).await
+    announce_counts(gateway, listener, &counts, window).await
 }
 
-/// Passes on what was heard of others and may still be reported, to one that is told
-/// usage since after that; returns whether it has heard all. Counts live in daemons
-/// only: of those that stopped before, it can't hear them itself.
-async fn pass_on(gateway: &Gateway, listener: &DutyListener) -> bool {
+/// Forwards the counts of other daemons that may still have to be reported, and that this daemon
+/// received before the listener became known. Returns true if all of them are acknowledged. Counts
+/// are kept in daemons only, so the listener can't get those of a daemon that stopped before from
+/// that daemon itself.
+async fn forward_counts(gateway: &Gateway, listener: &DutyListener) -> bool {
     let duties = &gateway.settings.duties;
     let due_windows = (duties.usage_delay_s / duties.usage_window_s.max(1)) + 1;
     let from_window = gateway.window_of(now_ms()).saturating_sub(due_windows);
-    let before_ms = listener.since_ms + USAGE_EVERY.as_millis() as u64;
-    let heard = gateway.usage.lock().heard(from_window, before_ms);
-    let mut is_heard = true;
-    for counts in &heard {
-        // Whether it is all that they counted, only they can say.
-        is_heard &= tell(gateway, listener, counts, NOTHING_WHOLE).await;
+    let before_ms = listener.since_ms + USAGE_INTERVAL.as_millis() as u64;
+    let received = gateway.usage.lock().heard(from_window, before_ms);
+    let mut is_acknowledged = true;
+    for counts in &received {
+        // Only the daemon that counted can say that its counts are complete.
+        is_acknowledged &= announce_counts(gateway, listener, counts, NOTHING_COMPLETE).await;
     }
-    is_heard
+    is_acknowledged
 }
 
-/// Tells one what it has not heard of some counts; returns whether that is nothing.
-async fn tell(
+/// Announces the counts that a listener has not acknowledged. Returns true if there are none.
+async fn announce_counts(
     gateway: &Gateway,
     listener: &DutyListener,
     counts: &ReceivedUsage,
@@ -236,10 +245,10 @@
         let to = (listener.address, listener.incarnation);
         announcer.parts(daemon, to, &counts.windows, window)
     };
-    let is_heard = parts.is_empty();
+    let is_acknowledged = parts.is_empty();
     for part in parts {
         let datagram = Datagram::Usage(part);
         gateway.send_datagram(&datagram, listener.address).await;
     }
-    is_heard
+    is_acknowledged
 }
--- a/src/cluster/usage/usage_part.rs
+++ b/src/cluster/usage/usage_part.rs
@@ -1,34 +1,34 @@
 use bincode::{Decode, Encode};
 
-/// Counts of requests that began to run, by client account.
+/// The number of requests that began to run, by client account.
 pub type AnnouncedCounts = Vec<(String, u32)>;
 
-/// A part of what a daemon counted, for the holder of the duties. Counts only
-/// grow, so that parts may come twice and in any order.
+/// A part of a daemon's usage counts, sent to the holder of the duties. Counts only grow, so parts
+/// may arrive twice and in any order.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct UsagePart {
-    /// The daemon's name.
+    /// The name of the daemon that counted.
     pub name: String,
-    /// Which life of it.
+    /// The incarnation of that daemon.
     pub incarnation: u64,
-    /// Rises with each part of a life.
+    /// Increases with each part that the sender announces of this incarnation.
     pub number: u64,
-    /// All windows before this one are over, and the holder has heard all of
-    /// them; 0 where another daemon passes on what it has heard.
+    /// All windows before this one are over, and the receiver has acknowledged all of their counts.
+    /// 0 if another daemon forwards counts that it has received.
     pub complete_before: u64,
-    /// A window.
+    /// The window that the counts belong to.
     pub window: u64,
-    /// Its counts, or a part of them.
+    /// The counts of the window, or a part of them.
     pub counts: AnnouncedCounts,
 }
 
-/// The acknowledgement of a usage part by the holder of the duties.
+/// The acknowledgement of a usage part by a daemon that holds or watches the duties.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct UsageAck {
-    /// Which life of the holder.
+    /// The incarnation of the daemon that acknowledges.
     pub holder_incarnation: u64,
-    /// Which life of the daemon counted.
+    /// The incarnation of the daemon that counted.
     pub incarnation: u64,
-    /// The part's number.
+    /// The number of the acknowledged part.
     pub number: u64,
 }
