--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -1,4 +1,4 @@
-//! Which daemons are hubs, how they are asked, and who takes their place.
+//! Which daemons are hubs, how they are queried, and which daemons replace them.
 
 use {
     crate::cluster_support::*,
@@ -18,12 +18,12 @@
 };
 
 #[test]
-fn a_hub_is_silent_after_some_of_its_own_periods_and_its_part_stays_its_own() {
+fn a_silent_hub_is_detected_and_its_quota_part_stays_reserved() {
     let mut peers = PeerTable::new(entry("own", "a", 1));
     assert!(peers.apply_digest(digest_of("n", 1), 1_000));
     assert!(
         !peers.apply_digest(digest_of("n", 1), 1_100),
-        "the same one again"
+        "a repeated digest"
     );
     let quotas = QuotasPart {
         name: "n".into(),
@@ -44,16 +44,16 @@
     assert!(!silent(&peers));
     peers.tick(1, 1_800);
     assert!(silent(&peers));
-    assert_eq!(loads(&peers), 1, "loads still count");
+    assert_eq!(loads(&peers), 1, "its loads still count");
     peers.tick(1, 2_100);
     assert_eq!(loads(&peers), 0);
-    assert_eq!(peers.daemons(), 2, "its part is reserved");
+    assert_eq!(peers.daemons(), 2, "its quota part is reserved");
     peers.tick(1, 40_000);
     assert_eq!(peers.daemons(), 1);
 }
 
 #[test]
-fn a_hub_that_tells_seldom_is_not_silent_for_that() {
+fn a_hub_with_a_long_digest_interval_does_not_count_as_silent() {
     let mut peers = PeerTable::new(entry("own", "a", 1));
     let mut digest = digest_of("n", 1);
     digest.interval_ms = 3_750;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_a_dead_hub_let_in_goes_over_to_the_one_that_is_asked_in_its_place() {
+fn the_quota_part_of_a_dead_hub_passes_to_its_replacement() {
     let mut peers = PeerTable::new(entry("own", "a", 1));
     let mut digest = digest_of("n", 1);
     digest.dependents = 50;
@@ -82,11 +82,14 @@
             .remove(&ClientAccount::from("tenant-1"))
     };
     peers.tick(1, 1_900);
-    assert!(others(&peers).unwrap()[0].silent, "nobody came over");
+    assert!(
+        others(&peers).unwrap()[0].silent,
+        "no dependents moved to another hub"
+    );
     peers.tick(40, 1_900);
     let other = others(&peers).unwrap().remove(0);
     assert!(other.replaced && !other.late && !other.silent);
-    // Elsewhere the same shows in what the one in its place tells.
+    // In another failure domain, the digest of the replacement shows the same.
     let mut far = PeerTable::new(entry("far", "b", 2));
     let mut digest = digest_of("n", 1);
     digest.dependents = 50;
@@ -99,7 +102,7 @@
     assert_eq!(others(&far), None);
 }
 
-/// Daemons that know three seeds, and only what they are told.
+/// Daemons that start with three seeds and learn everything else from messages.
 struct Cluster {
     tables: Vec<PeerTable>,
     down: HashSet<usize>,
@@ -171,7 +174,7 @@
         self.tables[from].apply_digest(answer, self.now_ms);
     }
 
-    /// Lets each daemon tell what it has to.
+    /// Runs one round, in which each daemon sends its digest or its reports.
     fn round(&mut self) {
         self.now_ms += ROUND_MS;
         for from in (0..self.tables.len())
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Returns the hubs by failure domain, by what each daemon thinks of itself.
+    /// Returns the running daemons that consider themselves hubs, by failure domain.
     fn hubs(&self) -> BTreeMap<String, Vec<usize>> {
         let mut hubs: BTreeMap<String, Vec<usize>> = BTreeMap::new();
         for (n, table) in self.tables.iter().enumerate() {
@@ -226,12 +229,12 @@
         if table.is_hub() {
             assert!(table.hub_addresses().len() >= DOMAINS * HUBS_PER_DOMAIN - 1);
         } else {
-            let there: Vec<SocketAddr> = hubs[&table.own().domain]
+            let own_hubs: Vec<SocketAddr> = hubs[&table.own().domain]
                 .iter()
                 .map(|h| address(*h))
                 .collect();
             let known: HashSet<_> = table.own_hubs().into_iter().collect();
-            assert_eq!(known, there.into_iter().collect(), "daemon {n}");
+            assert_eq!(known, own_hubs.into_iter().collect(), "daemon {n}");
         }
     }
 }
@@ -251,13 +254,13 @@
 }
 
 #[test]
-fn larger_boxes_come_first() {
+fn larger_boxes_rank_first_as_hubs() {
     let large = DaemonRank::new("n1", 0.5);
     assert!((0..50).all(|n| large > DaemonRank::new(&format!("s{n}"), 0.12)));
 }
 
 #[test]
-fn a_hub_that_does_not_answer_is_left_alone_for_a_while() {
+fn a_hub_that_does_not_answer_is_avoided_for_a_while() {
     let mut contact = HubContact::default();
     assert!(contact.timeout_ms() >= 20.0);
     (0..20).for_each(|_| contact.record_answer(1.0));
@@ -271,48 +274,58 @@
 }
 
 #[test]
-fn a_daemon_alone_lets_in_its_part_and_no_more() {
+fn a_standalone_daemon_admits_only_its_part_of_the_quota() {
     let limit = QuotaLimit {
         rate: 1_000.0,
         burst: 1_000.0,
         slack: 0.0,
     };
-    let told = ReceivedQuota {
+    let received = ReceivedQuota {
         level: 1_000.0,
         demand: 500.0,
         at_ms: 0,
     };
     let mut quota = StandaloneQuota::default();
     assert!(
-        quota.admit(400.0, 250.0, told, &limit, 0),
+        quota.admit(400.0, 250.0, received, &limit, 0),
         "half of what is left"
     );
-    assert!(!quota.admit(400.0, 250.0, told, &limit, 100));
+    assert!(!quota.admit(400.0, 250.0, received, &limit, 100));
     let mut other = StandaloneQuota::default();
-    assert!(!other.admit(400.0, 50.0, told, &limit, 0), "a tenth of it");
+    assert!(
+        !other.admit(400.0, 50.0, received, &limit, 0),
+        "a tenth of what is left"
+    );
 }
 
-/// What it had let in was forgotten with each report to a hub, also to one that doesn't
-/// hear: it let its part of what is left in again and again.
+/// Guards against a daemon that spends its part of the announced quota repeatedly. Each report, even
+/// to a hub that does not receive it, cleared the units that the daemon had admitted.
 #[test]
-fn one_whose_hub_is_silent_spends_what_it_was_told_once() {
+fn a_daemon_with_a_silent_hub_spends_the_announced_quota_only_once() {
     let limit = QuotaLimit {
         rate: 100.0,
         burst: 8_000.0,
         slack: 0.0,
     };
-    let told = |at_ms: u64| ReceivedQuota {
+    let received = |at_ms: u64| ReceivedQuota {
         level: 4_000.0,
         demand: 100.0,
         at_ms,
     };
     let account = ClientAccount::from("a");
     let mut standalone = StandaloneQuotas::default();
-    let let_in = |standalone: &mut StandaloneQuotas, announced_ms: u64, until_ms: u64| {
+    let admitted = |standalone: &mut StandaloneQuotas, announced_ms: u64, until_ms: u64| {
         let mut units = 0.0;
         for now_ms in (announced_ms..until_ms).step_by(100) {
             standalone.record_demand(&account, 100.0, now_ms);
-            if standalone.admit(&account, 100.0, Some(told(announced_ms)), 8, &limit, now_ms) {
+            if standalone.admit(
+                &account,
+                100.0,
+                Some(received(announced_ms)),
+                8,
+                &limit,
+                now_ms,
+            ) {
                 units += 100.0;
             }
             if now_ms % 500 == 0 {
@@ -321,18 +334,19 @@
         }
         units
     };
-    let units = let_in(&mut standalone, 0, 10_000);
+    let units = admitted(&mut standalone, 0, 10_000);
     assert!(units <= 4_000.0 + 1_000.0, "{units}");
     assert!(units >= 4_000.0, "{units}");
-    // Told anew, it counts from there.
-    let units = let_in(&mut standalone, 10_000, 12_000);
+    // Spent units count from the newest announcement.
+    let units = admitted(&mut standalone, 10_000, 12_000);
     assert!((1_900.0..=2_000.0).contains(&units), "{units}");
 }
 
-/// What such a daemon earns was counted anew with each request, so that it refused all of
-/// them: members are told of the accounts that they use, and a hub may be lost before.
+/// Guards against a daemon that refuses all requests of an account that no hub has announced to it,
+/// because it restarted the count of the units provided by the rate at each request. Hubs announce
+/// only the accounts that a daemon uses, and may be lost before they do so.
 #[test]
-fn one_that_was_never_told_lets_in_its_even_part() {
+fn a_daemon_without_an_announced_quota_admits_its_even_share() {
     const DAEMONS: usize = 8;
     let limit = QuotaLimit {
         rate: 800.0,
@@ -341,18 +355,21 @@
     };
     let account = ClientAccount::from("a");
     let mut standalone = StandaloneQuotas::default();
-    let mut let_in = 0.0;
+    let mut admitted = 0.0;
     for now_ms in (0..=10_000).step_by(500) {
         standalone.record_demand(&account, 100.0, now_ms);
         if standalone.admit(&account, 100.0, None, DAEMONS, &limit, now_ms) {
-            let_in += 100.0;
+            admitted += 100.0;
         }
-        // A hub that doesn't answer is told all the same.
+        // Reports go to a hub that does not answer, too.
         standalone.to_announce(address(1));
     }
     let part = limit.rate * 10.0 / DAEMONS as f64;
-    assert!(let_in <= part && let_in >= 0.9 * part, "{let_in} of {part}");
-    // What was earned before a hub decided again was the hub's to give.
+    assert!(
+        admitted <= part && admitted >= 0.9 * part,
+        "{admitted} of {part}"
+    );
+    // Units that the rate provided before a hub decided again belong to the hub.
     standalone.record_decided(&account);
     assert!(!standalone.admit(&account, 100.0, None, DAEMONS, &limit, 60_000));
 }
@@ -376,37 +393,37 @@
     }
 }
 
-/// While the source turned the hubs away, a daemon that is none took the duties. Nobody
-/// heard of that, since only hubs told of themselves, and so nobody told it what to
-/// report: 8 windows of usage held 1 in 100 requests.
+/// Guards against usage counts that don't reach a duty holder that is no hub. Such a daemon took the
+/// duties while the shared source refused the hubs. Since only hubs announced themselves as holders,
+/// no daemon sent it usage counts, and 8 windows of usage held 1 in 100 requests.
 #[test]
-fn a_holder_of_the_duties_that_is_no_hub_is_told_of_and_told_usage() {
+fn a_duty_holder_that_is_no_hub_is_announced_and_receives_usage() {
     let mut hub = PeerTable::new(entry("hub", "a", 1));
     assert!(hub.apply_report(&report_of("m", 9, 1, true), 1_000));
     let holder = (address(9), 5);
     assert!(hub.has_duty_holder());
     assert_eq!(hub.duty_daemons().get(&holder), Some(&true));
-    // The hub tells the other hubs.
-    let told = hub.reporting_duty_holders();
-    assert_eq!(told.len(), 1);
+    // The hub announces it to the other hubs.
+    let holders = hub.reporting_duty_holders();
+    assert_eq!(holders.len(), 1);
     let mut digest = digest_of("n", 1);
-    digest.duty_daemons = told;
+    digest.duty_daemons = holders;
     let mut other = PeerTable::new(entry("other", "b", 2));
     assert!(other.apply_digest(digest.clone(), 1_000));
     assert!(other.has_duty_holder());
     assert_eq!(other.duty_daemons().get(&holder), Some(&true));
-    // One that hears that it holds them itself goes by what it knows.
+    // A daemon that is announced as the holder itself ignores the announcement.
     let mut own = PeerTable::new(entry("m", "a", 9));
     assert!(own.apply_digest(digest, 1_000));
     assert!(!own.has_duty_holder());
-    // It gives them back.
+    // The holder gives the duties back.
     assert!(hub.apply_report(&report_of("m", 9, 2, false), 1_500));
     assert!(!hub.has_duty_holder());
     assert!(hub.duty_daemons().is_empty());
 }
 
 #[test]
-fn a_holder_that_fell_silent_is_no_longer_told_of() {
+fn a_silent_duty_holder_is_no_longer_announced() {
     let mut hub = PeerTable::new(entry("hub", "a", 1));
     hub.apply_report(&report_of("m", 9, 1, true), 1_000);
     hub.tick(1, 4_000);
@@ -414,10 +431,11 @@
     assert!(hub.reporting_duty_holders().is_empty());
 }
 
-/// What is lost is told again: else its daemons count twice for as long as its part of the
-/// quotas is reserved.
+/// Guards against a former hub whose dependents are counted twice for as long as its part of the
+/// quotas is reserved, because the datagram that said that it is no longer a hub was lost. The
+/// announcement is repeated.
 #[test]
-fn one_that_is_no_longer_a_hub_counts_as_one_after_a_lost_datagram() {
+fn a_lost_datagram_does_not_keep_a_former_hub_counted() {
     for lost in 0..4 {
         let mut peers = PeerTable::new(entry("own", "a", 1));
         let mut listeners = FormerListeners::default();
--- a/tests/decisions/incarnations.rs
+++ b/tests/decisions/incarnations.rs
@@ -1,5 +1,5 @@
-//! An upstream may start again under the id that it had: a later life knows nothing of
-//! the one before, and what comes late of that one changes nothing.
+//! An upstream may restart under the same id. The newer incarnation replaces the older one, and late
+//! entries of the older one have no effect.
 
 use saddlepulley::{
     names::{FailureDomain, ServiceName, UpstreamId},
@@ -27,31 +27,31 @@
 }
 
 #[test]
-fn an_id_names_an_upstream_and_one_life_of_it() {
+fn an_id_names_an_upstream_and_one_incarnation_of_it() {
     let id = UpstreamId::of_incarnation("i-7f", 1_764_720_000_123);
     assert_eq!(id.upstream(), "i-7f");
     assert_eq!(id.started_ms(), 1_764_720_000_123);
     assert_eq!(
         UpstreamId::from(id.as_str()),
         id,
-        "as other daemons tell it"
+        "as received from other daemons"
     );
     let plain = UpstreamId::from("i-7f");
     assert_eq!((plain.upstream(), plain.started_ms()), ("i-7f", 0));
 }
 
 #[test]
-fn a_later_life_takes_the_place_of_the_one_before() {
+fn a_newer_incarnation_replaces_the_older_one() {
     let mut directory = UpstreamDirectory::default();
     directory.upsert(upstream(1_000, 1, 5));
     directory.read_to(6);
-    let told = directory.changes_since(None).cursor;
+    let cursor = directory.changes_since(None).cursor;
     directory.upsert(upstream(2_000, 2, 6));
     assert_eq!(
         ready(&directory),
         [(UpstreamId::of_incarnation("b", 2_000), 2)]
     );
-    let changes = directory.changes_since(Some(told));
+    let changes = directory.changes_since(Some(cursor));
     assert_eq!(
         changes.removed_ids,
         [UpstreamId::of_incarnation("b", 1_000)]
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_comes_late_of_the_life_before_changes_nothing() {
+fn a_late_entry_of_an_older_incarnation_has_no_effect() {
     let mut directory = UpstreamDirectory::default();
     directory.upsert(upstream(1_000, 1, 5));
     directory.upsert(upstream(2_000, 2, 6));
@@ -70,20 +70,20 @@
         ready(&directory),
         [(UpstreamId::of_incarnation("b", 2_000), 2)]
     );
-    // It may have taken the place of the later life's entry, too.
+    // The late entry may also have replaced the newer incarnation's entry in the source.
     directory.replace(vec![late], 8, None);
     assert_eq!(
         ready(&directory),
         [(UpstreamId::of_incarnation("b", 2_000), 2)]
     );
-    // Also after the later life has gone.
+    // The same holds after the newer incarnation was removed.
     directory.remove("b", 8);
     directory.upsert(upstream(1_000, 1, 9));
     assert_eq!(ready(&directory), []);
 }
 
 #[test]
-fn a_life_that_was_leaving_bars_no_later_one() {
+fn a_leaving_incarnation_does_not_bar_a_newer_one() {
     let mut directory = UpstreamDirectory::default();
     let mut leaving = upstream(1_000, 1, 5);
     leaving.draining = true;
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_told_of_the_life_before_keeps_the_later_one() {
+fn an_update_with_an_older_incarnation_does_not_replace_the_newer_one() {
     let mut late = UpstreamDirectory::default();
     late.replace(vec![upstream(1_000, 1, 5)], 6, None);
     let mut own = UpstreamDirectory::default();
--- a/tests/decisions/leaving.rs
+++ b/tests/decisions/leaving.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of upstreams that leave.
+//! Announcements of leaving upstreams among daemons.
 
 use saddlepulley::{
     cluster::{LeavingQueue, LeavingToAnnounce},
@@ -9,36 +9,39 @@
     UpstreamId::from(name)
 }
 
+/// Guards against an announcement that is lost with a single datagram, or repeated forever.
 #[test]
-fn news_of_one_that_leaves_are_lost_with_one_datagram_or_told_for_ever() {
-    let mut news = LeavingQueue::default();
-    news.record(id("a"), true);
-    news.record(id("b"), false);
+fn a_leaving_upstream_is_announced_four_times_and_no_more() {
+    let mut queue = LeavingQueue::default();
+    queue.record(id("a"), true);
+    queue.record(id("b"), false);
     for _ in 0..4 {
-        assert!(!news.is_empty());
-        let told = LeavingToAnnounce {
+        assert!(!queue.is_empty());
+        let announced = LeavingToAnnounce {
             hubs: vec![id("a")],
             members: vec![id("a"), id("b")],
         };
-        assert_eq!(news.to_announce(9), told);
+        assert_eq!(queue.to_announce(9), announced);
     }
-    assert!(news.is_empty());
-    assert_eq!(news.to_announce(9), LeavingToAnnounce::default());
+    assert!(queue.is_empty());
+    assert_eq!(queue.to_announce(9), LeavingToAnnounce::default());
 }
 
+/// Guards against leaving upstreams that are never announced because more leave at once than one
+/// announcement holds.
 #[test]
-fn many_that_leave_at_once_hide_some_of_them() {
-    let mut news = LeavingQueue::default();
+fn many_upstreams_that_leave_at_once_are_all_announced() {
+    let mut queue = LeavingQueue::default();
     for n in 0..100 {
-        news.record(id(&format!("u{n}")), true);
+        queue.record(id(&format!("u{n}")), true);
     }
-    let mut told = Vec::new();
-    while !news.is_empty() {
-        let next = news.to_announce(24).hubs;
+    let mut announced = Vec::new();
+    while !queue.is_empty() {
+        let next = queue.to_announce(24).hubs;
         assert!(next.len() <= 24);
-        told.extend(next);
+        announced.extend(next);
     }
-    told.sort_unstable();
-    told.dedup();
-    assert_eq!(told.len(), 100);
+    announced.sort_unstable();
+    announced.dedup();
+    assert_eq!(announced.len(), 100);
 }
