--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -222,9 +222,9 @@
     let due_windows = (duties.usage_delay_s / duties.usage_window_s.max(1)) + 1;
     let from_window = gateway.window_of(now_ms()).saturating_sub(due_windows);
     let before_ms = listener.since_ms + USAGE_INTERVAL.as_millis() as u64;
-    let received = gateway.usage.lock().heard(from_window, before_ms);
+    let others_counts = gateway.usage.lock().heard(from_window, before_ms);
     let mut is_acknowledged = true;
-    for counts in &received {
+    for counts in &others_counts {
         // Only the daemon that counted can say that its counts are complete.
         is_acknowledged &= announce_counts(gateway, listener, counts, NOTHING_COMPLETE).await;
     }
