--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -71,13 +71,13 @@
         daemon: entry(n),
         incarnation: 1,
         sequence,
-        every_ms: 500,
-        leans_on_you: false,
+        interval_ms: 500,
+        is_dependent: false,
         wants_digest: true,
         wants_all: true,
         status: DaemonStatus::default(),
         events: Vec::new(),
-        alone: Vec::new(),
+        admitted_standalone: Vec::new(),
         standalone_batch: 0,
     }
 }
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -137,7 +137,7 @@
         return;
     }
     let news = gateway.members.lock().apply_report(report, now_ms);
-    for (account, units) in &news.alone {
+    for (account, units) in &news.admitted_standalone {
         gateway.quotas.lock().record_admitted(account, *units);
     }
     for event in news.events {
@@ -159,7 +159,7 @@
         MemberEvent::Unreachable { upstream } => {
             let id = UpstreamId::from(upstream.as_str());
             let mut members = gateway.members.lock();
-            let is_missed = members.is_missed_by_others(name, &id, now_ms);
+            let is_missed = members.is_unreachable_for_others(name, &id, now_ms);
             drop(members);
             if is_missed {
                 gateway.loads.lock().entry(&id).record_unreachable(now_ms);
@@ -180,7 +180,7 @@
             };
             gateway.learn_first_event(&service.as_str().into(), event);
         }
-        MemberEvent::Stayed { service, ms } => {
+        MemberEvent::Completed { service, ms } => {
             gateway.learn_stay(&service.as_str().into(), f64::from(ms));
         }
     }
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -20,13 +20,13 @@
         daemon: entry(&format!("n{n}"), &domain(n), n),
         incarnation: 1,
         sequence,
-        every_ms: 500,
-        leans_on_you: true,
+        interval_ms: 500,
+        is_dependent: true,
         wants_digest: true,
         wants_all: true,
         status: DaemonStatus::default(),
         events: Vec::new(),
-        alone: Vec::new(),
+        admitted_standalone: Vec::new(),
         standalone_batch: 0,
     }
 }
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -55,7 +55,7 @@
 fn digest() -> Digest {
     let mut digest = Digest::new(entry("edge-1", 1), u64::MAX, 70_000);
     digest.age_ms = 90_000;
-    digest.every_ms = 250;
+    digest.interval_ms = 250;
     digest.dependents = 7;
     digest.daemons = 21;
     digest.status = status();
@@ -90,7 +90,7 @@
         MemberEvent::Misdirected {
             upstream: upstream(),
         },
-        MemberEvent::Stayed {
+        MemberEvent::Completed {
             service: llm(),
             ms: 800.0,
         },
@@ -99,13 +99,13 @@
         daemon: entry("edge-3", 3),
         incarnation: 5,
         sequence: 6,
-        every_ms: 500,
-        leans_on_you: true,
+        interval_ms: 500,
+        is_dependent: true,
         wants_digest: true,
         wants_all: false,
         status: status(),
         events: (1..).zip(events).collect(),
-        alone: vec![("t".into(), 17.5)],
+        admitted_standalone: vec![("t".into(), 17.5)],
         standalone_batch: 4,
     }
 }
@@ -130,7 +130,7 @@
             tried: vec!["i-1".into()],
             avoided: vec!["i-2".into()],
             // From 7 on:
-            apart_by: None,
+            isolation_key: None,
             // Until here.
         },
     }
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -45,7 +45,7 @@
     terms: AccountTerms,
     tables: Vec<QuotaTable>,
     announcers: Vec<QuotaAnnouncer>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     started_ms: Vec<u64>,
     /// By receiver and sender: the time of the last contact, and the last notices.
     received: Vec<HashMap<usize, (u64, Vec<QuotaNotice>)>>,
@@ -64,7 +64,7 @@
             terms: terms(),
             tables: vec![QuotaTable::new(BOUNDS); daemons],
             announcers: (0..daemons).map(|_| QuotaAnnouncer::default()).collect(),
-            lives: (0..daemons as u64).collect(),
+            incarnations: (0..daemons as u64).collect(),
             started_ms: vec![0; daemons],
             received: vec![HashMap::new(); daemons],
             admitted: Vec::new(),
@@ -77,7 +77,7 @@
     fn restart(&mut self, daemon: usize) {
         self.tables[daemon] = QuotaTable::new(BOUNDS);
         self.announcers[daemon] = QuotaAnnouncer::default();
-        self.lives[daemon] += 1_000;
+        self.incarnations[daemon] += 1_000;
         self.started_ms[daemon] = self.admitted.last().map_or(0, |(at, _)| *at);
         self.received[daemon].clear();
     }
@@ -113,7 +113,7 @@
                 }
                 let node = from.to_string();
                 let is_younger = self.started_ms[from] >= self.started_ms[to];
-                let incarnation = self.lives[from];
+                let incarnation = self.incarnations[from];
                 let last_received = self.received[to].entry(from).or_default();
                 last_received.0 = now_ms;
                 if notices.is_empty() || self.rng.random_bool(self.loss) {
@@ -129,7 +129,7 @@
     fn listeners_of(&self, at: usize) -> BTreeSet<Listener> {
         let senders = self.received[at].keys();
         senders
-            .map(|from| (address(*from), self.lives[*from]))
+            .map(|from| (address(*from), self.incarnations[*from]))
             .collect()
     }
 
