--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -46,10 +46,13 @@
     };
     match query(gateway, client, peer).await {
         Ok(ConfigAnswer::NoLater) => {}
-        Ok(ConfigAnswer::Busy { version, told }) => {
+        Ok(ConfigAnswer::Busy {
+            version,
+            recipients,
+        }) => {
             lack.record_deferred(gateway.steady_ms());
             let mut peers = gateway.peers.lock();
-            for holder in told {
+            for holder in recipients {
                 peers.apply_peer_config(holder, version);
             }
         }
--- a/src/cluster/configs/config_message.rs
+++ b/src/cluster/configs/config_message.rs
@@ -27,7 +27,7 @@
         /// The version that it has.
         version: u64,
         /// Whom it told last.
-        told: Vec<SocketAddr>,
+        recipients: Vec<SocketAddr>,
     },
     /// The configuration in force there.
     Config {
--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -74,8 +74,11 @@
         };
         let Ok(permit) = self.permits.clone().try_acquire_owned() else {
             let version = table.version();
-            let told = self.state.lock().to.iter().copied().collect();
-            return self.short(&ConfigAnswer::Busy { version, told });
+            let recipients = self.state.lock().to.iter().copied().collect();
+            return self.short(&ConfigAnswer::Busy {
+                version,
+                recipients,
+            });
         };
         let packed = self.packed(table.config(), query.address)?;
         self.reply(&ConfigAnswer::Config { packed, position }, Some(permit))
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -300,7 +300,7 @@
 pub fn config_answers() -> [(&'static str, ConfigAnswer); 3] {
     let busy = ConfigAnswer::Busy {
         version: 41,
-        told: vec![address(2)],
+        recipients: vec![address(2)],
     };
     let config = ConfigAnswer::Config {
         packed: Bytes::from_static(b"packed"),
