--- a/src/cluster/duties/duty_backends.rs
+++ b/src/cluster/duties/duty_backends.rs
@@ -72,7 +72,7 @@
 
 /// Where the outcomes of roll-outs are written for the operator. It outlives daemons.
 #[async_trait]
-pub trait StatusBoard: Send + Sync {
+pub trait RolloutStatusStore: Send + Sync {
     /// Takes the board over: what daemons with earlier fences write from now on, or wrote
     /// and is still on its way, is refused.
     ///
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -2,7 +2,7 @@
     crate::{
         cluster::{
             AppendOutcome, BackendError, DutyApi, DutyClaim, FleetOrder, FleetScaler, RolloutDuty,
-            SharedLog, StatusBoard,
+            RolloutStatusStore, SharedLog,
         },
         gateway::{Gateway, GatewayPhase},
         names::{BoxId, now_ms},
@@ -47,7 +47,7 @@
         gateway: Arc<Gateway>,
         shared_log: Arc<dyn SharedLog>,
         api: Arc<dyn DutyApi>,
-        board: Arc<dyn StatusBoard>,
+        board: Arc<dyn RolloutStatusStore>,
     ) -> Self {
         let me = Claimer {
             id: BoxId::from(gateway.settings.node.name.as_str()),
--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        cluster::{BackendError, StatusBoard, WriteOutcome},
+        cluster::{BackendError, RolloutStatusStore, WriteOutcome},
         gateway::Gateway,
         names::now_ms,
         rollouts::{Rollout, RolloutState, RolloutSteps, RolloutView, VersionEvaluator},
@@ -23,7 +23,7 @@
 /// step, tells it, and writes it down. What is written is all that must last: a daemon
 /// that leads later goes on from there.
 pub struct RolloutDuty {
-    board: Arc<dyn StatusBoard>,
+    board: Arc<dyn RolloutStatusStore>,
     led: HashMap<String, Led>,
     /// The fence under which what is written was read.
     read_under: Option<u64>,
@@ -34,7 +34,7 @@
 
 impl RolloutDuty {
     /// Makes the leader of a daemon.
-    pub fn new(board: Arc<dyn StatusBoard>) -> Self {
+    pub fn new(board: Arc<dyn RolloutStatusStore>) -> Self {
         Self {
             board,
             led: HashMap::new(),
--- a/tests/decisions/rollout_duty.rs
+++ b/tests/decisions/rollout_duty.rs
@@ -22,7 +22,7 @@
 }
 
 #[async_trait]
-impl StatusBoard for Board {
+impl RolloutStatusStore for Board {
     async fn take_over(&self, fence: u64) -> Result<(), BackendError> {
         self.calls.lock().push(format!("take over {fence}"));
         Ok(())
