--- a/src/cluster/crashes/quarantine_keeper.rs
+++ b/src/cluster/crashes/quarantine_keeper.rs
@@ -45,7 +45,7 @@
     records: &dyn QuarantineRecords,
     position: &mut Option<u64>,
 ) -> Result<(), BackendError> {
-    let page = records.read_on(*position).await?;
+    let page = records.read_from(*position).await?;
     for record in &page.records {
         let is_outdated = gateway.crashes.lock().is_outdated(record);
         if is_outdated && !record.ends.is_empty() {
--- a/src/cluster/duties/duty_backends.rs
+++ b/src/cluster/duties/duty_backends.rs
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// Returns how the read failed.
-    async fn read_on(&self, from: Option<u64>) -> Result<QuarantinePage, BackendError>;
+    async fn read_from(&self, from: Option<u64>) -> Result<QuarantinePage, BackendError>;
 
     /// Writes the ends under a request, in place of what was written before; one without
     /// ends is dropped. `unix_ms` is the time.
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -121,7 +121,7 @@
     /// Reads along while another daemon holds the lease, so that the time to
     /// wait for its end is counted from its last renewal.
     async fn watch_holder(&mut self) {
-        if let Err(e) = self.read_on().await {
+        if let Err(e) = self.read_from().await {
             log::info!(target: "duties", "the topic can't be read. error=\"{e}\"");
         }
         tokio::time::sleep(WATCH_EVERY).await;
@@ -139,7 +139,7 @@
     /// Does one turn; returns whether the lease is held.
     async fn turn(&mut self, holds: bool) -> Result<bool, BackendError> {
         if !holds {
-            self.read_on().await?;
+            self.read_from().await?;
         }
         match self.log.step(self.gateway.steady_ms()) {
             LeaseStep::Wait => Ok(false),
@@ -153,7 +153,7 @@
         }
     }
 
-    async fn read_on(&mut self) -> Result<(), BackendError> {
+    async fn read_from(&mut self) -> Result<(), BackendError> {
         let page = self.shared_log.read(DUTY_TOPIC, self.log.next()).await?;
         self.log.skip_to(page.from);
         let now_ms = self.gateway.steady_ms();
@@ -203,7 +203,7 @@
                 Ok(true)
             }
             AppendOutcome::Conflict => {
-                self.read_on().await?;
+                self.read_from().await?;
                 Ok(false)
             }
         }
