--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -26,7 +26,7 @@
 /// The pause after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_millis(400);
 /// How long a call for a duty may take, in milliseconds: borders end it then.
-pub const DUTY_CALL_MS: u64 = 900;
+pub const DUTY_CALL_TIMEOUT_MS: u64 = 900;
 
 /// Takes the lease of the duties when it is free, and does them while it is held.
 pub struct DutyRunner {
@@ -334,7 +334,9 @@
     /// Returns in whose name to act, if a call ends while the lease is held.
     fn claim(&self) -> Option<DutyClaim> {
         // Asked right before each call: the lease may be over by now.
-        let fence = self.log.fence_for(DUTY_CALL_MS, self.gateway.steady_ms())?;
+        let fence = self
+            .log
+            .fence_for(DUTY_CALL_TIMEOUT_MS, self.gateway.steady_ms())?;
         Some(DutyClaim {
             holder: self.gateway.settings.node.name.clone(),
             fence,
