--- a/src/cluster/crashes/quarantine_keeper.rs
+++ b/src/cluster/crashes/quarantine_keeper.rs
@@ -22,7 +22,7 @@
 /// Without this each loss of all daemons cost three more upstreams for each such request,
 /// and some for each daemon that it came to before they had told each other; and failure
 /// domains that are cut off from each other did not know of each other's.
-pub async fn keep_quarantine(gateway: Arc<Gateway>, records: Arc<dyn QuarantineRecords>) {
+pub async fn sync_quarantine(gateway: Arc<Gateway>, records: Arc<dyn QuarantineRecords>) {
     tokio::join!(
         read_along(&gateway, &*records),
         write_changes(&gateway, &*records)
