--- a/src/cluster/crashes/mod.rs
+++ b/src/cluster/crashes/mod.rs
@@ -2,7 +2,7 @@
 
 mod crash_announcer;
 mod crashes_part;
-mod quarantine_keeper;
+mod quarantine_sync;
 
 pub(super) use crash_announcer::*;
-pub use {crashes_part::*, quarantine_keeper::*};
+pub use {crashes_part::*, quarantine_sync::*};
