--- a/src/cluster/feed/feed_forms.rs
+++ b/src/cluster/feed/feed_forms.rs
@@ -6,12 +6,12 @@
 /// One that has not told its build yet is asked for updates first: by offsets it would
 /// tell its whole directory, and then once more when its build is known.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FeedForms {
+pub struct FeedProtocols {
     /// The daemon that said last that it tells no updates.
     refused: Option<SocketAddr>,
 }
 
-impl FeedForms {
+impl FeedProtocols {
     /// Returns whether a daemon is asked for updates. `level` is up to which kind of
     /// extension it knows all, zero if it has not told that.
     pub fn supports_updates(&self, daemon: SocketAddr, level: u8) -> bool {
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -1,5 +1,5 @@
 use {
-    super::{FeedForms, messages::*, state_source::StateSource},
+    super::{FeedProtocols, messages::*, state_source::StateSource},
     crate::{
         gateway::Gateway,
         http::{HttpClient, HttpError},
@@ -29,7 +29,7 @@
     let mut follower = Follower {
         client: HttpClient::default(),
         known: None,
-        forms: FeedForms::default(),
+        forms: FeedProtocols::default(),
         tries: SourceTries::default(),
         gateway,
     };
@@ -109,7 +109,7 @@
     gateway: Arc<Gateway>,
     client: HttpClient,
     known: Option<Known>,
-    forms: FeedForms,
+    forms: FeedProtocols,
     tries: SourceTries,
 }
 
--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -74,7 +74,7 @@
     digest.known = vec![entry("new", "a", 1)];
     table.apply_digest(digest, 0);
     assert!(table.live_addresses().contains(&new));
-    let mut forms = FeedForms::default();
+    let mut forms = FeedProtocols::default();
     assert!(forms.supports_updates(new, table.level_at(new)), "told of");
     assert!(forms.supports_updates(landed, table.level_at(landed)));
     forms.record_refused(landed);
