--- a/src/cluster/feed/mod.rs
+++ b/src/cluster/feed/mod.rs
@@ -1,6 +1,6 @@
 //! What daemons tell those that follow them: configuration, upstreams, roll-outs.
 
-mod feed_forms;
+mod feed_protocols;
 mod feed_server;
 mod follower;
 mod messages;
@@ -8,5 +8,5 @@
 mod state_source;
 
 pub use {
-    feed_forms::*, feed_server::*, follower::*, messages::*, packed_updates::*, state_source::*,
+    feed_protocols::*, feed_server::*, follower::*, messages::*, packed_updates::*, state_source::*,
 };
