--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        cluster::{ConfigAnswer, ConfigQuery, FeedError, MAX_ASK_BYTES, decode, encode},
+        cluster::{ConfigAnswer, ConfigQuery, FeedError, MAX_QUERY_BYTES, decode, encode},
         gateway::{AnswerBody, Gateway, local_response, pieces_body},
         routing::{RoutingConfig, pack_config},
     },
@@ -49,7 +49,7 @@
 
     /// Answers a question for the configuration, at once.
     pub async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
-        let Ok(body) = Limited::new(request.into_body(), MAX_ASK_BYTES)
+        let Ok(body) = Limited::new(request.into_body(), MAX_QUERY_BYTES)
             .collect()
             .await
         else {
--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -56,7 +56,7 @@
         request: Request<Incoming>,
         told: impl Fn(&Self, FeedQuery) -> Result<T, FeedError>,
     ) -> Response<AnswerBody> {
-        let Ok(body) = Limited::new(request.into_body(), MAX_ASK_BYTES)
+        let Ok(body) = Limited::new(request.into_body(), MAX_QUERY_BYTES)
             .collect()
             .await
         else {
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -22,7 +22,7 @@
 /// largest body that is read.
 const MAX_DECODED_BYTES: usize = MAX_BODY_BYTES;
 /// How long a daemon's question may be.
-pub const MAX_ASK_BYTES: usize = 1_024;
+pub const MAX_QUERY_BYTES: usize = 1_024;
 
 /// A daemon's query for the changes since its cursor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
