--- a/tests/decisions/cluster_support.rs
+++ b/tests/decisions/cluster_support.rs
@@ -29,7 +29,7 @@
 }
 
 /// What is told of an account.
-pub fn told_account(account: usize) -> AnnouncedAccount {
+pub fn announced_account(account: usize) -> AnnouncedAccount {
     AnnouncedAccount {
         name: format!("tenant-{account}"),
         weight: 1e5,
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn what_does_not_fit_is_split_and_nothing_is_left_out() {
-    let parts = in_parts((0..300).map(told_account).collect());
+    let parts = in_parts((0..300).map(announced_account).collect());
     let told: usize = parts.iter().map(Vec::len).sum();
     assert_eq!(told, 300);
     for quotas in parts {
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -30,7 +30,7 @@
         incarnation: 1,
         sequence: 1,
         age_ms: 0,
-        quotas: vec![told_account(1)],
+        quotas: vec![announced_account(1)],
     };
     assert!(peers.apply_quotas(&quotas, 1_000));
     assert!(peers.apply_loads(&loads_part(1, 0, 1, &["u1"]), 1_000));
@@ -73,7 +73,7 @@
         incarnation: 1,
         sequence: 1,
         age_ms: 0,
-        quotas: vec![told_account(1)],
+        quotas: vec![announced_account(1)],
     };
     peers.apply_quotas(&quotas, 1_000);
     let others = |peers: &PeerTable| {
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -145,7 +145,7 @@
         while told_to_all.len() < accounts {
             turns += 1;
             assert!(turns <= accounts, "all are told some time");
-            let all = (0..accounts).map(told_account).collect();
+            let all = (0..accounts).map(announced_account).collect();
             let parts = members.quotas_for("m", all);
             assert_eq!(parts.len(), 1, "one datagram, at {accounts} accounts");
             let names: Vec<&str> = parts[0].iter().map(|told| told.name.as_str()).collect();
@@ -171,7 +171,7 @@
         });
         members.known_answer(&asked, 0);
     }
-    let all = (0..333).map(told_account).collect();
+    let all = (0..333).map(announced_account).collect();
     let told: Vec<_> = members.quotas_for("m", all).into_iter().flatten().collect();
     let used = (0..100).map(|n| format!("tenant-{n}"));
     for name in used {
@@ -180,7 +180,9 @@
     assert!(told.len() < 200, "{}", told.len());
     members.tick(40_000);
     assert!(
-        members.quotas_for("m", vec![told_account(1)]).is_empty(),
+        members
+            .quotas_for("m", vec![announced_account(1)])
+            .is_empty(),
         "it fell silent"
     );
 }
@@ -195,11 +197,11 @@
         incarnation: 1,
         sequence: 1,
         age_ms: 0,
-        quotas: vec![told_account(1)],
+        quotas: vec![announced_account(1)],
     };
     assert!(peers.apply_quotas(&part, 1_000));
     part.sequence = 2;
-    part.quotas = vec![told_account(2)];
+    part.quotas = vec![announced_account(2)];
     assert!(peers.apply_quotas(&part, 9_000));
     let told_at = |account: &str| peers.received_quota(&account.into()).unwrap().at_ms;
     assert_eq!((told_at("tenant-1"), told_at("tenant-2")), (1_000, 9_000));
--- a/tests/decisions/quota.rs
+++ b/tests/decisions/quota.rs
@@ -1,7 +1,7 @@
 //! Quotas over several daemons, under seeds: lag, cuts and restarts.
 
 use {
-    crate::cluster_support::{address, told_account},
+    crate::cluster_support::{address, announced_account},
     rand::{Rng, SeedableRng},
     rand_chacha::ChaCha8Rng,
     saddlepulley::{
@@ -314,7 +314,7 @@
     const IN_USE: usize = 20;
     const ANNOUNCEMENTS: usize = 400;
     for accounts in [40, 333, 2_000] {
-        let all: Vec<AnnouncedAccount> = (0..accounts).map(told_account).collect();
+        let all: Vec<AnnouncedAccount> = (0..accounts).map(announced_account).collect();
         let mut news = QuotaAnnouncer::default();
         let listeners: BTreeSet<Listener> = (0..HUBS).map(|n| (address(n), 1)).collect();
         let mut told = HashMap::<String, usize>::new();
