--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -9,39 +9,39 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How long the head of an answer may take, and how long it may be silent: some
-/// round trips between regions.
+/// Timeout for the head of an answer, and for each pause within its body: several round
+/// trips between regions.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The least time between two questions, in milliseconds; up to twice that is
-/// drawn, so that daemons don't ask in step. About what a packed configuration of
-/// 4,200 routes takes on a link of 10 Mbit/s.
-const ASK_AGAIN_MS: u64 = 40;
+/// Minimum time between two queries, in milliseconds. The actual time is drawn between
+/// this and twice this, so that daemons do not query in step. It is about the time that a
+/// packed configuration of 4,200 routes takes on a link of 10 Mbit/s.
+const QUERY_INTERVAL_MS: u64 = 40;
 
-/// Gets newer configurations from daemons that have them, and decides when the
-/// source is to be read instead. It is a task of its own: news of upstreams
-/// don't wait behind a large configuration.
+/// Fetches newer configurations from daemons that have them, and decides when the
+/// shared source is to be read instead. Runs as a task of its own, so that updates of
+/// upstreams are not delayed by a large configuration.
 pub async fn follow_config_of_daemons(gateway: Arc<Gateway>) {
     let client = HttpClient::default();
     loop {
         gateway.until_lacking_config().await;
-        let mut lack = MissingConfig::new(gateway.steady_ms());
+        let mut missing = MissingConfig::new(gateway.steady_ms());
         while gateway.lacks_config() {
             let reads_source = *gateway.reads_source.borrow();
-            if lack.queries_daemons(reads_source, gateway.steady_ms()) {
-                query_one(&gateway, &client, &mut lack).await;
+            if missing.queries_daemons(reads_source, gateway.steady_ms()) {
+                query_one(&gateway, &client, &mut missing).await;
             }
-            gateway.set_reads_config(lack.needs_source(gateway.steady_ms()));
+            gateway.set_reads_config(missing.needs_source(gateway.steady_ms()));
             if gateway.lacks_config() {
-                let drawn_ms = gateway.draw() % ASK_AGAIN_MS;
-                tokio::time::sleep(Duration::from_millis(ASK_AGAIN_MS + drawn_ms)).await;
+                let jitter_ms = gateway.draw() % QUERY_INTERVAL_MS;
+                tokio::time::sleep(Duration::from_millis(QUERY_INTERVAL_MS + jitter_ms)).await;
             }
         }
         gateway.set_reads_config(false);
     }
 }
 
-async fn query_one(gateway: &Gateway, client: &HttpClient, lack: &mut MissingConfig) {
-    let Some(peer) = drawn_holder(gateway) else {
+async fn query_one(gateway: &Gateway, client: &HttpClient, missing: &mut MissingConfig) {
+    let Some(peer) = random_holder(gateway) else {
         return;
     };
     match query(gateway, client, peer).await {
@@ -50,22 +50,24 @@
             version,
             recipients,
         }) => {
-            lack.record_deferred(gateway.steady_ms());
+            missing.record_deferred(gateway.steady_ms());
             let mut peers = gateway.peers.lock();
             for holder in recipients {
                 peers.apply_peer_config(holder, version);
             }
         }
         Ok(ConfigAnswer::Config { packed, position }) => {
-            take_in_packed(gateway, peer, &packed, position);
+            apply_packed(gateway, peer, &packed, position);
+        }
+        Err(e) => {
+            log::info!(target: "peers", "configuration query failed. peer={peer} error=\"{e}\"")
         }
-        Err(e) => log::info!(target: "peers", "no configuration. peer={peer} error=\"{e}\""),
     }
 }
 
-/// Draws one of the daemons that have the newest configuration: if all asked
-/// the same one, its link would be the measure for all of them.
-fn drawn_holder(gateway: &Gateway) -> Option<SocketAddr> {
+/// Picks one of the daemons that have the newest configuration at random. If all daemons
+/// queried the same one, its link would limit the whole distribution.
+fn random_holder(gateway: &Gateway) -> Option<SocketAddr> {
     let draw = gateway.draw() as usize;
     let holders = gateway
         .peers
@@ -88,12 +90,12 @@
     decode(&answer)
 }
 
-fn take_in_packed(gateway: &Gateway, peer: SocketAddr, packed: &[u8], position: Option<u64>) {
+fn apply_packed(gateway: &Gateway, peer: SocketAddr, packed: &[u8], position: Option<u64>) {
     match unpack_config(packed) {
         Ok(config) => {
             log::info!(
                 target: "config",
-                "told by a daemon. version={} bytes={} peer={peer}",
+                "configuration received from a daemon. version={} bytes={} peer={peer}",
                 config.version,
                 packed.len()
             );
@@ -102,7 +104,7 @@
             gateway.check_ready();
         }
         Err(e) => {
-            log::warn!(target: "peers", "configuration not understood. peer={peer} error=\"{e}\"")
+            log::warn!(target: "peers", "received configuration could not be decoded. peer={peer} error=\"{e}\"")
         }
     }
 }
--- a/src/cluster/configs/config_message.rs
+++ b/src/cluster/configs/config_message.rs
@@ -4,36 +4,38 @@
     std::net::SocketAddr,
 };
 
-/// Where daemons ask each other for the whole configuration; the number rises
-/// when the messages change.
+/// Path at which a daemon serves the full configuration to other daemons. The number
+/// is the protocol version and increases when the messages change.
 pub const CONFIG_PATH: &str = "/cluster/config/1";
 
 /// A daemon's query for a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigQuery {
-    /// The version that it has; only a later one is wanted.
+    /// The version that the querying daemon has. It wants a later one only.
     pub version: u64,
-    /// Where it listens for other daemons.
+    /// The address at which the querying daemon listens for other daemons.
     pub address: SocketAddr,
 }
 
-/// What a daemon answers.
+/// The answer to a [`ConfigQuery`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConfigAnswer {
-    /// It has no later one.
+    /// The answering daemon has no later version.
     NoLater,
-    /// It tells others first: those named have the version, or will soon.
+    /// The answering daemon is sending the configuration to other daemons. The listed
+    /// recipients have the version already, or will have it soon.
     Busy {
-        /// The version that it has.
+        /// The version that the answering daemon has.
         version: u64,
-        /// Whom it told last.
+        /// The daemons to which it sent this version most recently, oldest first.
         recipients: Vec<SocketAddr>,
     },
-    /// The configuration in force there.
+    /// The configuration that is in force at the answering daemon.
     Config {
         /// The configuration, packed.
         packed: Bytes,
-        /// The place in the source from which on later ones stand, if known.
+        /// The position in the shared source from which later configurations are to be
+        /// read, if known.
         position: Option<u64>,
     },
 }
--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -13,41 +13,44 @@
     tokio::sync::{OwnedSemaphorePermit, Semaphore},
 };
 
-/// How many daemons one tells the whole configuration at a time. Its link also
-/// carries its clients' answers, and those that have been told tell others; two,
-/// so that one that hangs doesn't stop the telling.
-const MAX_TOLD_AT_ONCE: usize = 2;
-/// How many of those told last are named to one that has to wait: four rounds
-/// of telling.
-const MAX_NAMED: usize = 16;
+/// Maximum number of daemons to which the full configuration is sent at the same time.
+/// It is small because the link also carries the responses to clients, and because each
+/// recipient serves the configuration in turn. Two instead of one, so that a transfer
+/// that hangs does not stop the distribution.
+const MAX_CONCURRENT_TRANSFERS: usize = 2;
+/// Maximum number of recent recipients that a [`ConfigAnswer::Busy`] lists: those of
+/// four rounds of distribution.
+const MAX_LISTED_RECIPIENTS: usize = 16;
 
-/// Serves the configuration to other daemons, a few at a time.
+/// Serves the configuration in force to other daemons, a few at a time.
 #[derive(Debug)]
 pub struct ConfigServer {
     gateway: Arc<Gateway>,
     permits: Arc<Semaphore>,
-    state: Mutex<Told>,
+    distribution: Mutex<Distribution>,
 }
 
-/// What a teller has told.
+/// The version that is being distributed.
 #[derive(Debug, Default)]
-struct Told {
+struct Distribution {
     version: u64,
+    /// The configuration of this version, packed once for all recipients.
     packed: Bytes,
-    to: VecDeque<SocketAddr>,
+    /// The most recent recipients, oldest first.
+    recipients: VecDeque<SocketAddr>,
 }
 
 impl ConfigServer {
-    /// Makes a teller of what is in force.
+    /// Creates a server of the configuration that is in force at `gateway`.
     pub fn new(gateway: Arc<Gateway>) -> Self {
         Self {
             gateway,
-            permits: Arc::new(Semaphore::new(MAX_TOLD_AT_ONCE)),
-            state: Mutex::default(),
+            permits: Arc::new(Semaphore::new(MAX_CONCURRENT_TRANSFERS)),
+            distribution: Mutex::default(),
         }
     }
 
-    /// Answers a question for the configuration, at once.
+    /// Answers a [`ConfigQuery`] without waiting for a free transfer slot.
     pub async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
         let Ok(body) = Limited::new(request.into_body(), MAX_QUERY_BYTES)
             .collect()
@@ -60,22 +63,28 @@
             Err(e) => return local_response(StatusCode::BAD_REQUEST, &e.to_string()),
         };
         answer.unwrap_or_else(|e| {
-            log::warn!(target: "peers", "configuration not told. error=\"{e}\"");
+            log::warn!(target: "peers", "configuration not sent. error=\"{e}\"");
             local_response(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string())
         })
     }
 
     fn answer_query(&self, query: ConfigQuery) -> Result<Response<AnswerBody>, FeedError> {
-        // Read before the configuration: a place that is too early only has a
-        // version read once more, one that is too late would hide a version.
+        // Read before the configuration: a position that is too early only causes a
+        // version to be read again, but one that is too late would hide a version.
         let position = *self.gateway.config_position.lock();
         let Some(table) = self.gateway.table().filter(|t| t.version() > query.version) else {
-            return self.short(&ConfigAnswer::NoLater);
+            return self.reply_without_permit(&ConfigAnswer::NoLater);
         };
         let Ok(permit) = self.permits.clone().try_acquire_owned() else {
             let version = table.version();
-            let recipients = self.state.lock().to.iter().copied().collect();
-            return self.short(&ConfigAnswer::Busy {
+            let recipients = self
+                .distribution
+                .lock()
+                .recipients
+                .iter()
+                .copied()
+                .collect();
+            return self.reply_without_permit(&ConfigAnswer::Busy {
                 version,
                 recipients,
             });
@@ -84,27 +93,31 @@
         self.reply(&ConfigAnswer::Config { packed, position }, Some(permit))
     }
 
-    /// Packs the configuration, once a version, and notes who is told.
+    /// Packs the configuration, once per version, and records `to` as a recipient.
     fn packed(&self, config: &RoutingConfig, to: SocketAddr) -> Result<Bytes, FeedError> {
-        let mut state = self.state.lock();
-        if state.version != config.version {
-            *state = Told {
+        let mut distribution = self.distribution.lock();
+        if distribution.version != config.version {
+            *distribution = Distribution {
                 version: config.version,
                 packed: pack_config(config)?,
-                to: VecDeque::new(),
+                recipients: VecDeque::new(),
             };
         }
-        state.to.push_back(to);
-        if state.to.len() > MAX_NAMED {
-            state.to.pop_front();
+        distribution.recipients.push_back(to);
+        if distribution.recipients.len() > MAX_LISTED_RECIPIENTS {
+            distribution.recipients.pop_front();
         }
-        Ok(state.packed.clone())
+        Ok(distribution.packed.clone())
     }
 
-    fn short(&self, answer: &ConfigAnswer) -> Result<Response<AnswerBody>, FeedError> {
+    fn reply_without_permit(
+        &self,
+        answer: &ConfigAnswer,
+    ) -> Result<Response<AnswerBody>, FeedError> {
         self.reply(answer, None)
     }
 
+    /// Replies with `answer`. The permit is released once the body has been sent.
     fn reply(
         &self,
         answer: &ConfigAnswer,
--- a/src/cluster/configs/mod.rs
+++ b/src/cluster/configs/mod.rs
@@ -1,4 +1,4 @@
-//! How large configurations reach all daemons.
+//! Distribution of large configurations among daemons.
 
 mod config_follower;
 mod config_message;
--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -3,29 +3,31 @@
     std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How often news of ends are told. What a daemon sees is known to all after some of these:
-/// to its hubs, to the other hubs, to those that report to them.
-const TELL_EVERY: Duration = Duration::from_millis(200);
-/// How many ends are told at a time: one datagram full, or 5 KB/s to each that is told, and
-/// only while upstreams end.
-const MOST_TOLD: usize = 24;
-/// After how many of these times a hub tells other hubs of requests that are held back,
-/// news or not: some were cut off, or were not there.
-const HELD_EVERY: u64 = 3;
-/// How many hubs are told then, drawn anew each time: with three each, all of 45 hubs have
-/// heard after four times in most draws.
-const HUBS_TOLD: usize = 3;
+/// Interval between announcements of crashes. A crash that a daemon sees reaches all
+/// daemons after a few of these: first its hubs, then the other hubs, then the daemons
+/// that report to them.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of crashes per announcement. They fill one datagram, which is 5 KB/s to
+/// each receiver, and only while upstreams crash.
+const MAX_ANNOUNCED: usize = 24;
+/// Number of announcement intervals after which a hub announces the crashes of quarantined
+/// requests to other hubs again, even if nothing changed: some hubs may have been
+/// partitioned or not yet running when the crashes were first announced.
+const HELD_ANNOUNCE_TICKS: u64 = 3;
+/// Number of hubs that receive such an announcement, chosen at random each time. With three
+/// receivers per hub, all of 45 hubs have received it after four rounds in most cases.
+const HELD_ANNOUNCE_FANOUT: usize = 3;
 
-/// Tells other daemons of upstreams that end under requests.
+/// Announces crashes of upstreams under requests to other daemons.
 pub(in crate::cluster) async fn announce_crashes(gateway: Arc<Gateway>) {
-    for turn in 1_u64.. {
-        tokio::time::sleep(TELL_EVERY).await;
+    for tick in 1_u64.. {
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
         gateway.tick_crashes();
         if gateway.crashes.lock().is_empty() {
             continue;
         }
         announce_changes(&gateway).await;
-        if turn.is_multiple_of(HELD_EVERY) && gateway.is_hub() {
+        if tick.is_multiple_of(HELD_ANNOUNCE_TICKS) && gateway.is_hub() {
             announce_held(&gateway).await;
         }
     }
@@ -37,34 +39,34 @@
         return;
     }
     let now_ms = gateway.steady_ms();
-    let told = gateway.crashes.lock().to_announce(MOST_TOLD, now_ms);
+    let crashes = gateway.crashes.lock().to_announce(MAX_ANNOUNCED, now_ms);
     let is_hub = gateway.is_hub();
-    send_ends(gateway, &told.hubs, is_hub, &hubs).await;
-    send_ends(gateway, &told.members, is_hub, &members).await;
+    send_crashes(gateway, &crashes.hubs, is_hub, &hubs).await;
+    send_crashes(gateway, &crashes.members, is_hub, &members).await;
 }
 
 async fn announce_held(gateway: &Gateway) {
     let hubs = gateway.other_hubs().into_iter().collect();
-    let drawn = gateway.draw_some(hubs, HUBS_TOLD);
+    let drawn = gateway.draw_some(hubs, HELD_ANNOUNCE_FANOUT);
     let now_ms = gateway.steady_ms();
-    let held = gateway.crashes.lock().held_ends(MOST_TOLD, now_ms);
-    send_ends(gateway, &held, true, &drawn.into_iter().collect()).await;
+    let held = gateway.crashes.lock().held_ends(MAX_ANNOUNCED, now_ms);
+    send_crashes(gateway, &held, true, &drawn.into_iter().collect()).await;
 }
 
-/// Tells a daemon that reports to this one of the requests that are held back.
+/// Sends the crashes of quarantined requests to a daemon that reports to this one.
 pub(in crate::cluster) async fn announce_held_to(gateway: &Gateway, member: SocketAddr) {
     let now_ms = gateway.steady_ms();
-    let held = gateway.crashes.lock().held_ends(MOST_TOLD, now_ms);
-    send_ends(gateway, &held, true, &BTreeSet::from([member])).await;
+    let held = gateway.crashes.lock().held_ends(MAX_ANNOUNCED, now_ms);
+    send_crashes(gateway, &held, true, &BTreeSet::from([member])).await;
 }
 
-async fn send_ends(
+async fn send_crashes(
     gateway: &Gateway,
-    ends: &[KnownCrash],
+    crashes: &[KnownCrash],
     among_hubs: bool,
     to: &BTreeSet<SocketAddr>,
 ) {
-    for ends in in_parts(ends.iter().map(AnnouncedCrash::of).collect()) {
+    for ends in in_parts(crashes.iter().map(AnnouncedCrash::of).collect()) {
         if ends.is_empty() {
             continue;
         }
--- a/src/cluster/crashes/crashes_part.rs
+++ b/src/cluster/crashes/crashes_part.rs
@@ -6,33 +6,34 @@
     bincode::{Decode, Encode},
 };
 
-/// Upstreams that ended under requests, as a daemon tells others. What is told again, or
-/// out of order, changes nothing.
+/// Datagram in which a daemon announces crashes of upstreams under requests. Repeated and
+/// reordered datagrams lead to the same state.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct CrashesPart {
-    /// Whether a hub tells other hubs: these tell only those that report to them.
+    /// True if a hub sends the part to other hubs. These pass it on only to the daemons that
+    /// report to them.
     pub among_hubs: bool,
-    /// The ends.
+    /// The announced crashes.
     pub ends: Vec<AnnouncedCrash>,
 }
 
 /// A crash of an upstream under a request, as it is announced.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AnnouncedCrash {
-    /// The request's fingerprint.
+    /// The fingerprint of the request.
     pub fingerprint: u128,
-    /// The upstream.
+    /// The id of the upstream.
     pub upstream: String,
-    /// How long ago, in milliseconds.
+    /// The time since the crash when the part was sent, in milliseconds.
     pub age_ms: u32,
-    /// For how long the request had been there by then, in milliseconds.
+    /// How long the request had been at the upstream when it crashed, in milliseconds.
     pub ran_ms: u32,
-    /// Whether the request was answered whole since.
+    /// True if the request has been answered completely since the crash.
     pub is_cleared: bool,
 }
 
 impl AnnouncedCrash {
-    /// Makes the message of what is known.
+    /// Converts a known crash into its announced form.
     pub fn of(known: &KnownCrash) -> Self {
         Self {
             fingerprint: known.fingerprint.number(),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Returns what is known by the message.
+    /// Converts the announcement back into a known crash.
     pub fn known(&self) -> KnownCrash {
         KnownCrash {
             fingerprint: RequestFingerprint::from_number(self.fingerprint),
--- a/src/cluster/crashes/mod.rs
+++ b/src/cluster/crashes/mod.rs
@@ -1,4 +1,5 @@
-//! Requests under which upstreams end: told to all, and kept on the platform.
+//! Requests under which upstreams crash: announced to all daemons, and stored on the
+//! platform.
 
 mod crash_announcer;
 mod crashes_part;
--- a/src/cluster/crashes/quarantine_sync.rs
+++ b/src/cluster/crashes/quarantine_sync.rs
@@ -7,34 +7,37 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How often is looked whether something has to be written.
+/// Interval between checks for records that have to be written.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How many records are written after one look, those of the most suspected requests
-/// first: four a second from each daemon while upstreams end, less than half of the calls
-/// that the platform takes from the daemons of each deployment that is designed for.
-const MOST_WRITTEN: usize = 1;
-/// The pause after a call that failed: daemons tell each other meanwhile.
+/// Maximum number of records written per check, those of the most suspected requests
+/// first. This is four per second from each daemon while upstreams crash, which is less
+/// than half of the calls that the platform accepts from the daemons of any deployment
+/// that the design covers.
+const MAX_WRITTEN: usize = 1;
+/// Pause after a failed call. Daemons still announce crashes to each other during it.
 const FAILURE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Keeps requests under which upstreams ended where they outlive all daemons: writes those
-/// of which this daemon saw an end, and reads along while it reads the shared source.
+/// Synchronizes the requests under which upstreams crashed with a store that outlives all
+/// daemons. Writes the requests for which this daemon saw a crash, and reads the records of
+/// other daemons while this daemon reads the shared source.
 ///
-/// Without this each loss of all daemons cost three more upstreams for each such request,
-/// and some for each daemon that it came to before they had told each other; and failure
-/// domains that are cut off from each other did not know of each other's.
+/// Without this, each such request cost three more upstreams after every loss of all
+/// daemons, and further ones at each daemon that it reached before the daemons had
+/// announced the crashes to each other. Failure domains that are partitioned from each
+/// other did not know of each other's crashes.
 pub async fn sync_quarantine(gateway: Arc<Gateway>, records: Arc<dyn QuarantineRecords>) {
     tokio::join!(
-        read_along(&gateway, &*records),
+        read_records(&gateway, &*records),
         write_changes(&gateway, &*records)
     );
 }
 
-async fn read_along(gateway: &Gateway, records: &dyn QuarantineRecords) {
+async fn read_records(gateway: &Gateway, records: &dyn QuarantineRecords) {
     let mut position = None;
     loop {
         gateway.until_reading_source().await;
         if let Err(e) = read_page(gateway, records, &mut position).await {
-            log::info!(target: "crash", "held requests not read. error=\"{e}\"");
+            log::info!(target: "crash", "quarantine records could not be read. error=\"{e}\"");
             tokio::time::sleep(FAILURE_PAUSE).await;
         }
     }
@@ -49,9 +52,9 @@
     for record in &page.records {
         let is_outdated = gateway.crashes.lock().is_outdated(record);
         if is_outdated && !record.ends.is_empty() {
-            let mut dropped = record.clone();
-            dropped.ends.clear();
-            records.write(&dropped, now_ms()).await?;
+            let mut cleared = record.clone();
+            cleared.ends.clear();
+            records.write(&cleared, now_ms()).await?;
             continue;
         }
         gateway.apply_written(record);
@@ -64,7 +67,7 @@
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         if let Err(e) = write_due(gateway, records).await {
-            log::info!(target: "crash", "held request not written. error=\"{e}\"");
+            log::info!(target: "crash", "quarantine record could not be written. error=\"{e}\"");
             tokio::time::sleep(FAILURE_PAUSE).await;
         }
     }
@@ -72,7 +75,7 @@
 
 async fn write_due(gateway: &Gateway, records: &dyn QuarantineRecords) -> Result<(), BackendError> {
     let now = gateway.steady_ms();
-    let due = gateway.crashes.lock().to_write(MOST_WRITTEN, now);
+    let due = gateway.crashes.lock().to_write(MAX_WRITTEN, now);
     for record in due {
         records.write(&record, now_ms()).await?;
         gateway.crashes.lock().record_written(&record);
--- a/src/cluster/duties/duty_backends.rs
+++ b/src/cluster/duties/duty_backends.rs
@@ -9,50 +9,51 @@
     displaydoc::Display,
 };
 
-/// Why a call to a shared log or to an API that duties use failed.
+/// Error of a call to a shared log or to an API that duties use.
 #[derive(Clone, Debug, Display, thiserror::Error)]
 pub enum BackendError {
-    /// not done: {0}
+    /// the call had no effect: {0}
     NotDone(String),
-    /// may have been done: {0}
+    /// the outcome of the call is unknown: {0}
     Unknown(String),
 }
 
-/// A part of a topic.
+/// Consecutive records of a topic.
 #[derive(Clone, Debug, Default)]
 pub struct TopicPage {
-    /// The offset of the first record that is kept.
+    /// The offset of the first record that the log still retains.
     pub first: u64,
-    /// The offset of the first record here.
+    /// The offset of the first record in `records`.
     pub from: u64,
-    /// The records.
+    /// The records, in offset order.
     pub records: Vec<Bytes>,
 }
 
 /// The outcome of a conditional append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// The record is in the topic.
+    /// The record was appended.
     Taken,
-    /// The topic ends elsewhere; nothing was done.
+    /// The topic ends at another offset. Nothing was appended.
     Conflict,
 }
 
 /// A log that all daemons share and that outlives them.
 #[async_trait]
 pub trait SharedLog: Send + Sync {
-    /// Reads a topic from an offset, or from its first record if that is later.
+    /// Reads a topic from an offset, or from its first retained record if that is later.
     ///
     /// # Errors
     ///
-    /// Returns how the read failed.
+    /// Returns an error if the read failed.
     async fn read(&self, topic: &str, from: u64) -> Result<TopicPage, BackendError>;
 
-    /// Appends a record if the topic ends at an offset.
+    /// Appends a record if the topic ends at the offset `end`.
     ///
     /// # Errors
     ///
-    /// [`BackendError::Unknown`] if it may be in the topic, or come into it later.
+    /// Returns [`BackendError::Unknown`] if the record may be in the topic, or may still be
+    /// appended later.
     async fn append_at(
         &self,
         topic: &str,
@@ -64,36 +65,37 @@
 /// The outcome of writing a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is written.
+    /// The record was written.
     Taken,
-    /// It is not: this number comes next.
+    /// The record was not written: the store expects this number next.
     Renumber(u64),
 }
 
-/// Where the outcomes of roll-outs are written for the operator. It outlives daemons.
+/// Store of the status of rollouts, which the operator reads. It outlives daemons.
 #[async_trait]
 pub trait RolloutStatusStore: Send + Sync {
-    /// Takes the board over: what daemons with earlier fences write from now on, or wrote
-    /// and is still on its way, is refused.
+    /// Makes the holder of `fence` the only writer. From then on the store refuses writes
+    /// with earlier fencing tokens, including those that are still in transit.
     ///
     /// # Errors
     ///
-    /// Returns how the call failed.
+    /// Returns an error if the call failed.
     async fn take_over(&self, fence: u64) -> Result<(), BackendError>;
 
-    /// Reads what was written last of each service's roll-out.
+    /// Reads the status that was last written for each service's rollout.
     ///
     /// # Errors
     ///
-    /// Returns how the read failed.
+    /// Returns an error if the read failed.
     async fn read(&self) -> Result<Vec<Rollout>, BackendError>;
 
-    /// Writes how far a roll-out is, unless a daemon with a later fence has written. Records of one
-    /// fence are numbered from 1; one that is written again under its number counts once.
+    /// Writes the status of a rollout, unless a daemon with a later fencing token has
+    /// written. The records of one fencing token are numbered from 1. A record that is
+    /// written again under the same number counts once.
     ///
     /// # Errors
     ///
-    /// Returns how the write failed.
+    /// Returns an error if the write failed.
     async fn write(
         &self,
         rollout: &Rollout,
@@ -102,73 +104,76 @@
     ) -> Result<WriteOutcome, BackendError>;
 }
 
-/// What was written of requests under which upstreams ended, from a position on.
+/// Records of requests under which upstreams crashed, from a position on.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantinePage {
-    /// The records. One without ends is of a request that is cleared, or dropped.
+    /// The records. A record without `ends` is of a request that was cleared, or whose
+    /// record was dropped.
     pub records: Vec<SuspectRecord>,
-    /// Where the next page begins.
+    /// The position at which the next page begins.
     pub next: u64,
 }
 
-/// Where requests under which upstreams ended are kept. It outlives daemons.
+/// Store of the requests under which upstreams crashed. It outlives daemons.
 #[async_trait]
 pub trait QuarantineRecords: Send + Sync {
-    /// Reads on from a position, or everything that is kept; waits a while for a record.
+    /// Reads the records from a position on, or all stored records without one. Waits for a
+    /// limited time if there is no record yet.
     ///
     /// # Errors
     ///
-    /// Returns how the read failed.
+    /// Returns an error if the read failed.
     async fn read_from(&self, from: Option<u64>) -> Result<QuarantinePage, BackendError>;
 
-    /// Writes the ends under a request, in place of what was written before; one without
-    /// ends is dropped. `unix_ms` is the time.
+    /// Writes the crashes under a request, replacing its earlier record. A record without
+    /// `ends` is deleted. `unix_ms` is the current time.
     ///
     /// # Errors
     ///
-    /// Returns how the write failed.
+    /// Returns an error if the write failed.
     async fn write(&self, record: &SuspectRecord, unix_ms: u64) -> Result<(), BackendError>;
 }
 
-/// In whose name a duty is done.
+/// Identifies the holder of the lease on whose behalf a duty call is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyClaim {
-    /// The daemon.
+    /// The box of the daemon that holds the lease.
     pub holder: BoxId,
-    /// The fencing token.
+    /// The fencing token of the lease.
     pub fence: u64,
 }
 
-/// An order for the number of a service's upstreams in a domain.
+/// An order that sets the number of a service's upstreams of one kind in a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FleetOrder {
-    /// The service.
+    /// The service whose upstreams are ordered.
     pub service: ServiceName,
-    /// The domain.
+    /// The failure domain of the upstreams.
     pub domain: FailureDomain,
-    /// Whether upstreams are meant that may be taken away.
+    /// True for reclaimable upstreams, which the provider may take away; false for
+    /// on-demand ones.
     pub reclaimable: bool,
-    /// How many there shall be.
+    /// The number of such upstreams that there shall be.
     pub count: u32,
 }
 
 /// The outcome of a fleet order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It was taken.
+    /// The order was accepted.
     Taken,
-    /// No such upstreams are to be had there now.
+    /// No such upstreams are available in the failure domain now.
     NoneLeft,
 }
 
-/// The API for duties that one daemon has at a time.
+/// API that the holder of the duties calls to report usage and to order upstreams.
 #[async_trait]
 pub trait DutyApi: Send + Sync {
-    /// Reports a window's usage.
+    /// Reports the usage counts of a window.
     ///
     /// # Errors
     ///
-    /// Returns how the call failed.
+    /// Returns an error if the call failed.
     async fn report_usage(
         &self,
         claim: &DutyClaim,
@@ -176,11 +181,11 @@
         counts: &AccountCounts,
     ) -> Result<(), BackendError>;
 
-    /// Orders upstreams.
+    /// Places an order for upstreams.
     ///
     /// # Errors
     ///
-    /// Returns how the call failed.
+    /// Returns an error if the call failed.
     async fn order(
         &self,
         claim: &DutyClaim,
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -18,36 +18,40 @@
     },
 };
 
-/// The topic of the duties.
+/// Topic of the shared log that holds the lease and the usage records of the duties.
 pub const DUTY_TOPIC: &str = "duties";
-const PAUSE: Duration = Duration::from_millis(250);
-/// How often a daemon looks that doesn't hold the lease while another does.
-const WATCH_EVERY: Duration = Duration::from_millis(1_500);
-/// The pause after a failed call.
+/// Interval between two turns of a daemon that holds the lease or tries to take it.
+const TURN_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which a standby reads the topic while another daemon holds the lease.
+const WATCH_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Pause after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_millis(400);
-/// How long a call for a duty may take, in milliseconds: borders end it then.
+/// Timeout of a call for a duty, in milliseconds. The backends enforce it.
 pub const DUTY_CALL_TIMEOUT_MS: u64 = 900;
 
-/// Takes the lease of the duties when it is free, and does them while it is held.
+/// Acquires the lease of the duties when it is free, and performs the duties while this
+/// daemon holds it.
 pub struct DutyRunner {
     gateway: Arc<Gateway>,
     shared_log: Arc<dyn SharedLog>,
     api: Arc<dyn DutyApi>,
     log: DutyLog,
+    /// The windows whose usage this daemon has reported.
     reported: BTreeSet<u64>,
-    /// Since when this daemon holds the duties.
+    /// The time from which on this daemon has held the duties, by its steady clock; none if
+    /// it does not hold them.
     held_since_ms: Option<u64>,
     scaler: FleetScaler,
     rollouts: RolloutDuty,
 }
 
 impl DutyRunner {
-    /// Makes the runner of a daemon.
+    /// Creates the runner of a daemon.
     pub fn new(
         gateway: Arc<Gateway>,
         shared_log: Arc<dyn SharedLog>,
         api: Arc<dyn DutyApi>,
-        board: Arc<dyn RolloutStatusStore>,
+        status_store: Arc<dyn RolloutStatusStore>,
     ) -> Self {
         let me = Claimer {
             id: BoxId::from(gateway.settings.node.name.as_str()),
@@ -62,34 +66,35 @@
             reported: BTreeSet::new(),
             held_since_ms: None,
             scaler: FleetScaler::default(),
-            rollouts: RolloutDuty::new(board),
+            rollouts: RolloutDuty::new(status_store),
         }
     }
 
-    /// Runs until the daemon stops.
+    /// Runs the duties. Does not return: it runs until the daemon stops.
     pub async fn run(mut self) {
         let spread_ms = self.gateway.draw() % 500;
         tokio::time::sleep(Duration::from_millis(spread_ms)).await;
         let mut holds = false;
         loop {
             if !holds {
-                // Those that read the source are enough to hold the duties.
+                // Only daemons that read the shared source compete for the lease: they are
+                // enough.
                 self.gateway.until_reading_source().await;
             }
-            self.scaler.look(&self.gateway);
+            self.scaler.observe_fleet(&self.gateway);
             let stopping = *self.gateway.phase.borrow() != GatewayPhase::Ready;
             let is_fit = self.fitness(stopping).keeps();
             let other_holds = self.gateway.peers.lock().has_duty_holder();
             if !holds && other_holds && !self.gateway.watches_duties() {
-                // Enough others count from the last renewal when the lease ends.
-                tokio::time::sleep(PAUSE).await;
+                // Enough other daemons follow the renewals, and so know when the lease ends.
+                tokio::time::sleep(TURN_INTERVAL).await;
                 continue;
             }
             if !is_fit || (!holds && other_holds) {
                 if holds {
                     self.release_lease().await;
                 }
-                self.tell(false);
+                self.set_holds(false);
                 holds = false;
                 self.watch_holder().await;
                 continue;
@@ -97,13 +102,13 @@
             match self.turn(holds).await {
                 Ok(now_holds) => {
                     holds = now_holds;
-                    self.tell(holds);
-                    tokio::time::sleep(PAUSE).await;
+                    self.set_holds(holds);
+                    tokio::time::sleep(TURN_INTERVAL).await;
                 }
                 Err(e) => {
-                    log::info!(target: "duties", "a call failed. error=\"{e}\"");
+                    log::info!(target: "duties", "a call for the duties failed. error=\"{e}\"");
                     holds = self.log.fence_for(0, self.gateway.steady_ms()).is_some();
-                    self.tell(holds);
+                    self.set_holds(holds);
                     tokio::time::sleep(FAILURE_PAUSE).await;
                 }
             }
@@ -118,28 +123,30 @@
         }
     }
 
-    /// Reads along while another daemon holds the lease, so that the time to
-    /// wait for its end is counted from its last renewal.
+    /// Reads the topic while another daemon holds the lease, so that the expiry of the lease
+    /// is counted from its last renewal.
     async fn watch_holder(&mut self) {
-        if let Err(e) = self.read_from().await {
-            log::info!(target: "duties", "the topic can't be read. error=\"{e}\"");
+        if let Err(e) = self.read_new_records().await {
+            log::info!(target: "duties", "the topic of the duties could not be read. error=\"{e}\"");
         }
-        tokio::time::sleep(WATCH_EVERY).await;
+        tokio::time::sleep(WATCH_INTERVAL).await;
     }
 
-    fn tell(&mut self, holds: bool) {
+    /// Publishes whether this daemon holds the duties.
+    fn set_holds(&mut self, holds: bool) {
         let since_ms = self.held_since_ms.unwrap_or(self.gateway.steady_ms());
         self.held_since_ms = holds.then_some(since_ms);
-        let before = self.gateway.holds_duties.swap(holds, Ordering::Relaxed);
-        if before != holds {
+        let held_before = self.gateway.holds_duties.swap(holds, Ordering::Relaxed);
+        if held_before != holds {
             log::info!(target: "duties", "holder changed. holds={holds}");
         }
     }
 
-    /// Does one turn; returns whether the lease is held.
+    /// Performs one turn of the lease and of the duties. Returns whether this daemon holds
+    /// the lease afterwards.
     async fn turn(&mut self, holds: bool) -> Result<bool, BackendError> {
         if !holds {
-            self.read_from().await?;
+            self.read_new_records().await?;
         }
         match self.log.step(self.gateway.steady_ms()) {
             LeaseStep::Wait => Ok(false),
@@ -153,7 +160,8 @@
         }
     }
 
-    async fn read_from(&mut self) -> Result<(), BackendError> {
+    /// Reads and folds the records that were appended to the topic since the last read.
+    async fn read_new_records(&mut self) -> Result<(), BackendError> {
         let page = self.shared_log.read(DUTY_TOPIC, self.log.next()).await?;
         self.log.skip_to(page.from);
         let now_ms = self.gateway.steady_ms();
@@ -175,8 +183,9 @@
         Ok(taken && self.log.fence_for(0, self.gateway.steady_ms()).is_some())
     }
 
-    /// Gives the lease back, so that a planned stop leaves the duties to a successor at
-    /// once: it would wait for the rest of the term, and reports would come late.
+    /// Releases the lease, so that a successor can take the duties over immediately after a
+    /// planned stop. Otherwise it would wait until the lease expires, and reports would be
+    /// late.
     async fn release_lease(&mut self) {
         let now_ms = self.gateway.steady_ms();
         let Some(lease) = self.log.release(now_ms) else {
@@ -184,12 +193,13 @@
         };
         self.log.sending(&lease, now_ms);
         if let Err(e) = self.append(DutyRecord::Lease(lease)).await {
-            // It runs out by itself.
-            log::info!(target: "duties", "the lease was not given back. error=\"{e}\"");
+            // The lease expires by itself.
+            log::info!(target: "duties", "the lease could not be released. error=\"{e}\"");
         }
     }
 
-    /// Appends a record where the topic was read to; returns whether it was taken.
+    /// Appends a record at the offset up to which the topic was read. Returns false, after
+    /// reading the new records, if another daemon has appended there.
     async fn append(&mut self, record: DutyRecord) -> Result<bool, BackendError> {
         let end = self.log.next();
         let bytes =
@@ -203,7 +213,7 @@
                 Ok(true)
             }
             AppendOutcome::Conflict => {
-                self.read_from().await?;
+                self.read_new_records().await?;
                 Ok(false)
             }
         }
@@ -216,13 +226,15 @@
         let gateway = self.gateway.clone();
         let turn = self.rollouts.turn(&gateway, claim.fence);
         if let Err(e) = turn.await {
-            // The other duties need not wait for it: it goes on at the next turn.
-            log::info!(target: "rollout", "not written. error=\"{e}\"");
+            // Not propagated, so that it does not hold up the other duties. The next turn
+            // tries again.
+            log::info!(target: "rollout", "rollout status could not be written. error=\"{e}\"");
         }
         Ok(())
     }
 
-    /// Reports the windows that are due.
+    /// Reports the usage windows that are due. The counts of a window are appended to the
+    /// topic first, so that a later holder reports the same ones.
     async fn report_usage(&mut self) -> Result<(), BackendError> {
         if !self.gateway.settings.duties.usage {
             return Ok(());
@@ -265,16 +277,16 @@
         (oldest..newest).filter(is_due).collect()
     }
 
-    /// Returns whether all daemons have told what they counted in a window.
+    /// Returns whether the complete counts of all daemons for a window have arrived.
     fn is_usage_complete(&self, window: u64) -> bool {
         let expected_ms = 2_000 * self.gateway.settings.duties.usage_window_s;
         let since_ms = self.gateway.steady_ms().saturating_sub(expected_ms);
-        let (told, all_whole) = self
+        let (announced, all_complete) = self
             .gateway
             .usage
             .lock()
             .usage_complete_from(window, since_ms);
-        all_whole && told + 1 >= self.gateway.daemons()
+        all_complete && announced + 1 >= self.gateway.daemons()
     }
 
     async fn send_report(&mut self, window: u64) -> Result<(), BackendError> {
@@ -308,10 +320,10 @@
             let Some(claim) = self.claim() else {
                 return Ok(());
             };
-            let end = self.api.order(&claim, &order).await?;
+            let outcome = self.api.order(&claim, &order).await?;
             log::info!(
                 target: "fleet",
-                "ordered. service={} domain={} reclaimable={} count={} end={end:?}",
+                "upstreams ordered. service={} domain={} reclaimable={} count={} end={outcome:?}",
                 order.service,
                 order.domain,
                 order.reclaimable,
@@ -319,7 +331,7 @@
             );
             let boot_ms = self.boot_ms(&order);
             let now_ms = self.gateway.steady_ms();
-            self.scaler.record(&order, end, boot_ms, now_ms);
+            self.scaler.record(&order, outcome, boot_ms, now_ms);
         }
         Ok(())
     }
@@ -331,9 +343,10 @@
         scaling.map_or(0, |s| (s.boot_s * 1_000.0) as u64)
     }
 
-    /// Returns in whose name to act, if a call ends while the lease is held.
+    /// Returns the claim for a call, if the call ends within its timeout while the lease is
+    /// still held.
     fn claim(&self) -> Option<DutyClaim> {
-        // Asked right before each call: the lease may be over by now.
+        // Checked immediately before each call, because the lease may have expired meanwhile.
         let fence = self
             .log
             .fence_for(DUTY_CALL_TIMEOUT_MS, self.gateway.steady_ms())?;
--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -12,27 +12,30 @@
     std::collections::{BTreeSet, HashMap},
 };
 
-/// After how long an order that shows no effect is placed again, beside the
-/// time that upstreams take to start, in milliseconds.
-const AGAIN_AFTER_MS: u64 = 2_000;
-/// After how long an order is placed again where none were left, in milliseconds.
-const NONE_LEFT_MS: u64 = 2_000;
-/// How long demand is watched before anything is lowered, in milliseconds.
-const WATCH_MS: u64 = 4_000;
-/// How many times the upstreams that are needed a fleet is taken to have that
-/// is found before demand is known.
+/// Time after which an order without effect is placed again, in addition to the boot time
+/// of the upstreams, in milliseconds.
+const REORDER_AFTER_MS: u64 = 2_000;
+/// Time after which an order is placed again where no upstreams were available, in
+/// milliseconds.
+const NONE_LEFT_RETRY_MS: u64 = 2_000;
+/// Time for which demand is observed before a fleet is scaled by it, in milliseconds. Until
+/// then the fleet that was found is kept as a lower bound.
+const OBSERVE_DEMAND_MS: u64 = 4_000;
+/// Factor by which a fleet that is found before demand is known is assumed to exceed the
+/// upstreams that are needed.
 const FOUND_RESERVE: u32 = 2;
 
-/// The order that was placed last for a kind of upstream in a domain.
+/// The most recent order for one kind of upstream in a failure domain.
 #[derive(Clone, Copy, Debug)]
-struct Placed {
+struct PlacedOrder {
     count: u32,
-    /// From when it may be placed again.
+    /// The time from which on the order may be placed again.
     next_ms: u64,
+    /// False if no upstreams were available.
     taken: bool,
 }
 
-/// A service's highest demand, over a longer and a shorter time.
+/// The peaks of a service's demand: `steady` decays slowly, `now` fast.
 #[derive(Clone, Copy, Debug)]
 struct ServicePeaks {
     steady: DemandPeak,
@@ -48,23 +51,25 @@
     }
 }
 
-/// Decides which orders for upstreams to place.
+/// Decides which orders for upstreams to place. The keys of `placed` and `lower_since` are
+/// the service, the failure domain and whether the upstreams are reclaimable.
 #[derive(Debug, Default)]
 pub struct FleetScaler {
     peaks: HashMap<ServiceName, ServicePeaks>,
-    placed: HashMap<(ServiceName, FailureDomain, bool), Placed>,
-    /// Since when fewer are wanted than are there.
+    placed: HashMap<(ServiceName, FailureDomain, bool), PlacedOrder>,
+    /// The time from which on fewer upstreams have been needed than there are.
     lower_since: HashMap<(ServiceName, FailureDomain, bool), u64>,
+    /// The time at which demand was first seen.
     demand_since_ms: Option<u64>,
     known: HashMap<ServiceName, KnownFleet>,
-    /// How many on-demand upstreams a service had before demand was known.
+    /// The number of on-demand upstreams that a service had before its demand was known.
     found: HashMap<ServiceName, u32>,
 }
 
 impl FleetScaler {
-    /// Notes how many upstreams are known. Also those look that don't hold the duties:
-    /// they know what is there when they take them over.
-    pub fn look(&mut self, gateway: &Gateway) {
+    /// Records how many upstreams of each service are known. Daemons that do not hold the
+    /// duties do this too, so that they know the fleet when they take the duties over.
+    pub fn observe_fleet(&mut self, gateway: &Gateway) {
         let Some(table) = gateway.table() else {
             return;
         };
@@ -72,42 +77,43 @@
         let directory = gateway.directory.read();
         let services = table.config().services.iter();
         for service in services.filter(|s| s.autoscaling.is_some()) {
-            let there = directory.ready(&service.name).count() as u32;
+            let ready = directory.ready(&service.name).count() as u32;
             let known = self.known.entry(service.name.clone());
             let known = known.or_insert_with(|| KnownFleet::new(now_ms));
-            known.record(there, now_ms);
+            known.record(ready, now_ms);
         }
     }
 
-    /// Returns the orders that are due.
+    /// Returns the orders that are due now.
     pub fn due_orders(&mut self, gateway: &Gateway) -> Vec<FleetOrder> {
         let Some(table) = gateway.table() else {
             return Vec::new();
         };
         let mut orders = Vec::new();
         for service in &table.config().services {
-            // While versions change, both are there for a while: none is one too many.
-            let is_moving = {
+            // During a rollout the upstreams of both versions are there for a while, and none
+            // of them is surplus.
+            let in_rollout = {
                 let rollouts = gateway.rollouts.lock();
                 rollouts.moving_to(service.name.as_str()).is_some()
             };
-            if let Some(scaling) = service.autoscaling.as_ref().filter(|_| !is_moving) {
+            if let Some(scaling) = service.autoscaling.as_ref().filter(|_| !in_rollout) {
                 orders.extend(self.orders_of(gateway, service, scaling));
             }
         }
         orders
     }
 
-    /// Notes how an order ended.
-    pub fn record(&mut self, order: &FleetOrder, end: OrderOutcome, boot_ms: u64, now_ms: u64) {
-        let next_ms = match end {
-            OrderOutcome::Taken => now_ms + boot_ms + AGAIN_AFTER_MS,
-            OrderOutcome::NoneLeft => now_ms + NONE_LEFT_MS,
+    /// Records the outcome of an order.
+    pub fn record(&mut self, order: &FleetOrder, outcome: OrderOutcome, boot_ms: u64, now_ms: u64) {
+        let next_ms = match outcome {
+            OrderOutcome::Taken => now_ms + boot_ms + REORDER_AFTER_MS,
+            OrderOutcome::NoneLeft => now_ms + NONE_LEFT_RETRY_MS,
         };
-        let placed = Placed {
+        let placed = PlacedOrder {
             count: order.count,
             next_ms,
-            taken: end == OrderOutcome::Taken,
+            taken: outcome == OrderOutcome::Taken,
         };
         self.lower_since.remove(&key_of(order));
         self.placed.insert(key_of(order), placed);
@@ -121,43 +127,44 @@
     ) -> Vec<FleetOrder> {
         let now_ms = gateway.steady_ms();
         let mut domains = domain_fleets(gateway, &service.name, scaling);
-        self.add_coming(&service.name, &mut domains, now_ms);
+        self.add_starting(&service.name, &mut domains, now_ms);
         let demand = gateway.demand_of(&service.name);
         if demand > 0.0 {
             self.demand_since_ms.get_or_insert(now_ms);
         }
-        let watched = self
+        let is_demand_known = self
             .demand_since_ms
-            .is_some_and(|since| now_ms >= since + WATCH_MS);
+            .is_some_and(|since| now_ms >= since + OBSERVE_DEMAND_MS);
         let speed = gateway.reading_speed(&service.name);
         let load = offered_load(gateway, service, demand, speed);
         let policy = gateway.settings.fleet;
         let peaks = self.peaks.entry(service.name.clone());
         let peaks = peaks.or_insert_with(|| ServicePeaks::new(&policy));
-        let mut need = FleetDemand {
+        let mut needed = FleetDemand {
             steady: policy.needed(peaks.steady.record(load, now_ms)),
             now: policy.needed(peaks.now.record(load, now_ms)),
         };
-        if !watched || speed.is_none() {
+        if !is_demand_known || speed.is_none() {
             let known = self.known.get(&service.name);
             let is_settled = known.is_some_and(|k| k.is_settled(now_ms));
-            // While nobody asks, what is taken away had no work.
+            // Placed while only a part of the fleet is known, an order would remove the rest.
+            // Without demand the removed upstreams are idle, so that this does no harm.
             if demand > 0.0 && !is_settled {
                 return Vec::new();
             }
-            // Demand is not known yet: what was found was enough so far.
-            let on_demand: u32 = domains.iter().map(|z| z.on_demand).sum();
+            // Demand is not known yet. The fleet that was found has been sufficient so far.
+            let on_demand: u32 = domains.iter().map(|d| d.on_demand).sum();
             let found = self.found.entry(service.name.clone()).or_default();
             *found = on_demand.max(*found);
-            need.now = need.now.max(*found);
-            need.steady = need.steady.max(found.div_ceil(FOUND_RESERVE));
+            needed.now = needed.now.max(*found);
+            needed.steady = needed.steady.max(found.div_ceil(FOUND_RESERVE));
         }
         let bounds = FleetBounds {
             min_per_domain: scaling.min_per_domain,
             max_per_domain: scaling.max_per_domain,
             reclaimable_price: scaling.reclaimable_price,
         };
-        let plans = plan_fleet(&domains, bounds, need, &policy);
+        let plans = plan_fleet(&domains, bounds, needed, &policy);
         let mut orders = Vec::new();
         for (plan, domain) in plans.into_iter().zip(&domains) {
             let order = |reclaimable, count| FleetOrder {
@@ -169,41 +176,41 @@
             orders.push((order(true, plan.reclaimable), domain.reclaimable));
             orders.push((order(false, plan.on_demand), domain.on_demand));
         }
-        orders.retain(|(order, there)| self.is_due(order, *there, &policy, now_ms));
+        orders.retain(|(order, present)| self.is_due(order, *present, &policy, now_ms));
         orders.into_iter().map(|(order, _)| order).collect()
     }
 
-    /// Counts upstreams that are ordered and start by now.
-    fn add_coming(&self, service: &ServiceName, domains: &mut [DomainFleet], now_ms: u64) {
+    /// Adds upstreams that are ordered and still starting.
+    fn add_starting(&self, service: &ServiceName, domains: &mut [DomainFleet], now_ms: u64) {
         for domain in domains {
-            let coming = |reclaimable| {
+            let ordered = |reclaimable| {
                 let key = (service.clone(), domain.domain.clone(), reclaimable);
                 let placed = self.placed.get(&key);
                 placed
                     .filter(|p| p.taken && now_ms < p.next_ms)
                     .map_or(0, |p| p.count)
             };
-            let (on_demand, reclaimable) = (coming(false), coming(true));
+            let (on_demand, reclaimable) = (ordered(false), ordered(true));
             domain.on_demand = domain.on_demand.max(on_demand);
             domain.coming = reclaimable.saturating_sub(domain.reclaimable);
         }
     }
 
-    /// Returns whether to place an order: more at once, fewer only once they
-    /// have been wanted for a while.
+    /// Returns whether to place an order now: an increase immediately, a decrease only once
+    /// it has been wanted for `lower_after_ms`.
     fn is_due(
         &mut self,
         order: &FleetOrder,
-        there: u32,
+        present: u32,
         policy: &FleetPolicy,
         now_ms: u64,
     ) -> bool {
         let key = key_of(order);
         let placed = self.placed.get(&key).copied();
-        let standing = placed.map_or(there, |p| p.count);
+        let standing = placed.map_or(present, |p| p.count);
         if order.count >= standing {
             self.lower_since.remove(&key);
-            let again = there != order.count && placed.is_none_or(|p| now_ms >= p.next_ms);
+            let again = present != order.count && placed.is_none_or(|p| now_ms >= p.next_ms);
             return order.count > standing || again;
         }
         let since_ms = *self.lower_since.entry(key).or_insert(now_ms);
@@ -211,8 +218,8 @@
     }
 }
 
-/// Returns how many upstreams would be busy all the time with what is offered:
-/// with reading prompts, or with all of their slots.
+/// Returns the offered load as a number of fully busy upstreams: busy with reading prompts,
+/// or with all of their slots taken, whichever number is higher.
 fn offered_load(
     gateway: &Gateway,
     service: &Service,
@@ -236,7 +243,8 @@
     )
 }
 
-/// Counts a service's upstreams, in the domains that have a price or any of them.
+/// Counts a service's upstreams per failure domain. Includes the domains that have a price
+/// and those in which an upstream is ready.
 fn domain_fleets(
     gateway: &Gateway,
     service: &ServiceName,
@@ -250,8 +258,8 @@
         .collect();
     let fleets = names.into_iter().map(|domain| {
         let count = |reclaimable| {
-            let there = of_service().filter(|b| b.domain == domain && b.reclaimable == reclaimable);
-            there.count() as u32
+            let ready = of_service().filter(|b| b.domain == domain && b.reclaimable == reclaimable);
+            ready.count() as u32
         };
         DomainFleet {
             price: scaling.domain_prices.get(&domain).copied().unwrap_or(1.0),
--- a/src/cluster/duties/mod.rs
+++ b/src/cluster/duties/mod.rs
@@ -1,4 +1,4 @@
-//! What one daemon does at a time for all.
+//! Duties that one daemon at a time performs for all daemons.
 
 mod duty_backends;
 mod duty_runner;
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! What equal daemons tell each other, and the duties that one has at a time.
+//! The protocols among daemons, and the duties that one daemon at a time performs for all.
 
 mod configs;
 mod crashes;
