--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -39,10 +39,10 @@
         return;
     }
     let now_ms = gateway.steady_ms();
-    let crashes = gateway.crashes.lock().to_announce(MAX_ANNOUNCED, now_ms);
+    let due = gateway.crashes.lock().to_announce(MAX_ANNOUNCED, now_ms);
     let is_hub = gateway.is_hub();
-    send_crashes(gateway, &crashes.hubs, is_hub, &hubs).await;
-    send_crashes(gateway, &crashes.members, is_hub, &members).await;
+    send_crashes(gateway, &due.hubs, is_hub, &hubs).await;
+    send_crashes(gateway, &due.members, is_hub, &members).await;
 }
 
 async fn announce_held(gateway: &Gateway) {
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -53,11 +53,11 @@
         api: Arc<dyn DutyApi>,
         status_store: Arc<dyn RolloutStatusStore>,
     ) -> Self {
-        let me = Claimer {
+        let claimer = Claimer {
             id: BoxId::from(gateway.settings.node.name.as_str()),
             incarnation: gateway.incarnation,
         };
-        let log = DutyLog::new(me, gateway.settings.duties.lease_ms);
+        let log = DutyLog::new(claimer, gateway.settings.duties.lease_ms);
         Self {
             gateway,
             shared_log,
--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -18,8 +18,7 @@
 /// Time after which an order is placed again where no upstreams were available, in
 /// milliseconds.
 const NONE_LEFT_RETRY_MS: u64 = 2_000;
-/// Time for which demand is observed before a fleet is scaled by it, in milliseconds. Until
-/// then the fleet that was found is kept as a lower bound.
+/// Time for which demand is observed before a fleet is scaled down, in milliseconds.
 const OBSERVE_DEMAND_MS: u64 = 4_000;
 /// Factor by which a fleet that is found before demand is known is assumed to exceed the
 /// upstreams that are needed.
@@ -77,10 +76,10 @@
         let directory = gateway.directory.read();
         let services = table.config().services.iter();
         for service in services.filter(|s| s.autoscaling.is_some()) {
-            let ready = directory.ready(&service.name).count() as u32;
+            let present = directory.ready(&service.name).count() as u32;
             let known = self.known.entry(service.name.clone());
             let known = known.or_insert_with(|| KnownFleet::new(now_ms));
-            known.record(ready, now_ms);
+            known.record(present, now_ms);
         }
     }
 
@@ -140,7 +139,7 @@
         let policy = gateway.settings.fleet;
         let peaks = self.peaks.entry(service.name.clone());
         let peaks = peaks.or_insert_with(|| ServicePeaks::new(&policy));
-        let mut needed = FleetDemand {
+        let mut fleet_demand = FleetDemand {
             steady: policy.needed(peaks.steady.record(load, now_ms)),
             now: policy.needed(peaks.now.record(load, now_ms)),
         };
@@ -156,15 +155,15 @@
             let on_demand: u32 = domains.iter().map(|d| d.on_demand).sum();
             let found = self.found.entry(service.name.clone()).or_default();
             *found = on_demand.max(*found);
-            needed.now = needed.now.max(*found);
-            needed.steady = needed.steady.max(found.div_ceil(FOUND_RESERVE));
+            fleet_demand.now = fleet_demand.now.max(*found);
+            fleet_demand.steady = fleet_demand.steady.max(found.div_ceil(FOUND_RESERVE));
         }
         let bounds = FleetBounds {
             min_per_domain: scaling.min_per_domain,
             max_per_domain: scaling.max_per_domain,
             reclaimable_price: scaling.reclaimable_price,
         };
-        let plans = plan_fleet(&domains, bounds, needed, &policy);
+        let plans = plan_fleet(&domains, bounds, fleet_demand, &policy);
         let mut orders = Vec::new();
         for (plan, domain) in plans.into_iter().zip(&domains) {
             let order = |reclaimable, count| FleetOrder {
@@ -258,8 +257,9 @@
         .collect();
     let fleets = names.into_iter().map(|domain| {
         let count = |reclaimable| {
-            let ready = of_service().filter(|b| b.domain == domain && b.reclaimable == reclaimable);
-            ready.count() as u32
+            let present =
+                of_service().filter(|b| b.domain == domain && b.reclaimable == reclaimable);
+            present.count() as u32
         };
         DomainFleet {
             price: scaling.domain_prices.get(&domain).copied().unwrap_or(1.0),
--- a/src/cluster/feed/feed_protocols.rs
+++ b/src/cluster/feed/feed_protocols.rs
@@ -1,19 +1,19 @@
 use {crate::cluster::UPDATES_LEVEL, std::net::SocketAddr};
 
-/// In which of two forms daemons are asked for news: by updates, or by offsets, which
-/// earlier builds know alone.
+/// Selects the protocol in which a daemon is queried for changes: by updates, or by
+/// offsets, which is the only one that earlier builds support.
 ///
-/// One that has not told its build yet is asked for updates first: by offsets it would
-/// tell its whole directory, and then once more when its build is known.
+/// A daemon whose build is not known yet is queried for updates first. If it were queried by
+/// offsets, it would send its full directory, and send it again once its build is known.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FeedProtocols {
-    /// The daemon that said last that it tells no updates.
+    /// The daemon that last answered that it does not support updates.
     refused: Option<SocketAddr>,
 }
 
 impl FeedProtocols {
-    /// Returns whether a daemon is asked for updates. `level` is up to which kind of
-    /// extension it knows all, zero if it has not told that.
+    /// Returns whether to query a daemon for updates. `level` is the extension level that the
+    /// daemon announced, or zero if it has not announced one.
     pub fn supports_updates(&self, daemon: SocketAddr, level: u8) -> bool {
         match level {
             0 => self.refused != Some(daemon),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Notes that a daemon does not tell updates.
+    /// Records that a daemon does not support updates.
     pub fn record_refused(&mut self, daemon: SocketAddr) {
         self.refused = Some(daemon);
     }
--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -16,23 +16,24 @@
     tokio::net::TcpListener,
 };
 
-/// Larger configurations are read from the source by each daemon, or asked for
-/// apart from the news. Routes and client accounts together.
-const MAX_TOLD_CONFIG: usize = 100;
+/// Maximum size of a configuration that is sent within the feed, in routes and client
+/// accounts together. Larger ones are read from the shared source by each daemon, or
+/// queried separately.
+const MAX_FEED_CONFIG: usize = 100;
 
-/// Tells other daemons what this one knows.
+/// Serves the feed and the configuration to other daemons.
 pub async fn serve_feed(listener: TcpListener, gateway: Arc<Gateway>) {
     let configs = Arc::new(ConfigServer::new(gateway.clone()));
-    let news = Arc::new(FeedServer {
+    let feed = Arc::new(FeedServer {
         gateway,
         packed: Mutex::default(),
     });
     serve_plain(listener, move |request| {
-        let (configs, news) = (configs.clone(), news.clone());
+        let (configs, feed) = (configs.clone(), feed.clone());
         async move {
             match request.uri().path() {
-                UPDATE_PATH => news.answer(request, FeedServer::update_for).await,
-                NEWS_PATH => news.answer(request, FeedServer::reply_to).await,
+                UPDATE_PATH => feed.answer(request, FeedServer::update_for).await,
+                OFFSETS_PATH => feed.answer(request, FeedServer::reply_to).await,
                 CONFIG_PATH => configs.answer(request).await,
                 _ => local_response(StatusCode::NOT_FOUND, "no such path"),
             }
@@ -41,9 +42,9 @@
     .await;
 }
 
-/// Tells other daemons news. What is packed for one of them is kept for those that know
-/// the same: in a wave of upstreams that come or leave, packing would else take more time
-/// than all other work.
+/// Serves changes to other daemons. A packed update is cached for followers at the same
+/// revision. Without this, packing took more time than all other work while many upstreams
+/// came or left at once.
 #[derive(Debug)]
 struct FeedServer {
     gateway: Arc<Gateway>,
@@ -54,7 +55,7 @@
     async fn answer<T: Serialize>(
         &self,
         request: Request<Incoming>,
-        told: impl Fn(&Self, FeedQuery) -> Result<T, FeedError>,
+        make_reply: impl Fn(&Self, FeedQuery) -> Result<T, FeedError>,
     ) -> Response<AnswerBody> {
         let Ok(body) = Limited::new(request.into_body(), MAX_QUERY_BYTES)
             .collect()
@@ -66,55 +67,58 @@
             Ok(query) => query,
             Err(e) => return local_response(StatusCode::BAD_REQUEST, &e.to_string()),
         };
-        self.wait_for_news(query).await;
-        match told(self, query).and_then(|told| encode(&told)) {
+        self.wait_for_changes(query).await;
+        match make_reply(self, query).and_then(|reply| encode(&reply)) {
             Ok(bytes) => {
                 self.gateway.control.record(ControlKind::News, bytes.len());
                 Response::new(full_body(bytes))
             }
             Err(e) => {
-                log::warn!(target: "peers", "news not told. error=\"{e}\"");
+                log::warn!(target: "peers", "feed reply could not be sent. error=\"{e}\"");
                 local_response(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string())
             }
         }
     }
 
-    async fn wait_for_news(&self, query: FeedQuery) {
+    /// Waits until this daemon has changes for the querying one, or until the wait time of
+    /// the query has passed.
+    async fn wait_for_changes(&self, query: FeedQuery) {
         let gateway = &self.gateway;
-        let mut news = gateway.news.subscribe();
-        let is_new = |_: &u64| {
+        let mut changes = gateway.news.subscribe();
+        let has_changes = |_: &u64| {
             let same_incarnation = query.incarnation == gateway.incarnation;
-            let same =
+            let same_directory =
                 same_incarnation && query.cursor.revision == gateway.directory.read().revision();
             let version = gateway.config_version();
-            !same || version > query.config_version
+            !same_directory || version > query.config_version
         };
         let wait = Duration::from_millis(query.wait_ms.min(MAX_WAIT_MS));
-        // No news in time is an answer, too.
-        let _ = tokio::time::timeout(wait, news.wait_for(is_new)).await;
+        // An expired wait is no error: the reply then holds no changes.
+        let _ = tokio::time::timeout(wait, changes.wait_for(has_changes)).await;
     }
 
-    /// Returns what the asker knows of this life's directory.
-    fn known(&self, query: FeedQuery) -> Option<DirectoryCursor> {
+    /// Returns the cursor of the query, if it belongs to this incarnation's directory.
+    fn valid_cursor(&self, query: FeedQuery) -> Option<DirectoryCursor> {
         (query.incarnation == self.gateway.incarnation).then_some(query.cursor)
     }
 
-    /// Returns the version of the configuration in force, and the configuration if it is
-    /// news and small.
+    /// Returns the version of the configuration in force, and the configuration itself if it
+    /// is newer than the version in the query, and small.
     fn config_for(&self, query: FeedQuery) -> (u64, Option<RoutingConfig>) {
         let table = self.gateway.table();
         let version = table.as_ref().map_or(0, |t| t.version());
         let newer = table.filter(|t| t.version() > query.config_version);
-        let newer = newer.filter(|t| t.config().size() <= MAX_TOLD_CONFIG);
+        let newer = newer.filter(|t| t.config().size() <= MAX_FEED_CONFIG);
         (version, newer.map(|t| t.config().as_ref().clone()))
     }
 
     fn update_for(&self, query: FeedQuery) -> Result<FeedUpdate, FeedError> {
         let gateway = &self.gateway;
-        // Read before the configuration: it may be too early, but not too late.
+        // Read before the configuration: a position that is too early only causes a version
+        // to be read again, but one that is too late would hide a version.
         let config_position = *gateway.config_position.lock();
         let (config_version, config) = self.config_for(query);
-        let (cursor, is_complete, packed) = self.packed_since(self.known(query))?;
+        let (cursor, is_complete, packed) = self.packed_since(self.valid_cursor(query))?;
         Ok(FeedUpdate {
             incarnation: gateway.incarnation,
             source_age_ms: gateway.source_age_ms(),
@@ -128,7 +132,8 @@
         })
     }
 
-    /// Returns the cursor of the directory, whether the update holds all of it, and the packed upstreams.
+    /// Returns the cursor of the directory, whether the update holds all of it, and the packed
+    /// upstreams. `known` is the position that the follower has.
     fn packed_since(
         &self,
         known: Option<DirectoryCursor>,
@@ -141,12 +146,12 @@
         if let Some(packed) = self.packed.lock().get(cursor.revision, since) {
             return Ok((cursor, is_complete, packed));
         }
-        let news = self.gateway.directory.read().update_since(known);
-        let packed = pack_upstreams(&news.upstreams, &news.removed_ids)?;
-        let since = known.filter(|_| !news.is_complete).map(|k| k.revision);
-        let mut kept = self.packed.lock();
-        kept.keep(news.cursor.revision, since, packed.clone());
-        Ok((news.cursor, news.is_complete, packed))
+        let update = self.gateway.directory.read().update_since(known);
+        let packed = pack_upstreams(&update.upstreams, &update.removed_ids)?;
+        let since = known.filter(|_| !update.is_complete).map(|k| k.revision);
+        let mut cache = self.packed.lock();
+        cache.keep(update.cursor.revision, since, packed.clone());
+        Ok((update.cursor, update.is_complete, packed))
     }
 
     fn reply_to(&self, query: FeedQuery) -> Result<FeedReply, FeedError> {
@@ -159,7 +164,10 @@
             config_version,
             config,
             config_position,
-            changes: gateway.directory.read().changes_since(self.known(query)),
+            changes: gateway
+                .directory
+                .read()
+                .changes_since(self.valid_cursor(query)),
             rollouts: gateway.announced_rollouts(),
         })
     }
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -13,23 +13,24 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How long an answer may take, beside the time that it is held.
+/// Timeout of an answer, in addition to the time for which the query may be held.
 const FEED_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a daemon without others to ask looks for some.
-const PAUSE: Duration = Duration::from_millis(300);
-/// How often one that has just started does.
+/// Interval at which a daemon that has no other daemon to query looks for one.
+const IDLE_PAUSE: Duration = Duration::from_millis(300);
+/// The same interval while a daemon that has just started waits for its seeds.
 const START_PAUSE: Duration = Duration::from_millis(10);
+/// Pause after the first failure. It grows by as much with each further one in a row.
 const FAILURE_PAUSE: Duration = Duration::from_millis(50);
-/// After how many failures in a row the pause no longer grows.
-const MAX_PAUSES: usize = 6;
+/// Number of failures in a row after which the pause no longer grows.
+const MAX_PAUSE_FACTOR: usize = 6;
 
-/// Follows other daemons: those of the domain that read the source, unless this
-/// one does; and any that knows more.
+/// Follows other daemons: those of the failure domain that read the shared source, unless
+/// this daemon reads it itself, and any daemon that has newer state.
 pub async fn follow_daemons(gateway: Arc<Gateway>) {
     let mut follower = Follower {
         client: HttpClient::default(),
-        known: None,
-        forms: FeedProtocols::default(),
+        followed: None,
+        protocols: FeedProtocols::default(),
         tries: SourceTries::default(),
         gateway,
     };
@@ -38,19 +39,19 @@
     }
 }
 
-/// What was told last, and by whom.
+/// The state that was received last, and the daemon that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Known {
+struct Followed {
     daemon: SocketAddr,
     incarnation: u64,
     cursor: DirectoryCursor,
-    /// Whether it tells changes without words that only say that an upstream lives.
+    /// True if the daemon answered in the protocol of updates; false for offsets.
     sends_updates: bool,
 }
 
-/// News of either kind.
+/// An answer in either protocol.
 #[derive(Debug)]
-struct Heard {
+struct FeedAnswer {
     incarnation: u64,
     source_age_ms: Option<u64>,
     config_version: u64,
@@ -63,38 +64,38 @@
 #[derive(Debug)]
 enum ReceivedDirectory {
     Changes(DirectoryChanges),
-    News(DirectoryUpdate),
+    Update(DirectoryUpdate),
 }
 
 impl ReceivedDirectory {
     fn cursor(&self) -> DirectoryCursor {
         match self {
             Self::Changes(changes) => changes.cursor,
-            Self::News(news) => news.cursor,
+            Self::Update(update) => update.cursor,
         }
     }
 }
 
-impl From<FeedReply> for Heard {
-    fn from(news: FeedReply) -> Self {
+impl From<FeedReply> for FeedAnswer {
+    fn from(reply: FeedReply) -> Self {
         Self {
-            incarnation: news.incarnation,
-            source_age_ms: news.source_age_ms,
-            config_version: news.config_version,
-            config: news.config,
-            config_position: news.config_position,
-            rollouts: news.rollouts,
-            directory: ReceivedDirectory::Changes(news.changes),
+            incarnation: reply.incarnation,
+            source_age_ms: reply.source_age_ms,
+            config_version: reply.config_version,
+            config: reply.config,
+            config_position: reply.config_position,
+            rollouts: reply.rollouts,
+            directory: ReceivedDirectory::Changes(reply.changes),
         }
     }
 }
 
-impl TryFrom<FeedUpdate> for Heard {
+impl TryFrom<FeedUpdate> for FeedAnswer {
     type Error = FeedError;
 
     fn try_from(update: FeedUpdate) -> Result<Self, FeedError> {
         Ok(Self {
-            directory: ReceivedDirectory::News(update.directory()?),
+            directory: ReceivedDirectory::Update(update.directory()?),
             incarnation: update.incarnation,
             source_age_ms: update.source_age_ms,
             config_version: update.config_version,
@@ -108,29 +109,29 @@
 struct Follower {
     gateway: Arc<Gateway>,
     client: HttpClient,
-    known: Option<Known>,
-    forms: FeedProtocols,
+    followed: Option<Followed>,
+    protocols: FeedProtocols,
     tries: SourceTries,
 }
 
 impl Follower {
     async fn turn(&mut self) {
-        let current = self.known.map(|known| known.daemon);
+        let current = self.followed.map(|followed| followed.daemon);
         let source = StateSource::choose(&self.gateway, current, self.tries);
         self.gateway.set_reads_source(source.reads_shared_source());
         let Some(daemon) = source.daemon() else {
             self.tries = SourceTries::default();
             let pause = match source {
                 StateSource::Unknown => START_PAUSE,
-                _ => PAUSE,
+                _ => IDLE_PAUSE,
             };
             return tokio::time::sleep(pause).await;
         };
         match self.query(daemon).await {
-            Ok(heard) => {
+            Ok(answer) => {
                 let stale_ms = self.gateway.read_schedule.stale_ms();
-                let is_stale = heard.source_age_ms.is_none_or(|age| age > stale_ms);
-                self.take_in(daemon, heard);
+                let is_stale = answer.source_age_ms.is_none_or(|age| age > stale_ms);
+                self.apply_answer(daemon, answer);
                 match is_stale {
                     false => self.tries = SourceTries::default(),
                     true => {
@@ -140,7 +141,7 @@
                 }
             }
             Err(e) => {
-                log::info!(target: "peers", "no news. peer={daemon} error=\"{e}\"");
+                log::info!(target: "peers", "feed query failed. peer={daemon} error=\"{e}\"");
                 self.tries.unreachable += 1;
                 self.pause_after_failure().await;
             }
@@ -149,31 +150,31 @@
 
     async fn pause_after_failure(&mut self) {
         let failed = self.tries.unreachable + self.tries.stale;
-        tokio::time::sleep(FAILURE_PAUSE * failed.min(MAX_PAUSES) as u32).await;
+        tokio::time::sleep(FAILURE_PAUSE * failed.min(MAX_PAUSE_FACTOR) as u32).await;
     }
 
-    async fn query(&mut self, daemon: SocketAddr) -> Result<Heard, FeedError> {
+    async fn query(&mut self, daemon: SocketAddr) -> Result<FeedAnswer, FeedError> {
         let level = self.gateway.peers.lock().level_at(daemon);
-        if !self.forms.supports_updates(daemon, level) {
+        if !self.protocols.supports_updates(daemon, level) {
             return self.query_by_offsets(daemon).await;
         }
         match self.query_updates(daemon).await {
             Err(e) if lacks_path(&e) => {
-                self.forms.record_refused(daemon);
+                self.protocols.record_refused(daemon);
                 self.query_by_offsets(daemon).await
             }
-            heard => heard,
+            result => result,
         }
     }
 
-    async fn query_updates(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
-        let answer = self.post(daemon, UPDATE_PATH, true).await?;
-        decode::<FeedUpdate>(&answer)?.try_into()
+    async fn query_updates(&self, daemon: SocketAddr) -> Result<FeedAnswer, FeedError> {
+        let body = self.post(daemon, UPDATE_PATH, true).await?;
+        decode::<FeedUpdate>(&body)?.try_into()
     }
 
-    async fn query_by_offsets(&self, daemon: SocketAddr) -> Result<Heard, FeedError> {
-        let answer = self.post(daemon, NEWS_PATH, false).await?;
-        Ok(decode::<FeedReply>(&answer)?.into())
+    async fn query_by_offsets(&self, daemon: SocketAddr) -> Result<FeedAnswer, FeedError> {
+        let body = self.post(daemon, OFFSETS_PATH, false).await?;
+        Ok(decode::<FeedReply>(&body)?.into())
     }
 
     async fn post(
@@ -182,16 +183,17 @@
         path: &str,
         sends_updates: bool,
     ) -> Result<Bytes, FeedError> {
-        let is_same = |k: &Known| k.daemon == daemon && k.sends_updates == sends_updates;
-        let known = self.known.filter(is_same);
+        let is_same = |f: &Followed| f.daemon == daemon && f.sends_updates == sends_updates;
+        let followed = self.followed.filter(is_same);
         let (incarnation, cursor) =
-            known.map_or_else(Default::default, |k| (k.incarnation, k.cursor));
+            followed.map_or_else(Default::default, |f| (f.incarnation, f.cursor));
         let newest_config = *self.gateway.newest_config.borrow();
         let query = FeedQuery {
             incarnation,
             cursor,
             config_version: newest_config.max(self.gateway.config_version()),
-            // One that can't be reached is asked again soon, one that is stale, too.
+            // After a failure the query is not held, so that a daemon that was unreachable or
+            // stale is queried again soon.
             wait_ms: if self.tries == SourceTries::default() {
                 MAX_WAIT_MS
             } else {
@@ -203,37 +205,39 @@
         Ok(self.client.post(daemon, path, body, timeout).await?)
     }
 
-    fn take_in(&mut self, daemon: SocketAddr, heard: Heard) {
-        // The next changes count from these: all of them are taken in.
-        self.known = Some(Known {
+    fn apply_answer(&mut self, daemon: SocketAddr, answer: FeedAnswer) {
+        // The next query continues from this cursor, so all changes of this answer have to be
+        // applied.
+        self.followed = Some(Followed {
             daemon,
-            incarnation: heard.incarnation,
-            cursor: heard.directory.cursor(),
-            sends_updates: matches!(heard.directory, ReceivedDirectory::News(_)),
+            incarnation: answer.incarnation,
+            cursor: answer.directory.cursor(),
+            sends_updates: matches!(answer.directory, ReceivedDirectory::Update(_)),
         });
-        if let Some(config) = heard.config {
-            log::info!(target: "config", "told by a daemon. version={} peer={daemon}", config.version);
+        if let Some(config) = answer.config {
+            log::info!(target: "config", "configuration received from a daemon. version={} peer={daemon}", config.version);
             self.gateway.apply_config(config);
-            self.gateway.record_config_position(heard.config_position);
+            self.gateway.record_config_position(answer.config_position);
         }
-        // What was told just now isn't asked for.
-        let version = heard.config_version;
+        // After the configuration was applied, so that the version just received is not
+        // queried again.
+        let version = answer.config_version;
         self.gateway.peers.lock().apply_peer_config(daemon, version);
         self.gateway.record_newest_config(version);
-        self.gateway.apply_rollouts(&heard.rollouts);
+        self.gateway.apply_rollouts(&answer.rollouts);
         self.gateway
-            .change_directory(|directory, _| match heard.directory {
+            .change_directory(|directory, _| match answer.directory {
                 ReceivedDirectory::Changes(changes) => directory.apply(changes),
-                ReceivedDirectory::News(news) => directory.apply_update(news),
+                ReceivedDirectory::Update(update) => directory.apply_update(update),
             });
-        if let Some(age_ms) = heard.source_age_ms {
+        if let Some(age_ms) = answer.source_age_ms {
             self.gateway.record_relayed(age_ms);
         }
         self.gateway.check_ready();
     }
 }
 
-/// Returns whether a daemon said that there is no such path.
+/// Returns whether a daemon answered that it does not serve the path.
 fn lacks_path(e: &FeedError) -> bool {
     matches!(e, FeedError::Http(HttpError::Status(status)) if *status == StatusCode::NOT_FOUND)
 }
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -11,98 +11,100 @@
     serde::{Deserialize, Serialize, de::DeserializeOwned},
 };
 
-/// Where daemons ask for news; the number rises when the messages change, so that
-/// daemons of other builds don't misread them.
+/// Path at which daemons query each other for updates. The number is the protocol version
+/// and increases when the messages change, so that daemons of other builds don't misread
+/// them.
 pub(super) const UPDATE_PATH: &str = "/cluster/feed/4";
-/// Where daemons of builds ask that go by offsets.
-pub(super) const NEWS_PATH: &str = "/cluster/feed/3";
-/// How long a question for news is held at most, in milliseconds.
+/// Path at which daemons of earlier builds query for changes by offsets.
+pub(super) const OFFSETS_PATH: &str = "/cluster/feed/3";
+/// Maximum time for which a query is held until there are changes, in milliseconds.
 pub(super) const MAX_WAIT_MS: u64 = 700;
-/// How much memory a message may claim when it is decoded, in bytes: as much as the
+/// Maximum memory that a message may allocate when it is decoded, in bytes: the size of the
 /// largest body that is read.
 const MAX_DECODED_BYTES: usize = MAX_BODY_BYTES;
-/// How long a daemon's question may be.
+/// Maximum length of the body of a daemon's query, in bytes.
 pub const MAX_QUERY_BYTES: usize = 1_024;
 
 /// A daemon's query for the changes since its cursor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FeedQuery {
-    /// The life of the daemon that told what is known.
+    /// The incarnation of the queried daemon to which `cursor` belongs.
     pub incarnation: u64,
-    /// What is known of its directory.
+    /// The position up to which the querying daemon knows the directory of the queried one.
     pub cursor: DirectoryCursor,
-    /// The version of the configuration that is known of.
+    /// The newest version of the configuration that the querying daemon knows of.
     pub config_version: u64,
-    /// How long to wait for news, in milliseconds.
+    /// How long to wait for changes before answering, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What a daemon tells another that goes by offsets.
+/// The answer to a query by offsets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FeedReply {
-    /// Which life of it.
+    /// The incarnation of the answering daemon.
     pub incarnation: u64,
-    /// How old the newest answer of its source is, in milliseconds.
+    /// The age of the newest answer that the answering daemon has from the shared source, in
+    /// milliseconds; none if it has no answer.
     pub source_age_ms: Option<u64>,
-    /// The version of the configuration in force there.
+    /// The version of the configuration that is in force at the answering daemon.
     pub config_version: u64,
-    /// The configuration, if it is newer than the one that is known of, and
-    /// small.
+    /// The configuration, if it is newer than the version in the query, and small.
     pub config: Option<RoutingConfig>,
-    /// The place in the source from which on later configurations stand, if
+    /// The position in the shared source from which later configurations are to be read, if
     /// known.
     pub config_position: Option<u64>,
-    /// What has changed among the upstreams.
+    /// The changes of the directory of upstreams.
     pub changes: DirectoryChanges,
-    /// The newest roll-out of each service.
+    /// The newest rollout of each service.
     pub rollouts: Vec<Rollout>,
 }
 
-/// How a question for news failed.
+/// Error of a query for changes.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum FeedError {
     /// the call failed: {0}
     Http(#[from] HttpError),
-    /// can't be encoded: {0}
+    /// message can't be encoded: {0}
     Encode(#[from] bincode::error::EncodeError),
-    /// not understood: {0}
+    /// message can't be decoded: {0}
     Decode(#[from] bincode::error::DecodeError),
-    /// packed in a way that {0}
+    /// packing or unpacking failed: {0}
     Pack(#[from] PackError),
 }
 
-/// What a daemon tells another that keeps what it was told: its directory as changes,
-/// without words that only say that an upstream lives.
+/// The answer to a query for updates. Holds only the changes of the directory: the follower
+/// keeps its state between answers, and entries that only confirm that an upstream is alive
+/// are left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FeedUpdate {
-    /// Which life of it.
+    /// The incarnation of the answering daemon.
     pub incarnation: u64,
-    /// How old the newest answer of its source is, in milliseconds.
+    /// The age of the newest answer that the answering daemon has from the shared source, in
+    /// milliseconds; none if it has no answer.
     pub source_age_ms: Option<u64>,
-    /// The version of the configuration in force there.
+    /// The version of the configuration that is in force at the answering daemon.
     pub config_version: u64,
-    /// The configuration, if it is newer than the one that is known of, and
-    /// small.
+    /// The configuration, if it is newer than the version in the query, and small.
     pub config: Option<RoutingConfig>,
-    /// The place in the source from which on later configurations stand, if
+    /// The position in the shared source from which later configurations are to be read, if
     /// known.
     pub config_position: Option<u64>,
-    /// The newest roll-out of each service.
+    /// The newest rollout of each service.
     pub rollouts: Vec<Rollout>,
-    /// What is told of its directory.
+    /// The position in the directory up to which this update goes.
     pub cursor: DirectoryCursor,
-    /// Whether these are all upstreams that there are, or only those that changed.
+    /// True if the update holds all upstreams; false if it holds only those that changed.
     pub is_complete: bool,
-    /// The upstreams, and the ids of those that are gone, packed: a whole directory is
-    /// packed once for all that are told it.
+    /// The upstreams and the ids of removed ones, packed. The full directory is packed once
+    /// for all followers that need it.
     pub packed: Bytes,
 }
 
-/// Packs upstreams, and the ids of those that are gone.
+/// Packs upstreams and the ids of removed ones.
 ///
 /// # Errors
 ///
-/// Returns what can't be encoded.
+/// Returns an error if they can't be encoded.
 pub fn pack_upstreams(
     upstreams: &[PresentUpstream],
     removed_ids: &[UpstreamId],
@@ -111,11 +113,11 @@
 }
 
 impl FeedUpdate {
-    /// Returns what is told of the directory.
+    /// Unpacks the update of the directory.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the bytes.
+    /// Returns an error if the packed bytes are invalid.
     pub fn directory(&self) -> Result<DirectoryUpdate, PackError> {
         let (upstreams, removed_ids) = unpack(&self.packed)?;
         Ok(DirectoryUpdate {
@@ -127,23 +129,24 @@
     }
 }
 
-/// Encodes what daemons ask and tell each other.
+/// Encodes a message between daemons.
 ///
 /// # Errors
 ///
-/// Returns what can't be encoded.
+/// Returns an error if the message can't be encoded.
 pub fn encode(message: &impl Serialize) -> Result<Bytes, FeedError> {
     let bytes = bincode::serde::encode_to_vec(message, bincode::config::standard())?;
     Ok(bytes.into())
 }
 
-/// Decodes what daemons ask and tell each other.
+/// Decodes a message between daemons.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the bytes.
+/// Returns an error if the bytes are not a valid message.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FeedError> {
-    // Bytes that claim to be longer than they are would end the process.
+    // Without a limit, bytes that declare a length beyond the available memory would abort
+    // the process.
     let bounded = bincode::config::standard().with_limit::<MAX_DECODED_BYTES>();
     let (message, _) = bincode::serde::decode_from_slice(bytes, bounded)?;
     Ok(message)
--- a/src/cluster/feed/mod.rs
+++ b/src/cluster/feed/mod.rs
@@ -1,4 +1,4 @@
-//! What daemons tell those that follow them: configuration, upstreams, roll-outs.
+//! The feed by which daemons follow each other: configuration, upstreams and rollouts.
 
 mod feed_protocols;
 mod feed_server;
--- a/src/cluster/feed/packed_updates.rs
+++ b/src/cluster/feed/packed_updates.rs
@@ -1,11 +1,11 @@
 use {bytes::Bytes, std::collections::HashMap};
 
-/// How many packed changes are kept: those that follow a daemon differ in few revisions
-/// at a time.
-const MAX_KEPT: usize = 32;
+/// Maximum number of cached updates. The followers of a daemon are at few different
+/// revisions at a time.
+const MAX_CACHED: usize = 32;
 
-/// News of a directory as they were packed at its newest revision, by the revision since
-/// which they tell; the whole directory since none.
+/// Cache of the packed updates of a directory at its newest revision. The key is the
+/// revision since which an update holds the changes, or none for the full directory.
 #[derive(Debug, Default)]
 pub struct PackedUpdates {
     revision: u64,
@@ -13,7 +13,7 @@
 }
 
 impl PackedUpdates {
-    /// Returns what was packed of a revision since an earlier one.
+    /// Returns the cached update from the revision `since` to `revision`.
     pub fn get(&self, revision: u64, since: Option<u64>) -> Option<Bytes> {
         if revision != self.revision {
             return None;
@@ -21,13 +21,14 @@
         self.packed.get(&since).cloned()
     }
 
-    /// Keeps what was packed, unless it is of an older revision.
+    /// Caches an update, unless it is of an older revision than the cache or the cache is
+    /// full.
     pub fn keep(&mut self, revision: u64, since: Option<u64>, packed: Bytes) {
         if revision > self.revision {
             self.revision = revision;
             self.packed.clear();
         }
-        if revision == self.revision && self.packed.len() < MAX_KEPT {
+        if revision == self.revision && self.packed.len() < MAX_CACHED {
             self.packed.insert(since, packed);
         }
     }
--- a/src/cluster/feed/state_source.rs
+++ b/src/cluster/feed/state_source.rs
@@ -6,23 +6,23 @@
     std::net::SocketAddr,
 };
 
-/// Whom a daemon learns configuration and upstreams from now.
+/// The source from which a daemon currently gets configuration and upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateSource {
-    /// From none yet: its seeds were asked who there is.
+    /// None yet: the daemon waits for its seeds to answer which daemons there are.
     Unknown,
-    /// From the shared source alone.
+    /// The shared source alone.
     Shared,
-    /// From the shared source, and from a daemon that may reach it while this
+    /// The shared source, and another daemon, which may reach the shared source while this
     /// one can't.
     SharedAnd(SocketAddr),
-    /// From another daemon.
+    /// Another daemon.
     Daemon(SocketAddr),
 }
 
 impl StateSource {
-    /// Chooses by what other daemons told of themselves. `current` is the
-    /// daemon that was asked last, `tries` how often in a row none had news.
+    /// Chooses the source by the state that other daemons announced. `current` is the daemon
+    /// that was queried last, and `tries` counts the queries since the last current answer.
     pub fn choose(gateway: &Gateway, current: Option<SocketAddr>, tries: SourceTries) -> Self {
         let peers = gateway.peers.lock();
         let own_rank = peers.own().rank();
@@ -40,10 +40,11 @@
         if let Some(daemon) = role.next(tries, &others) {
             return Self::Daemon(daemon);
         }
-        // The same one for as long as it has news: it then tells only changes.
+        // Keeps the same daemon while its answers are current, because it then has to send
+        // changes only.
         let failed = tries.unreachable + tries.stale;
-        let is_listed = |address: &SocketAddr| others.contains(address);
-        let other = match current.filter(is_listed) {
+        let is_candidate = |address: &SocketAddr| others.contains(address);
+        let other = match current.filter(is_candidate) {
             Some(current) if failed == 0 => Some(current),
             _ => others.get(failed % others.len().max(1)).copied(),
         };
@@ -55,7 +56,7 @@
         matches!(self, Self::Shared | Self::SharedAnd(_))
     }
 
-    /// Returns the daemon to ask.
+    /// Returns the daemon to query, if any.
     pub fn daemon(&self) -> Option<SocketAddr> {
         match self {
             Self::Unknown | Self::Shared => None,
@@ -64,6 +65,7 @@
     }
 }
 
+/// Returns whether there are other seeds that may still answer after the start.
 fn awaits_seeds(gateway: &Gateway) -> bool {
     let own = gateway.settings.listen.peers;
     let peers = &gateway.settings.peers;
--- a/tests/decisions/cluster_support.rs
+++ b/tests/decisions/cluster_support.rs
@@ -1,11 +1,11 @@
-//! Daemons of the routed path as others hear of them.
+//! Builders of the messages that daemons of the routed path announce.
 
 use {
     saddlepulley::cluster::{AnnouncedAccount, AnnouncedLoad, DaemonEntry, Digest, LoadsPart},
     std::net::SocketAddr,
 };
 
-/// Who a daemon is.
+/// Returns the entry of a daemon.
 pub fn entry(name: &str, domain: &str, daemon: usize) -> DaemonEntry {
     DaemonEntry {
         name: name.into(),
@@ -15,20 +15,20 @@
     }
 }
 
-/// Where a daemon listens.
+/// Returns the address at which a daemon listens for other daemons.
 pub fn address(daemon: usize) -> SocketAddr {
     let [high, low] = (daemon as u16).to_be_bytes();
     SocketAddr::from(([10, 1, high, low], 8_229))
 }
 
-/// A digest of a hub of domain `a`.
+/// Returns a digest of a hub in failure domain `a`.
 pub fn digest_of(name: &str, sequence: u64) -> Digest {
     let mut digest = Digest::new(entry(name, "a", 7), 1, sequence);
     digest.every_ms = 250;
     digest
 }
 
-/// What is told of an account.
+/// Returns a client account's quota state as announced.
 pub fn announced_account(account: usize) -> AnnouncedAccount {
     AnnouncedAccount {
         name: format!("tenant-{account}"),
@@ -39,7 +39,7 @@
     }
 }
 
-/// A part of what a daemon has at upstreams, all of them alike.
+/// Returns a part of a daemon's loads, with the same load at each upstream.
 pub fn loads_part(sequence: u64, part: u32, parts: u32, upstreams: &[&str]) -> LoadsPart {
     let loads = upstreams.iter().map(|id| AnnouncedLoad {
         upstream: (*id).into(),
--- a/tests/decisions/config_spread.rs
+++ b/tests/decisions/config_spread.rs
@@ -1,4 +1,5 @@
-//! Who is asked for a newer configuration, and when the source is read instead.
+//! Which daemons are queried for a newer configuration, and when the shared source is read
+//! instead.
 
 use saddlepulley::{
     cluster::{DaemonEntry, Digest, PeerTable},
@@ -16,7 +17,7 @@
     }
 }
 
-/// A daemon as others hear of it.
+/// Returns the digest of a daemon that has a version of the configuration.
 fn digest(name: &str, domain: &str, port: u16, config_version: u64) -> Digest {
     let mut digest = Digest::new(entry(name, domain, port), 1, 1);
     digest.every_ms = 250;
@@ -41,7 +42,7 @@
 ];
 
 #[test]
-fn all_that_have_the_newest_version_may_be_asked_those_of_the_own_domain_first() {
+fn holders_of_the_newest_version_are_all_listed_and_the_own_domain_has_precedence() {
     let tables = ["a", "c"].map(|domain| {
         let mut table = table_in(domain);
         for (name, domain, port, version) in DAEMONS {
@@ -50,13 +51,20 @@
         table
     });
     assert_eq!(tables[0].newest_config(), Some(8));
-    assert_eq!(ports(&tables[0], 7), [2, 3], "not one alone for all");
+    assert_eq!(
+        ports(&tables[0], 7),
+        [2, 3],
+        "more than one daemon shares the load"
+    );
     assert_eq!(ports(&tables[1], 7), [2, 3, 4]);
-    assert!(ports(&tables[0], 8).is_empty(), "nobody has a later one");
+    assert!(
+        ports(&tables[0], 8).is_empty(),
+        "no daemon has a later version"
+    );
 }
 
 #[test]
-fn a_daemon_that_fell_silent_is_not_asked() {
+fn a_daemon_that_stopped_sending_digests_is_no_config_holder() {
     let mut table = table_in("a");
     table.apply_digest(digest("n1", "a", 1, 8), 0);
     table.apply_digest(digest("n2", "a", 2, 8), 2_000);
@@ -65,38 +73,41 @@
 }
 
 #[test]
-fn one_that_follows_others_asks_daemons_at_once_and_the_source_when_none_answers() {
-    let lack = MissingConfig::new(10_000);
-    assert!(lack.queries_daemons(false, 10_000));
-    assert!(!lack.needs_source(10_500));
-    assert!(lack.needs_source(11_000));
+fn a_follower_queries_daemons_immediately_and_the_source_if_none_answers() {
+    let missing = MissingConfig::new(10_000);
+    assert!(missing.queries_daemons(false, 10_000));
+    assert!(!missing.needs_source(10_500));
+    assert!(missing.needs_source(11_000));
 }
 
 #[test]
-fn the_source_is_left_alone_for_as_long_as_daemons_say_that_they_tell_others_first() {
-    let mut lack = MissingConfig::new(10_000);
+fn a_follower_does_not_read_the_source_while_busy_daemons_defer_it() {
+    let mut missing = MissingConfig::new(10_000);
     for at_ms in (10_000..20_000).step_by(400) {
-        lack.record_deferred(at_ms);
-        assert!(!lack.needs_source(at_ms + 400));
+        missing.record_deferred(at_ms);
+        assert!(!missing.needs_source(at_ms + 400));
     }
-    assert!(lack.needs_source(21_000), "the last of them are gone");
+    assert!(
+        missing.needs_source(21_000),
+        "no daemon has deferred the query for a second"
+    );
 }
 
 #[test]
-fn one_that_reads_the_source_asks_daemons_only_if_its_own_read_takes_long() {
-    let lack = MissingConfig::new(10_000);
-    assert!(!lack.queries_daemons(true, 10_700));
-    assert!(lack.queries_daemons(true, 10_800));
+fn a_reader_of_the_source_queries_daemons_only_if_its_own_read_takes_long() {
+    let missing = MissingConfig::new(10_000);
+    assert!(!missing.queries_daemons(true, 10_700));
+    assert!(missing.queries_daemons(true, 10_800));
 }
 
 #[test]
-fn one_that_is_named_by_a_daemon_that_is_busy_may_be_asked_at_once() {
+fn a_recipient_listed_by_a_busy_daemon_becomes_a_config_holder_immediately() {
     let mut table = table_in("a");
     table.apply_digest(digest("n1", "a", 1, 8), 0);
     table.apply_digest(digest("n2", "a", 2, 7), 0);
     table.apply_peer_config(([10, 0, 0, 1], 2).into(), 8);
     assert_eq!(ports(&table, 7), [1, 2]);
-    // Also one that doesn't talk to this daemon.
+    // Also a daemon that sends this one no digests.
     table.apply_peer_config(([10, 0, 0, 1], 9).into(), 8);
     assert_eq!(ports(&table, 7), [1, 2, 9]);
 }
@@ -127,7 +138,7 @@
 }
 
 #[test]
-fn a_packed_configuration_is_the_same_after_its_way_and_much_smaller() {
+fn a_packed_configuration_survives_the_round_trip_and_is_much_smaller() {
     let config = config(4_200);
     let packed = pack_config(&config).unwrap();
     assert_eq!(unpack_config(&packed).unwrap(), config);
@@ -136,7 +147,7 @@
 }
 
 #[test]
-fn what_is_no_packed_configuration_is_refused() {
+fn invalid_packed_configurations_are_refused() {
     let packed = pack_config(&config(10)).unwrap();
     assert!(unpack_config(&[]).is_err());
     assert!(unpack_config(&packed[..packed.len() / 2]).is_err());
--- a/tests/decisions/foreign_bytes.rs
+++ b/tests/decisions/foreign_bytes.rs
@@ -1,7 +1,7 @@
-//! No bytes in the store, or from another daemon, end a process; and an entry that is
-//! changed anywhere is one that can be used whole, or none.
+//! No bytes from the store or from another daemon abort the process. An entry with any
+//! modification is either completely usable or refused.
 //!
-//! By hand, longer and from another seed: `FUZZ_CASES=1000000 FUZZ_SEED=7 cargo test
+//! To run more cases, or another seed: `FUZZ_CASES=1000000 FUZZ_SEED=7 cargo test
 //! --release --test decisions foreign_bytes`.
 
 use {
@@ -21,7 +21,7 @@
 
 const ENTRY: &str = r#"{"service":"s","address":"10.0.0.9:8080","zone":"a","version":"v1","slots":96,"state":"ready","sequence":4,"cold_remaining_ms":0,"born":1764720000123,"spot":true,"phase":"decode","model_list":[{"name":"m","version":1,"lora_adapters":[]}]}"#;
 
-/// The same cases in each run, unless others are asked for.
+/// Runs the same cases each time, unless the environment sets another number or seed.
 fn config() -> ProptestConfig {
     let number = |name: &str| std::env::var(name).ok()?.parse().ok();
     ProptestConfig {
@@ -36,7 +36,7 @@
     prop::collection::vec(any::<u8>(), 0..600)
 }
 
-/// What a JSON document may hold in the place of a field.
+/// A JSON value of any type, to replace a field.
 fn any_value() -> impl Strategy<Value = serde_json::Value> {
     prop_oneof![
         Just(serde_json::Value::Null),
@@ -49,10 +49,11 @@
     ]
 }
 
-/// Bytes that claim more than memory holds ended the process.
+/// Guards against an abort of the process: messages that declare a list longer than the
+/// available memory made the decoder allocate it.
 #[test]
-fn news_that_claim_to_be_huge_are_refused() {
-    // The lists of upstreams, and of those that are gone, stand after so many numbers.
+fn a_message_that_declares_a_huge_list_is_refused() {
+    // The numbers of bytes before the lists of upstreams and of removed ids.
     for zeros in [8, 9] {
         let mut bytes = vec![0; zeros];
         bytes.push(253);
@@ -62,9 +63,10 @@
     }
 }
 
-/// A record under which nothing is to be held back is told from one that is none.
+/// Guards against treating an invalid record as a valid one without crashes, which would
+/// clear a quarantined request.
 #[test]
-fn records_of_held_requests_are_read_whole_or_not_at_all() {
+fn a_quarantine_record_is_read_completely_or_refused() {
     let record = |key: &str, value: Option<&str>| KeyedRecord {
         key: key.to_string(),
         value: value.map(|text| Bytes::copy_from_slice(text.as_bytes())),
@@ -74,7 +76,11 @@
     let ends = r#"{"ends":[{"upstream":"u","at_ms":400,"ran_ms":9},{"upstream":"v","at_ms":9000,"ran_ms":9}]}"#;
     let read = suspect_record(&record(key, Some(ends)), 1_000).unwrap();
     let ages: Vec<u64> = read.ends.iter().map(|end| end.age_ms).collect();
-    assert_eq!(ages, [600, 0], "one of a clock ahead of ours has just been");
+    assert_eq!(
+        ages,
+        [600, 0],
+        "a time ahead of the own clock counts as now"
+    );
     assert!(
         suspect_record(&record(key, None), 1_000)
             .unwrap()
@@ -95,7 +101,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn bytes_of_any_kind_are_read_or_refused(bytes in any_bytes(), key in ".{0,20}") {
+    fn arbitrary_bytes_are_decoded_or_refused(bytes in any_bytes(), key in ".{0,20}") {
         let _ = upstream_from_entry(&key, &bytes, 7);
         let _ = config_from_record(&bytes);
         let shared = Bytes::from(bytes.clone());
@@ -112,24 +118,24 @@
     }
 
     #[test]
-    fn a_datagram_of_our_version_with_any_bytes_is_read_or_refused(bytes in any_bytes()) {
-        let ours = Datagram::Crashes(CrashesPart { among_hubs: true, ends: Vec::new() });
-        let version = ours.encode().unwrap()[0];
+    fn a_datagram_of_the_own_version_with_arbitrary_bytes_is_decoded_or_refused(bytes in any_bytes()) {
+        let message = Datagram::Crashes(CrashesPart { among_hubs: true, ends: Vec::new() });
+        let version = message.encode().unwrap()[0];
         let mut datagram = vec![version];
         datagram.extend(bytes);
         let _ = Datagram::decode(&datagram);
     }
 
     #[test]
-    fn any_bytes_behind_a_message_leave_it_as_it_is(bytes in any_bytes()) {
-        let ours = Datagram::Crashes(CrashesPart { among_hubs: true, ends: Vec::new() });
-        let mut datagram = ours.encode().unwrap();
+    fn arbitrary_bytes_after_a_message_do_not_change_it(bytes in any_bytes()) {
+        let message = Datagram::Crashes(CrashesPart { among_hubs: true, ends: Vec::new() });
+        let mut datagram = message.encode().unwrap();
         datagram.extend(bytes);
-        prop_assert_eq!(Packet::decode(&datagram).unwrap().datagram, ours);
+        prop_assert_eq!(Packet::decode(&datagram).unwrap().datagram, message);
     }
 
     #[test]
-    fn an_entry_with_a_byte_changed_is_whole_or_none(at in 0..ENTRY.len(), byte: u8) {
+    fn an_entry_with_a_changed_byte_is_usable_or_refused(at in 0..ENTRY.len(), byte: u8) {
         let mut bytes = ENTRY.as_bytes().to_vec();
         bytes[at] = byte;
         if let Ok(upstream) = upstream_from_entry("i-1", &bytes, 7) {
@@ -138,7 +144,7 @@
     }
 
     #[test]
-    fn a_named_field_of_another_type_makes_it_none(value in any_value(), field in 0..9_usize) {
+    fn an_entry_with_a_field_of_another_type_is_refused(value in any_value(), field in 0..9_usize) {
         let names = [
             "service", "address", "zone", "version", "slots", "state", "sequence",
             "cold_remaining_ms", "born",
@@ -154,7 +160,7 @@
     }
 
     #[test]
-    fn a_key_that_no_header_can_hold_names_no_upstream(key in ".{0,20}") {
+    fn an_entry_whose_key_fits_no_header_is_refused(key in ".{0,20}") {
         let read = upstream_from_entry(&key, ENTRY.as_bytes(), 7);
         let is_sendable = !key.is_empty()
             && key.bytes().all(|b| b.is_ascii_graphic() && b != b'~');
--- a/tests/decisions/platform.rs
+++ b/tests/decisions/platform.rs
@@ -1,4 +1,4 @@
-//! The translation of the users' platform.
+//! Decoding of the records and entries of the platform.
 
 use {
     bytes::Bytes,
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn a_read_is_two_numbers_and_framed_records() {
+fn a_read_response_holds_two_offsets_and_framed_records() {
     let mut bytes = Vec::new();
     bytes.extend_from_slice(&842_u64.to_be_bytes());
     bytes.extend_from_slice(&3_u64.to_be_bytes());
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_keyed_record_is_a_key_and_a_value() {
+fn a_keyed_record_splits_into_key_and_value() {
     let record = Bytes::from_static(b"\x06configVALUE");
     let (key, value) = split_keyed(&record).unwrap();
     assert_eq!(
@@ -49,7 +49,7 @@
  "uncached_tokens":200,"rate_per_s":92705,"burst":92705}]}"#;
 
 #[test]
-fn a_configuration_is_translated_whole() {
+fn a_configuration_record_is_translated_completely() {
     let config = config_from_record(CONFIG.as_bytes()).unwrap();
     assert_eq!(config.version, 7);
     assert_eq!(config.routes[0].kind, RouteKind::Streaming);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_runner_that_will_be_taken_away_gets_no_new_work() {
+fn an_entry_in_state_draining_makes_a_draining_upstream() {
     let entry = |more: &str| {
         format!(
             r#"{{"service":"s","address":"10.0.0.9:8080","zone":"a","version":"v1","slots":128,"sequence":4,"cold_remaining_ms":0{more}}}"#
