--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -93,7 +93,7 @@
             !same_directory || version > query.config_version
         };
         let wait = Duration::from_millis(query.wait_ms.min(MAX_WAIT_MS));
-        // An expired wait is no error: the reply then holds no changes.
+        // An expired wait is no error: the query is then answered without changes.
         let _ = tokio::time::timeout(wait, changes.wait_for(has_changes)).await;
     }
 
--- a/src/cluster/feed/messages.rs
+++ b/src/cluster/feed/messages.rs
@@ -72,9 +72,9 @@
     Pack(#[from] PackError),
 }
 
-/// The answer to a query for updates. Holds only the changes of the directory: the follower
-/// keeps its state between answers, and entries that only confirm that an upstream is alive
-/// are left out.
+/// The answer to a query for updates. Holds the changes of the directory, or all of it if
+/// `is_complete`. The follower keeps its state between answers, so that entries that only
+/// confirm that an upstream is alive are left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FeedUpdate {
     /// The incarnation of the answering daemon.
