--- a/src/app/admission_control.rs
+++ b/src/app/admission_control.rs
@@ -27,7 +27,7 @@
 /// Lock order: `gates` before `queues`.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    gates: Mutex<BTreeMap<(ClientAccount, ServiceName), RowGate>>,
+    gates: Mutex<BTreeMap<(ClientAccount, ServiceName), RowLimiter>>,
     queues: Mutex<BTreeMap<ServiceName, ServiceQueue>>,
     running: AtomicUsize,
 }
@@ -102,7 +102,7 @@
         let mut gates = self.gates.lock();
         let gate = gates
             .entry(key)
-            .or_insert_with(|| RowGate::new(&share, now));
+            .or_insert_with(|| RowLimiter::new(&share, now));
         gate.admit(&share, tokens, now)?;
         self.running.fetch_add(1, Ordering::Relaxed);
         Ok(())
--- a/src/policy/admission/admission_queue.rs
+++ b/src/policy/admission/admission_queue.rs
@@ -86,7 +86,7 @@
 
 /// A row's limits on one daemon: the row's, divided by the domain's live daemons.
 #[derive(Clone, Debug)]
-pub struct RowGate {
+pub struct RowLimiter {
     requests: TokenBucket,
     tokens: TokenBucket,
     running: u32,
@@ -115,7 +115,7 @@
     }
 }
 
-impl RowGate {
+impl RowLimiter {
     /// Starts with full buckets.
     pub fn new(share: &RowShare, now_ms: u64) -> Self {
         Self {
