--- a/src/app/admission_control.rs
+++ b/src/app/admission_control.rs
@@ -124,8 +124,8 @@
                 .fair
                 .join(&c.account, c.weight, capacity, stay_ms, now, deadline_ms);
             match turn {
-                Ok(Turn::Now) => return Ok(()),
-                Ok(Turn::Wait(ticket)) => {
+                Ok(JoinOutcome::Now) => return Ok(()),
+                Ok(JoinOutcome::Wait(ticket)) => {
                     let (tx, rx) = oneshot::channel();
                     q.waiters.insert(ticket, tx);
                     (ticket, rx)
--- a/src/policy/admission/admission_queue.rs
+++ b/src/policy/admission/admission_queue.rs
@@ -197,7 +197,7 @@
 
 /// What a request gets when it joins the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum JoinOutcome {
     /// It goes at once.
     Now,
     /// It waits under this ticket.
@@ -221,11 +221,11 @@
         stay_ms: f64,
         now_ms: u64,
         deadline_ms: u64,
-    ) -> Result<Turn, Rejection> {
+    ) -> Result<JoinOutcome, Rejection> {
         let weight = f64::from(weight.max(1));
         if self.running < capacity && self.waiting() == 0 {
             self.start(account, weight);
-            return Ok(Turn::Now);
+            return Ok(JoinOutcome::Now);
         }
         let wait_ms = self.expected_wait_ms(account, weight, capacity, stay_ms);
         // A turn that leaves no time to run is worth nothing.
@@ -242,7 +242,7 @@
             ticket,
             deadline_ms,
         });
-        Ok(Turn::Wait(ticket))
+        Ok(JoinOutcome::Wait(ticket))
     }
 
     /// Ends a running request.
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -50,7 +50,7 @@
     let mut owner = std::collections::BTreeMap::new();
     for _ in 0..n * 2 {
         for (name, weight) in [(&a, weight_a), (&b, weight_b)] {
-            if let Ok(Turn::Wait(t)) = q.join(name, weight, 1, 1.0, 0, u64::MAX / 2) {
+            if let Ok(JoinOutcome::Wait(t)) = q.join(name, weight, 1, 1.0, 0, u64::MAX / 2) {
                 owner.insert(t, name.clone());
             }
         }
@@ -83,7 +83,8 @@
     for _ in 0..1_000 {
         let _ = q.join(&account("flood"), 1, 4, 100.0, 0, u64::MAX / 2);
     }
-    let Ok(Turn::Wait(ticket)) = q.join(&account("small"), 1, 4, 100.0, 0, u64::MAX / 2) else {
+    let Ok(JoinOutcome::Wait(ticket)) = q.join(&account("small"), 1, 4, 100.0, 0, u64::MAX / 2)
+    else {
         panic!("expected a wait");
     };
     q.end();
@@ -127,7 +128,7 @@
         let _ = q.join(&a, 1, 1, 1_000.0, 0, u64::MAX / 2);
     }
     assert!(q.join(&a, 1, 1, 1_000.0, 0, 5_500).is_err());
-    let Ok(Turn::Wait(ticket)) = q.join(&a, 1, 1, 1_000.0, 0, 6_500) else {
+    let Ok(JoinOutcome::Wait(ticket)) = q.join(&a, 1, 1, 1_000.0, 0, 6_500) else {
         panic!("expected a wait");
     };
     // The turns before it took longer than thought: it is dropped.
