--- a/src/policy/admission/admission_queue.rs
+++ b/src/policy/admission/admission_queue.rs
@@ -188,7 +188,7 @@
 
 /// What a look at the queue gave.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Turns {
+pub struct QueueOutcome {
     /// Tickets that go now.
     pub go: Vec<u64>,
     /// Tickets that were taken out: they can't end in time.
@@ -260,8 +260,8 @@
 
     /// Returns the tickets that may go now, and those that are over: their
     /// deadline comes before a stay would end.
-    pub fn next(&mut self, capacity: u32, stay_ms: f64, now_ms: u64) -> Turns {
-        let mut turns = Turns {
+    pub fn next(&mut self, capacity: u32, stay_ms: f64, now_ms: u64) -> QueueOutcome {
+        let mut turns = QueueOutcome {
             over: self.take_over_tickets(now_ms + stay_ms as u64),
             go: Vec::new(),
         };
