--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -136,7 +136,7 @@
     pub(super) engines: Mutex<HashMap<ServiceName, EngineModel>>,
     pub(super) rng: Mutex<ChaCha8Rng>,
     /// When the planned stop began, by the steady clock, and its times.
-    pub(super) stop: OnceLock<(u64, StopTimes)>,
+    pub(super) stop: OnceLock<(u64, StopSchedule)>,
     started: BootInstant,
 }
 
--- a/src/gateway/phase_state.rs
+++ b/src/gateway/phase_state.rs
@@ -1,4 +1,4 @@
-use {super::*, crate::policy::StopTimes};
+use {super::*, crate::policy::StopSchedule};
 
 /// Whether this daemon takes clients: from when it knows enough, until it stops.
 impl Gateway {
@@ -21,9 +21,9 @@
     }
 
     /// Begins a planned stop; returns its times.
-    pub fn begin_stop(&self) -> StopTimes {
+    pub fn begin_stop(&self) -> StopSchedule {
         let stop_ms = (self.settings.bounds.stop_s * 1_000.0) as u64;
-        let began = (self.steady_ms(), StopTimes::new(stop_ms));
+        let began = (self.steady_ms(), StopSchedule::new(stop_ms));
         let (_, times) = self.stop.get_or_init(|| began);
         self.phase.send_replace(GatewayPhase::Stopping);
         self.announce_early.notify_one();
--- a/src/policy/clients/stop_times.rs
+++ b/src/policy/clients/stop_times.rs
@@ -7,14 +7,14 @@
 
 /// The times of a planned stop, in milliseconds since its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopTimes {
+pub struct StopSchedule {
     /// Until when all requests are taken.
     pub notice_ms: u64,
     /// When the process ends, whatever is in flight.
     pub end_ms: u64,
 }
 
-impl StopTimes {
+impl StopSchedule {
     /// Plans a stop that may take `stop_ms`.
     pub fn new(stop_ms: u64) -> Self {
         let end_ms = (stop_ms as f64 * USED_PART) as u64;
--- a/tests/decisions/clients.rs
+++ b/tests/decisions/clients.rs
@@ -1,6 +1,6 @@
 //! When connections of clients are closed, and what a stopping daemon takes.
 
-use saddlepulley::policy::{ClientActivity, CloseReason, CloseStep, StopTimes};
+use saddlepulley::policy::{ClientActivity, CloseReason, CloseStep, StopSchedule};
 
 const STOP: CloseReason = CloseReason::Stop;
 const IDLE: CloseReason = CloseReason::Idle;
@@ -97,12 +97,12 @@
 
 #[test]
 fn after_its_notice_a_stop_takes_only_what_it_can_finish() {
-    let times = StopTimes::new(8_000);
+    let times = StopSchedule::new(8_000);
     assert!(times.takes(0, 60_000));
     assert!(times.takes(times.notice_ms - 1, 60_000));
     assert!(times.takes(times.notice_ms, times.end_ms - times.notice_ms));
     assert!(!times.takes(times.notice_ms, times.end_ms - times.notice_ms + 1));
     // A short stop has a short notice.
-    let short = StopTimes::new(1_000);
+    let short = StopSchedule::new(1_000);
     assert!(short.notice_ms * 2 <= short.end_ms && short.end_ms < 1_000);
 }
