--- a/src/policy/clients/mod.rs
+++ b/src/policy/clients/mod.rs
@@ -2,6 +2,6 @@
 //! takes.
 
 mod activity;
-mod stop_times;
+mod stop_schedule;
 
-pub use {activity::*, stop_times::*};
+pub use {activity::*, stop_schedule::*};
