--- a/src/gateway/phase_state.rs
+++ b/src/gateway/phase_state.rs
@@ -35,7 +35,9 @@
     pub fn takes_request(&self, wait_ms: u64) -> bool {
         let now_ms = self.steady_ms();
         let stop = self.stop.get();
-        stop.is_none_or(|(began_ms, times)| times.takes(now_ms.saturating_sub(*began_ms), wait_ms))
+        stop.is_none_or(|(began_ms, times)| {
+            times.accepts(now_ms.saturating_sub(*began_ms), wait_ms)
+        })
     }
 
     /// Returns whether this daemon will stop.
--- a/src/policy/clients/stop_schedule.rs
+++ b/src/policy/clients/stop_schedule.rs
@@ -27,7 +27,7 @@
     /// Returns whether a request that comes `since_ms` after the start is taken,
     /// whose client waits for `wait_ms`: once the notice is over, only what can't
     /// outlast the process.
-    pub fn takes(&self, since_ms: u64, wait_ms: u64) -> bool {
+    pub fn accepts(&self, since_ms: u64, wait_ms: u64) -> bool {
         since_ms < self.notice_ms || since_ms + wait_ms <= self.end_ms
     }
 }
--- a/tests/decisions/clients.rs
+++ b/tests/decisions/clients.rs
@@ -98,10 +98,10 @@
 #[test]
 fn after_its_notice_a_stop_takes_only_what_it_can_finish() {
     let times = StopSchedule::new(8_000);
-    assert!(times.takes(0, 60_000));
-    assert!(times.takes(times.notice_ms - 1, 60_000));
-    assert!(times.takes(times.notice_ms, times.end_ms - times.notice_ms));
-    assert!(!times.takes(times.notice_ms, times.end_ms - times.notice_ms + 1));
+    assert!(times.accepts(0, 60_000));
+    assert!(times.accepts(times.notice_ms - 1, 60_000));
+    assert!(times.accepts(times.notice_ms, times.end_ms - times.notice_ms));
+    assert!(!times.accepts(times.notice_ms, times.end_ms - times.notice_ms + 1));
     // A short stop has a short notice.
     let short = StopSchedule::new(1_000);
     assert!(short.notice_ms * 2 <= short.end_ms && short.end_ms < 1_000);
