--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -78,7 +78,7 @@
             }
             self.scaler.look(&self.gateway);
             let stopping = *self.gateway.phase.borrow() != GatewayPhase::Ready;
-            let is_fit = self.fitness(stopping).keeps();
+            let is_fit = self.fitness(stopping).may_hold();
             let other_holds = self.gateway.peers.lock().has_duty_holder();
             if !holds && other_holds && !self.gateway.watches_duties() {
                 // Enough others count from the last renewal when the lease ends.
--- a/src/policy/duties/duty_fitness.rs
+++ b/src/policy/duties/duty_fitness.rs
@@ -13,7 +13,7 @@
     /// Returns whether a holder goes on. One that is no hub steps in while the source
     /// turns the hubs away, but knows the demand of its own failure domain only, and
     /// orders too few upstreams: once others read the source again, it is theirs.
-    pub fn keeps(self) -> bool {
+    pub fn may_hold(self) -> bool {
         !self.is_stopping && (self.is_hub || self.reads_source)
     }
 }
--- a/tests/decisions/duties.rs
+++ b/tests/decisions/duties.rs
@@ -197,15 +197,15 @@
         is_hub,
         reads_source,
     };
-    assert!(fitness(false, true, true).keeps());
-    assert!(fitness(false, true, false).keeps(), "a hub hears of all");
+    assert!(fitness(false, true, true).may_hold());
+    assert!(fitness(false, true, false).may_hold(), "a hub hears of all");
     assert!(
-        fitness(false, false, true).keeps(),
+        fitness(false, false, true).may_hold(),
         "nobody else may reach it"
     );
     assert!(
-        !fitness(false, false, false).keeps(),
+        !fitness(false, false, false).may_hold(),
         "others read it again"
     );
-    assert!(!fitness(true, true, true).keeps(), "it stops");
+    assert!(!fitness(true, true, true).may_hold(), "it stops");
 }
