--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -170,7 +170,7 @@
     }
 
     async fn take_lease(&mut self, lease: LeaseRecord) -> Result<bool, BackendError> {
-        self.log.sending(&lease, self.gateway.steady_ms());
+        self.log.record_sent(&lease, self.gateway.steady_ms());
         let taken = self.append(DutyRecord::Lease(lease)).await?;
         Ok(taken && self.log.fence_for(0, self.gateway.steady_ms()).is_some())
     }
@@ -182,7 +182,7 @@
         let Some(lease) = self.log.release(now_ms) else {
             return;
         };
-        self.log.sending(&lease, now_ms);
+        self.log.record_sent(&lease, now_ms);
         if let Err(e) = self.append(DutyRecord::Lease(lease)).await {
             // It runs out by itself.
             log::info!(target: "duties", "the lease was not given back. error=\"{e}\"");
--- a/src/policy/duties/duty_log.rs
+++ b/src/policy/duties/duty_log.rs
@@ -117,7 +117,7 @@
     }
 
     /// Notes that a lease record is sent.
-    pub fn sending(&mut self, lease: &LeaseRecord, now_ms: u64) {
+    pub fn record_sent(&mut self, lease: &LeaseRecord, now_ms: u64) {
         let again = self
             .sent
             .is_some_and(|(follows, _)| follows == lease.follows);
--- a/tests/decisions/duties.rs
+++ b/tests/decisions/duties.rs
@@ -27,7 +27,7 @@
     let LeaseStep::Append(lease) = log.step(now_ms) else {
         return false;
     };
-    log.sending(&lease, now_ms);
+    log.record_sent(&lease, now_ms);
     records.push(DutyRecord::Lease(lease));
     read(log, records, now_ms);
     true
@@ -65,7 +65,7 @@
     assert!(!take(&mut b, &mut records, 1_000));
     assert_eq!(b.release(1_000), None, "it is not b's");
     let release = a.release(1_000).expect("a holds it");
-    a.sending(&release, 1_000);
+    a.record_sent(&release, 1_000);
     records.push(DutyRecord::Lease(release));
     read(&mut a, &records, 1_010);
     assert_eq!(a.fence_for(0, 1_010), None, "a acts no more");
@@ -108,10 +108,10 @@
     let LeaseStep::Append(lease) = a.step(0) else {
         panic!("the lease is free");
     };
-    a.sending(&lease, 0);
+    a.record_sent(&lease, 0);
     // The answer is lost, the record is there; it is sent again and conflicts.
     records.push(DutyRecord::Lease(lease.clone()));
-    a.sending(&lease, 2_500);
+    a.record_sent(&lease, 2_500);
     read(&mut a, &records, 2_600);
     assert!(a.fence_for(0, 2_900).is_some());
     assert!(a.fence_for(0, 3_100).is_none());
