--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -280,7 +280,7 @@
             self.note_usage(place, usage);
         }
         let first = self.splice.committed() == 0;
-        let tokens = self.splice.take(Piece {
+        let tokens = self.splice.take(AnswerChunk {
             attempt: frame.attempt,
             offset: frame.offset,
             tokens: frame.tokens,
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -249,7 +249,7 @@
     };
     let end = BootInstant::now() + left;
     while let Ok(Some(Ok(frame))) = timeout_at(end, frames.recv()).await {
-        let tokens = splice.take(Piece {
+        let tokens = splice.take(AnswerChunk {
             attempt: frame.attempt,
             offset: frame.offset,
             tokens: frame.tokens,
--- a/src/policy/copies/splice.rs
+++ b/src/policy/copies/splice.rs
@@ -5,7 +5,7 @@
 
 /// One piece of an answer, as an upstream sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Piece {
+pub struct AnswerChunk {
     /// The attempt that it belongs to.
     pub attempt: u32,
     /// The offset of its first token in the answer.
@@ -60,7 +60,7 @@
     }
 
     /// Takes a piece and returns the tokens that it lets be committed.
-    pub fn take(&mut self, piece: Piece) -> Vec<Arc<str>> {
+    pub fn take(&mut self, piece: AnswerChunk) -> Vec<Arc<str>> {
         if piece.attempt != self.attempt {
             return Vec::new();
         }
--- a/tests/decisions/splice.rs
+++ b/tests/decisions/splice.rs
@@ -6,8 +6,8 @@
     Arc::from(format!("{attempt}:{i} "))
 }
 
-fn piece(attempt: u32, offset: usize, len: usize, total: Option<usize>) -> Piece {
-    Piece {
+fn piece(attempt: u32, offset: usize, len: usize, total: Option<usize>) -> AnswerChunk {
+    AnswerChunk {
         attempt,
         offset,
         tokens: (offset..offset + len).map(|i| token(attempt, i)).collect(),
@@ -30,7 +30,7 @@
         self.known.clear();
     }
 
-    fn take(&mut self, p: &Piece) {
+    fn take(&mut self, p: &AnswerChunk) {
         if p.attempt != self.attempt {
             return;
         }
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     NextAttempt,
-    Piece {
+    AnswerChunk {
         old: bool,
         offset: usize,
         len: usize,
@@ -55,7 +55,7 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let piece = (any::<bool>(), 0..40usize, 0..12usize)
-        .prop_map(|(old, offset, len)| Step::Piece { old, offset, len });
+        .prop_map(|(old, offset, len)| Step::AnswerChunk { old, offset, len });
     prop::collection::vec(
         prop_oneof![1 => Just(Step::NextAttempt), 20 => piece],
         1..120,
@@ -76,7 +76,7 @@
                     splice.next_attempt();
                     naive.next_attempt();
                 }
-                Step::Piece { old, offset, len } => {
+                Step::AnswerChunk { old, offset, len } => {
                     let attempt = naive.attempt - u32::from(old);
                     let p = piece(attempt, offset, len, None);
                     naive.take(&p);
