--- a/src/app/claim_client.rs
+++ b/src/app/claim_client.rs
@@ -43,7 +43,7 @@
     /// This box holds the right.
     Holds(Claimant),
     /// Another claim holds it.
-    Lost(Claimer),
+    Lost(BoxIncarnation),
     /// This box gave up; the request did not run.
     GivenUp,
 }
@@ -80,7 +80,7 @@
     }
 
     /// Takes over a right that was handed to this life of this box.
-    pub fn take(&self, hand_over: &HandOver, me: &Claimer) -> Option<Claimant> {
+    pub fn take(&self, hand_over: &HandOver, me: &BoxIncarnation) -> Option<Claimant> {
         Claimant::take(hand_over, me, &mut self.taken.lock())
     }
 
--- a/src/app/hand_over.rs
+++ b/src/app/hand_over.rs
@@ -90,7 +90,7 @@
     let epoch = snapshot.epoch;
     let take_over = TakeOver {
         snapshot,
-        taker: Claimer {
+        taker: BoxIncarnation {
             id: taker.clone(),
             incarnation,
         },
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -168,7 +168,12 @@
 }
 
 /// The request belongs to the box whose claim was first: its answer is read there.
-async fn give_to_claimer(world: &Arc<World>, cell: &Arc<RequestCell>, key: &ClaimKey, by: Claimer) {
+async fn give_to_claimer(
+    world: &Arc<World>,
+    cell: &Arc<RequestCell>,
+    key: &ClaimKey,
+    by: BoxIncarnation,
+) {
     let failure = if by.id == world.me.id {
         // An earlier life of this box claimed it; nobody can tell how far it came.
         Failure::new(Outcome::MayHaveRun, "the box that had the right is gone", 0)
@@ -186,7 +191,7 @@
     );
 }
 
-async fn given_up_elsewhere(world: &World, key: &ClaimKey, by: &Claimer) -> bool {
+async fn given_up_elsewhere(world: &World, key: &ClaimKey, by: &BoxIncarnation) -> bool {
     let ask = crate::peer::PeerCall::AskClaim(key.clone());
     let reply = world
         .call_box(&by.id, &ask, Duration::from_millis(800))
--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -50,7 +50,7 @@
     /// The settings.
     pub settings: Settings,
     /// This box and its life.
-    pub me: Claimer,
+    pub me: BoxIncarnation,
     /// The table in force.
     pub table: RwLock<Arc<Table>>,
     /// The table's last records, for peers.
@@ -96,7 +96,7 @@
         tls: Option<Arc<PeerTls>>,
         incarnation: u64,
     ) -> Self {
-        let me = Claimer {
+        let me = BoxIncarnation {
             id: settings.this_box.id.clone(),
             incarnation,
         };
--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -7,7 +7,8 @@
         gateway::{Gateway, GatewayPhase},
         names::{BoxId, now_ms},
         policy::{
-            Claimer, DutyFitness, DutyLog, DutyRecord, LeaseRecord, LeaseStep, UsageReadiness,
+            BoxIncarnation, DutyFitness, DutyLog, DutyRecord, LeaseRecord, LeaseStep,
+            UsageReadiness,
         },
     },
     bytes::Bytes,
@@ -49,7 +50,7 @@
         api: Arc<dyn DutyApi>,
         board: Arc<dyn StatusBoard>,
     ) -> Self {
-        let me = Claimer {
+        let me = BoxIncarnation {
             id: BoxId::from(gateway.settings.node.name.as_str()),
             incarnation: gateway.incarnation,
         };
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -103,7 +103,7 @@
     /// The request.
     pub snapshot: Snapshot,
     /// The life of the box that shall own it.
-    pub taker: Claimer,
+    pub taker: BoxIncarnation,
     /// The right to run it, if it is not repeatable and was claimed.
     pub right: Option<HandOver>,
 }
--- a/src/policy/duties/claim.rs
+++ b/src/policy/duties/claim.rs
@@ -15,7 +15,7 @@
 
 /// Who claims.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Claimer {
+pub struct BoxIncarnation {
     /// The box.
     pub id: BoxId,
     /// The life of the box; a later one knows nothing of an earlier one's claims.
@@ -33,7 +33,7 @@
         /// Fresh for every claim.
         nonce: Uuid,
         /// Who asks.
-        by: Claimer,
+        by: BoxIncarnation,
     },
     /// Gives up a right that was not used and can't be any more.
     Release {
--- a/src/policy/duties/claim_fold.rs
+++ b/src/policy/duties/claim_fold.rs
@@ -19,7 +19,7 @@
     /// The claim.
     pub nonce: Uuid,
     /// Who holds it.
-    pub by: Claimer,
+    pub by: BoxIncarnation,
     /// Its offset in the log, plus one.
     pub fence: u64,
 }
@@ -38,7 +38,7 @@
         self.dead.contains(&nonce)
     }
 
-    fn fold_claim(&mut self, offset: u64, nonce: Uuid, by: &Claimer) {
+    fn fold_claim(&mut self, offset: u64, nonce: Uuid, by: &BoxIncarnation) {
         if self.dead.contains(&nonce) {
             return;
         }
--- a/src/policy/duties/claimant.rs
+++ b/src/policy/duties/claimant.rs
@@ -10,7 +10,7 @@
     /// The box used the right.
     Dispatched,
     /// Another claim holds the right.
-    Lost(Claimer),
+    Lost(BoxIncarnation),
     /// The box said `not-run` and stays by it.
     GivenUp,
     /// The right went to another box.
@@ -42,7 +42,7 @@
 
 impl Claimant {
     /// Starts a claim and returns the record to append.
-    pub fn start(key: ClaimKey, nonce: Uuid, by: Claimer) -> (Self, ClaimRecord) {
+    pub fn start(key: ClaimKey, nonce: Uuid, by: BoxIncarnation) -> (Self, ClaimRecord) {
         let record = ClaimRecord::Claim {
             key: key.clone(),
             nonce,
@@ -60,7 +60,7 @@
     ///
     /// Returns none if the hand-over named another life of this box, or if this
     /// box took the same right before.
-    pub fn take(hand_over: &HandOver, me: &Claimer, taken: &mut Vec<Uuid>) -> Option<Self> {
+    pub fn take(hand_over: &HandOver, me: &BoxIncarnation, taken: &mut Vec<Uuid>) -> Option<Self> {
         let right = &hand_over.right;
         if hand_over.taker != *me || taken.contains(&right.nonce) {
             return None;
@@ -138,7 +138,7 @@
     }
 
     /// Gives the right to another box; from then on this box can't use it.
-    pub fn hand_over(&mut self, taker: Claimer) -> Option<HandOver> {
+    pub fn hand_over(&mut self, taker: BoxIncarnation) -> Option<HandOver> {
         let ClaimantState::Holds(right) = &self.state else {
             return None;
         };
@@ -166,5 +166,5 @@
     /// The right.
     pub right: Right,
     /// Who may use it; redelivered to a later life of the box it is void.
-    pub taker: Claimer,
+    pub taker: BoxIncarnation,
 }
--- a/src/policy/duties/duty_log.rs
+++ b/src/policy/duties/duty_log.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::{AccountCounts, Claimer, LeaseRecord, LeaseStep, LeaseView},
+    crate::policy::{AccountCounts, BoxIncarnation, LeaseRecord, LeaseStep, LeaseView},
     serde::{Deserialize, Serialize},
     std::collections::BTreeMap,
 };
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UsageRecord {
     /// Who will send it.
-    pub by: Claimer,
+    pub by: BoxIncarnation,
     /// The window.
     pub window: u64,
     /// The counts.
@@ -32,7 +32,7 @@
 /// steady clock.
 #[derive(Clone, Debug)]
 pub struct DutyLog {
-    me: Claimer,
+    me: BoxIncarnation,
     term_ms: u64,
     view: LeaseView,
     reports: BTreeMap<u64, AccountCounts>,
@@ -44,7 +44,7 @@
 
 impl DutyLog {
     /// Starts with nothing read.
-    pub fn new(me: Claimer, term_ms: u64) -> Self {
+    pub fn new(me: BoxIncarnation, term_ms: u64) -> Self {
         Self {
             me,
             term_ms,
--- a/src/policy/duties/lease.rs
+++ b/src/policy/duties/lease.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::Claimer,
+    crate::policy::BoxIncarnation,
     serde::{Deserialize, Serialize},
 };
 
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
     /// Who takes the lease.
-    pub by: Claimer,
+    pub by: BoxIncarnation,
     /// The offset, plus one, of the lease that this one follows; 0 for none.
     pub follows: u64,
     /// How long the lease lasts, in milliseconds.
@@ -90,7 +90,7 @@
         &mut self,
         offset: u64,
         record: LeaseRecord,
-        me: &Claimer,
+        me: &BoxIncarnation,
         appended_at_ms: Option<u64>,
         now_ms: u64,
         pause_allowance_ms: u64,
@@ -120,7 +120,7 @@
     }
 
     /// Decides what this box may do at `now_ms`, by its monotonic clock.
-    pub fn step(&self, me: &Claimer, term_ms: u64, now_ms: u64) -> LeaseStep {
+    pub fn step(&self, me: &BoxIncarnation, term_ms: u64, now_ms: u64) -> LeaseStep {
         let record = LeaseRecord {
             by: me.clone(),
             follows: self.fold.fence(),
--- a/tests/decisions/claim_exploration.rs
+++ b/tests/decisions/claim_exploration.rs
@@ -67,8 +67,8 @@
     }
 }
 
-fn claimer(b: usize, incarnation: u64) -> Claimer {
-    Claimer {
+fn claimer(b: usize, incarnation: u64) -> BoxIncarnation {
+    BoxIncarnation {
         id: BoxId::from(["a", "b"][b]),
         incarnation,
     }
--- a/tests/decisions/duties.rs
+++ b/tests/decisions/duties.rs
@@ -10,8 +10,8 @@
 
 const TERM_MS: u64 = 3_000;
 
-fn claimer(name: &str) -> Claimer {
-    Claimer {
+fn claimer(name: &str) -> BoxIncarnation {
+    BoxIncarnation {
         id: BoxId::from(name),
         incarnation: 1,
     }
--- a/tests/decisions/lease.rs
+++ b/tests/decisions/lease.rs
@@ -10,7 +10,7 @@
 const PAUSE_MS: u64 = 500;
 
 struct Member {
-    me: Claimer,
+    me: BoxIncarnation,
     view: LeaseView,
     read: usize,
     sent: BTreeMap<u64, u64>,
@@ -19,7 +19,7 @@
 impl Member {
     fn new(name: &str) -> Self {
         Self {
-            me: Claimer {
+            me: BoxIncarnation {
                 id: BoxId::from(name),
                 incarnation: 1,
             },
