--- a/src/app/locate.rs
+++ b/src/app/locate.rs
@@ -30,7 +30,7 @@
         id: world.me.id.clone(),
         failure_domain: world.my_domain().clone(),
     });
-    let asked = rank_locate(id, &candidates, ASKED);
+    let asked = rank_locate_targets(id, &candidates, ASKED);
     let answers = join_all(asked.iter().map(|c| ask(world, &c.id, id))).await;
     let unsure = answers.iter().any(Result::is_err);
     // Of two owners of one epoch the other one counts: it was there first.
--- a/src/policy/copies/holder.rs
+++ b/src/policy/copies/holder.rs
@@ -32,7 +32,7 @@
 
 /// Returns the boxes to ask for a request, `per_domain` of each failure domain
 /// in rendezvous order, best first: a copy's holder stands among them.
-pub fn rank_locate(
+pub fn rank_locate_targets(
     request: RequestId,
     candidates: &[HolderCandidate],
     most: usize,
