--- a/src/app/load_watch.rs
+++ b/src/app/load_watch.rs
@@ -34,7 +34,7 @@
         .iter()
         .filter(|b| b.kind == BoxKind::Engine && b.state == BoxState::Live)
         .filter(|b| b.failure_domain == *world.my_domain())
-        .filter(|b| reader_of(&b.id, &daemons).is_none_or(|id| id == world.me.id))
+        .filter(|b| load_reader(&b.id, &daemons).is_none_or(|id| id == world.me.id))
         .map(|b| (b.id.clone(), b.address))
         .collect()
 }
--- a/src/policy/copies/holder.rs
+++ b/src/policy/copies/holder.rs
@@ -56,7 +56,7 @@
 }
 
 /// Returns the box that reads an upstream's load for its failure domain.
-pub fn reader_of(upstream: &BoxId, daemons: &[HolderCandidate]) -> Option<BoxId> {
+pub fn load_reader(upstream: &BoxId, daemons: &[HolderCandidate]) -> Option<BoxId> {
     let score = |c: &&HolderCandidate| {
         let mut hash = Sha256::new();
         hash.update(upstream.as_str());
