--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -34,7 +34,7 @@
 
 #[derive(Debug, Default)]
 struct HolderView {
-    heard: BTreeMap<u64, BTreeMap<String, u32>>,
+    received: BTreeMap<u64, BTreeMap<String, u32>>,
     acknowledged_before: u64,
     /// Parts that were sent, by number.
     sent: HashMap<u64, UsagePart>,
@@ -85,11 +85,11 @@
     }
 
     /// Takes in that a holder has heard a part.
-    pub fn apply(&mut self, from: SocketAddr, heard: UsageAck) {
-        let Some(view) = self.holders.get_mut(&(from, heard.holder_incarnation)) else {
+    pub fn apply(&mut self, from: SocketAddr, received: UsageAck) {
+        let Some(view) = self.holders.get_mut(&(from, received.holder_incarnation)) else {
             return;
         };
-        let Some(part) = view.sent.remove(&heard.number) else {
+        let Some(part) = view.sent.remove(&received.number) else {
             return;
         };
         view.acknowledged_before = view.acknowledged_before.max(part.complete_before);
@@ -98,18 +98,18 @@
             // would be told for ever.
             return;
         }
-        let known = view.heard.entry(part.window).or_default();
+        let known = view.received.entry(part.window).or_default();
         known.extend(part.counts);
-        while view.heard.len() > TOLD_WINDOWS {
-            view.heard.pop_first();
+        while view.received.len() > TOLD_WINDOWS {
+            view.received.pop_first();
         }
     }
 }
 
 impl HolderView {
     fn lacking(&self, window: u64, counts: &AccountCounts) -> AnnouncedCounts {
-        let heard = self.heard.get(&window);
-        let known = |name: &str| heard.and_then(|h| h.get(name)).copied().unwrap_or(0);
+        let received = self.received.get(&window);
+        let known = |name: &str| received.and_then(|h| h.get(name)).copied().unwrap_or(0);
         let told = counts.iter().map(|(name, n)| (name.to_string(), *n as u32));
         told.filter(|(name, n)| *n > known(name)).collect()
     }
@@ -140,14 +140,14 @@
     let told = async {
         for round in 0.. {
             let listeners = duty_listeners(gateway);
-            let mut heard = 0;
+            let mut received = 0;
             for listener in &listeners {
                 let own = announce_own(gateway, listener).await;
                 let others = pass_on(gateway, listener).await;
-                heard += usize::from(own && others);
+                received += usize::from(own && others);
             }
             let is_patient = round < ROUNDS_FOR_ALL;
-            if heard > 0 && (heard == listeners.len() || !is_patient) {
+            if received > 0 && (received == listeners.len() || !is_patient) {
                 return;
             }
             tokio::time::sleep(LAST_USAGE_EVERY).await;
@@ -213,9 +213,9 @@
     let due_windows = (duties.usage_delay_s / duties.usage_window_s.max(1)) + 1;
     let from_window = gateway.window_of(now_ms()).saturating_sub(due_windows);
     let before_ms = listener.since_ms + USAGE_EVERY.as_millis() as u64;
-    let heard = gateway.usage.lock().heard(from_window, before_ms);
+    let received = gateway.usage.lock().received(from_window, before_ms);
     let mut is_heard = true;
-    for counts in &heard {
+    for counts in &received {
         // Whether it is all that they counted, only they can say.
         is_heard &= tell(gateway, listener, counts, NOTHING_WHOLE).await;
     }
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -54,8 +54,8 @@
 
     /// Returns what was heard of other daemons' counts, from a window on, of lives
     /// last heard before `before_ms`.
-    pub fn heard(&self, from_window: u64, before_ms: u64) -> Vec<ReceivedUsage> {
-        let mut heard = Vec::new();
+    pub fn received(&self, from_window: u64, before_ms: u64) -> Vec<ReceivedUsage> {
+        let mut received = Vec::new();
         for ((name, incarnation), windows) in &self.others {
             let last_seen_ms = self.last_seen_ms.get(&(name.clone(), *incarnation));
             if last_seen_ms.is_some_and(|at_ms| *at_ms >= before_ms) {
@@ -64,14 +64,14 @@
             let late = windows.range(from_window..);
             let late: Vec<_> = late.map(|(w, counts)| (*w, counts.clone())).collect();
             if !late.is_empty() {
-                heard.push(ReceivedUsage {
+                received.push(ReceivedUsage {
                     name: name.clone(),
                     incarnation: *incarnation,
                     windows: late,
                 });
             }
         }
-        heard
+        received
     }
 
     /// Takes in what one life of another daemon has counted.
