--- a/src/policy/admission/admission_queue.rs
+++ b/src/policy/admission/admission_queue.rs
@@ -3,35 +3,38 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// Seconds of its rate that a bucket saves up.
+/// Burst size of a token bucket, in seconds of its rate.
 const BURST_S: f64 = 1.0;
 
-/// A token bucket whose rate can change while it runs.
+/// A token bucket whose rate can change between calls.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
+    /// Tokens in the bucket; below zero after an amount larger than the burst.
     level: f64,
-    at_ms: u64,
+    /// Time of the last refill, in milliseconds.
+    refilled_ms: u64,
 }
 
 impl TokenBucket {
-    /// Starts full.
+    /// Creates a full bucket.
     pub fn full(rate: f64, now_ms: u64) -> Self {
         Self {
             level: burst(rate),
-            at_ms: now_ms,
+            refilled_ms: now_ms,
         }
     }
 
-    /// Takes `amount` if it is there; else says after how many milliseconds it will be.
+    /// Takes `amount` tokens if they are available.
     ///
     /// # Errors
     ///
-    /// Returns the wait in milliseconds.
+    /// Returns the time until they are available, in milliseconds.
     pub fn take(&mut self, amount: f64, rate: f64, now_ms: u64) -> Result<(), u64> {
-        let elapsed_s = now_ms.saturating_sub(self.at_ms) as f64 / 1_000.0;
+        let elapsed_s = now_ms.saturating_sub(self.refilled_ms) as f64 / 1_000.0;
         self.level = (self.level + elapsed_s * rate).min(burst(rate));
-        self.at_ms = self.at_ms.max(now_ms);
-        // A single request may be larger than the burst: it goes when the bucket is full.
+        self.refilled_ms = self.refilled_ms.max(now_ms);
+        // An amount larger than the burst is granted once the bucket is full; otherwise
+        // such a request would never be admitted.
         let need = amount.min(burst(rate));
         if self.level >= need {
             self.level -= amount;
@@ -43,9 +46,10 @@
         Err(((need - self.level) / rate * 1_000.0).ceil() as u64)
     }
 
-    /// Corrects an estimate once the true amount is known.
-    pub fn correct(&mut self, more: f64) {
-        self.level -= more;
+    /// Charges the difference to an estimate once the true amount is known; a
+    /// negative `extra` gives tokens back.
+    pub fn correct(&mut self, extra: f64) {
+        self.level -= extra;
     }
 }
 
@@ -56,25 +60,25 @@
 /// Why a request was not admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The row's rate is used up.
+    /// The row's request rate or token rate is used up.
     Rate {
-        /// When to come back, in milliseconds.
+        /// Time after which a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The row's concurrency is used up.
+    /// The row's limit of concurrent requests is reached.
     Concurrency {
-        /// When to come back, in milliseconds.
+        /// Time after which a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The wait for a turn would outlast the deadline.
+    /// The request can't be finished before its deadline.
     Deadline {
-        /// When to come back, in milliseconds.
+        /// Time after which a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
 impl Rejection {
-    /// Returns when to come back, in milliseconds.
+    /// Returns the time after which a retry may succeed, in milliseconds.
     pub fn retry_after_ms(&self) -> u64 {
         match self {
             Self::Rate { retry_after_ms }
@@ -84,7 +88,8 @@
     }
 }
 
-/// A row's limits on one daemon: the row's, divided by the domain's live daemons.
+/// Enforces the limits of a table row on one daemon, which gets the row's limits
+/// divided by the live daemons of the failure domain.
 #[derive(Clone, Debug)]
 pub struct RowLimiter {
     requests: TokenBucket,
@@ -92,14 +97,14 @@
     running: u32,
 }
 
-/// The limits that a row gives to one daemon.
+/// One daemon's share of a row's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RowShare {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: u32,
-    /// Tokens a second; 0 for no limit.
+    /// Tokens per second; 0 for no limit.
     pub tokens_per_s: f64,
 }
 
@@ -125,7 +130,7 @@
         }
     }
 
-    /// Admits a request of `tokens` prompt and expected answer tokens.
+    /// Admits a request whose prompt and expected answer have `tokens` tokens.
     ///
     /// # Errors
     ///
@@ -149,70 +154,74 @@
         Ok(())
     }
 
-    /// Ends an admitted request.
+    /// Records the end of an admitted request.
     pub fn end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Returns the requests running.
+    /// Returns the number of admitted requests that have not ended.
     pub fn running(&self) -> u32 {
         self.running
     }
 }
 
-/// A request that waits for its turn.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Waiting {
+struct QueuedRequest {
     ticket: u64,
     deadline_ms: u64,
 }
 
 /// Weighted fair sharing of a service's capacity between client accounts.
 ///
-/// Start-time fair queueing: an account's virtual time moves on by cost over
-/// weight with each request, and the account that is furthest behind goes next.
+/// Start-time fair queueing: each request advances its account's virtual time by
+/// cost divided by weight (every request costs 1), and the account with the smallest
+/// virtual start time is served next.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
     running: u32,
+    /// Virtual start time of the request that was started last.
     virtual_time: f64,
-    accounts: BTreeMap<ClientAccount, Share>,
+    accounts: BTreeMap<ClientAccount, AccountState>,
     next_ticket: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Share {
+struct AccountState {
+    /// Virtual finish time of the account's last started request.
     finish: f64,
     weight: f64,
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<QueuedRequest>,
 }
 
-/// What a look at the queue gave.
+/// Requests that `FairQueue::next` took out of the queue.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueueOutcome {
-    /// Tickets that go now.
+    /// Tickets of the requests that start now.
     pub go: Vec<u64>,
-    /// Tickets that were taken out: they can't end in time.
+    /// Tickets of the requests that can't be finished before their deadlines.
     pub over: Vec<u64>,
 }
 
-/// What a request gets when it joins the queue.
+/// The outcome of `FairQueue::join`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JoinOutcome {
-    /// It goes at once.
+    /// The request starts at once.
     Now,
-    /// It waits under this ticket.
+    /// The request is queued under this ticket.
     Wait(u64),
 }
 
 impl FairQueue {
-    /// Joins the queue of a service that has room for `capacity` requests at once.
+    /// Starts a request of a service with room for `capacity` concurrent requests,
+    /// or queues it.
     ///
-    /// `stay_ms` is how long a request stays on average; a wait and a stay that
-    /// can't end before the deadline are refused at once.
+    /// `stay_ms` is the average time for which a request runs. A request is rejected
+    /// at once if its expected wait and run time end after its deadline.
     ///
     /// # Errors
     ///
-    /// Returns the rejection if the wait would outlast the deadline.
+    /// Returns the rejection if the request can't be finished before its deadline.
     pub fn join(
         &mut self,
         account: &ClientAccount,
@@ -228,7 +237,7 @@
             return Ok(JoinOutcome::Now);
         }
         let wait_ms = self.expected_wait_ms(account, weight, capacity, stay_ms);
-        // A turn that leaves no time to run is worth nothing.
+        // A request that starts too late to finish before its deadline wastes capacity.
         if now_ms + (wait_ms + stay_ms) as u64 >= deadline_ms {
             return Err(Rejection::Deadline {
                 retry_after_ms: wait_ms as u64,
@@ -236,72 +245,72 @@
         }
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        let share = self.accounts.entry(account.clone()).or_default();
-        share.weight = weight;
-        share.queue.push_back(Waiting {
+        let state = self.accounts.entry(account.clone()).or_default();
+        state.weight = weight;
+        state.queue.push_back(QueuedRequest {
             ticket,
             deadline_ms,
         });
         Ok(JoinOutcome::Wait(ticket))
     }
 
-    /// Ends a running request.
+    /// Records the end of a running request.
     pub fn end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Takes a waiting request out, whose caller went away or whose time is over.
+    /// Removes a queued request whose caller disconnected or whose wait timed out.
     pub fn leave(&mut self, ticket: u64) {
-        for share in self.accounts.values_mut() {
-            share.queue.retain(|w| w.ticket != ticket);
+        for state in self.accounts.values_mut() {
+            state.queue.retain(|w| w.ticket != ticket);
         }
-        self.drop_idle();
+        self.remove_idle();
     }
 
-    /// Returns the tickets that may go now, and those that are over: their
-    /// deadline comes before a stay would end.
+    /// Takes out the requests that start now, and those that would run past their
+    /// deadlines if they started now.
     pub fn next(&mut self, capacity: u32, stay_ms: f64, now_ms: u64) -> QueueOutcome {
         let mut turns = QueueOutcome {
-            over: self.take_over_tickets(now_ms + stay_ms as u64),
+            over: self.take_expired(now_ms + stay_ms as u64),
             go: Vec::new(),
         };
         while self.running < capacity {
-            let Some(account) = self.furthest_behind() else {
+            let Some(account) = self.next_account() else {
                 break;
             };
-            let Some(share) = self.accounts.get_mut(&account) else {
+            let Some(state) = self.accounts.get_mut(&account) else {
                 break;
             };
-            let weight = share.weight;
-            if let Some(w) = share.queue.pop_front() {
+            let weight = state.weight;
+            if let Some(w) = state.queue.pop_front() {
                 turns.go.push(w.ticket);
             }
             self.start(&account, weight);
         }
-        self.drop_idle();
+        self.remove_idle();
         turns
     }
 
-    fn take_over_tickets(&mut self, earliest_end_ms: u64) -> Vec<u64> {
-        let mut over = Vec::new();
-        for share in self.accounts.values_mut() {
-            share.queue.retain(|w| {
+    fn take_expired(&mut self, earliest_end_ms: u64) -> Vec<u64> {
+        let mut expired = Vec::new();
+        for state in self.accounts.values_mut() {
+            state.queue.retain(|w| {
                 let in_time = w.deadline_ms > earliest_end_ms;
                 if !in_time {
-                    over.push(w.ticket);
+                    expired.push(w.ticket);
                 }
                 in_time
             });
         }
-        over
+        expired
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.accounts.values().map(|s| s.queue.len()).sum()
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.running
     }
@@ -309,25 +318,26 @@
     fn start(&mut self, account: &ClientAccount, weight: f64) {
         self.running += 1;
         let virtual_time = self.virtual_time;
-        let share = self.accounts.entry(account.clone()).or_default();
-        share.weight = weight;
-        let start = share.finish.max(virtual_time);
-        share.finish = start + 1.0 / weight;
+        let state = self.accounts.entry(account.clone()).or_default();
+        state.weight = weight;
+        let start = state.finish.max(virtual_time);
+        state.finish = start + 1.0 / weight;
         self.virtual_time = start;
     }
 
-    fn furthest_behind(&self) -> Option<ClientAccount> {
+    fn next_account(&self) -> Option<ClientAccount> {
         self.accounts
             .iter()
             .filter(|(_, s)| !s.queue.is_empty())
             .min_by(|(_, a), (_, b)| {
-                let start = |s: &Share| s.finish.max(self.virtual_time);
+                let start = |s: &AccountState| s.finish.max(self.virtual_time);
                 start(a).total_cmp(&start(b))
             })
             .map(|(account, _)| account.clone())
     }
 
-    /// An account's own queue drains by its weight's share of the capacity.
+    /// Estimates a new request's wait: an account's queue drains at the account's
+    /// share of the capacity, by weight among the accounts with queued requests.
     fn expected_wait_ms(
         &self,
         account: &ClientAccount,
@@ -335,20 +345,21 @@
         capacity: u32,
         stay_ms: f64,
     ) -> f64 {
-        let own = self.accounts.get(account).map_or(0, |s| s.queue.len());
-        let others: f64 = self
+        let own_waiting = self.accounts.get(account).map_or(0, |s| s.queue.len());
+        let other_weights: f64 = self
             .accounts
             .iter()
             .filter(|(name, s)| *name != account && !s.queue.is_empty())
             .map(|(_, s)| s.weight)
             .sum();
-        let share = weight / (weight + others);
-        let per_s = f64::from(capacity.max(1)) / stay_ms.max(1.0) * share;
-        (own + 1) as f64 / per_s
+        let share = weight / (weight + other_weights);
+        let starts_per_ms = f64::from(capacity.max(1)) / stay_ms.max(1.0) * share;
+        (own_waiting + 1) as f64 / starts_per_ms
     }
 
-    /// An account without waiting requests whose virtual time is past needs no record.
-    fn drop_idle(&mut self) {
+    /// Removes accounts that have no queued requests and whose virtual finish time has
+    /// passed: they start again at the current virtual time, as new accounts do.
+    fn remove_idle(&mut self) {
         let now = self.virtual_time;
         self.accounts
             .retain(|_, s| !s.queue.is_empty() || s.finish > now);
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -1,4 +1,5 @@
-//! Whether a request is let in: limits by row, fair sharing, adaptive limits.
+//! Admission of requests: limits by table row, fair queueing between client
+//! accounts, and adaptive concurrency limits.
 
 mod admission_queue;
 mod concurrency;
--- a/src/policy/clients/mod.rs
+++ b/src/policy/clients/mod.rs
@@ -1,5 +1,5 @@
-//! When connections of clients are closed, and what a daemon that stops still
-//! takes.
+//! Closing of client connections, and the requests that a stopping daemon still
+//! accepts.
 
 mod activity;
 mod stop_schedule;
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -88,8 +88,8 @@
 
     let mut second_holder = UsageWindows::default();
     // The second holder is known since 4,000: what was heard later it has heard, too.
-    assert_eq!(first_holder.heard(7, 4_000).len(), 1);
-    for heard in first_holder.heard(7, 6_000) {
+    assert_eq!(first_holder.received(7, 4_000).len(), 1);
+    for heard in first_holder.received(7, 6_000) {
         let mut teller = UsageAnnouncer::default();
         let daemon = (heard.name.as_str(), heard.incarnation);
         let parts = teller.parts(daemon, (address(1), 6), &heard.windows, 0);
