--- a/src/policy/admission/admission_queue.rs
+++ b/src/policy/admission/admission_queue.rs
@@ -270,7 +270,7 @@
     /// Takes out the requests that start now, and those that would run past their
     /// deadlines if they started now.
     pub fn next(&mut self, capacity: u32, stay_ms: f64, now_ms: u64) -> QueueOutcome {
-        let mut turns = QueueOutcome {
+        let mut outcome = QueueOutcome {
             over: self.take_expired(now_ms + stay_ms as u64),
             go: Vec::new(),
         };
@@ -283,12 +283,12 @@
             };
             let weight = state.weight;
             if let Some(w) = state.queue.pop_front() {
-                turns.go.push(w.ticket);
+                outcome.go.push(w.ticket);
             }
             self.start(&account, weight);
         }
         self.remove_idle();
-        turns
+        outcome
     }
 
     fn take_expired(&mut self, earliest_end_ms: u64) -> Vec<u64> {
--- a/src/policy/copies/holder.rs
+++ b/src/policy/copies/holder.rs
@@ -3,20 +3,20 @@
     sha2::{Digest, Sha256},
 };
 
-/// An entry box that may hold the copy of a request.
+/// An entry box that may hold the copy of a request or read loads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HolderCandidate {
     /// The box.
     pub id: BoxId,
-    /// Its failure domain.
+    /// The box's failure domain.
     pub failure_domain: FailureDomain,
 }
 
-/// Orders candidates for a request's copy: rendezvous hashing, boxes of other
-/// failure domains before those of the owner's.
+/// Orders the candidates for a request's copy by rendezvous hashing, with boxes of other
+/// failure domains before those of the owner's failure domain.
 ///
-/// Any box can work out the order again, so a request is found without a
-/// search: its holder is among the first of the order for each domain.
+/// Every box computes the same order, so a request is located without a search: the
+/// holder of its copy is among the first candidates of each failure domain.
 pub fn rank_holders(
     request: RequestId,
     owner_domain: &FailureDomain,
@@ -30,12 +30,13 @@
     ranked
 }
 
-/// Returns the boxes to ask for a request, `per_domain` of each failure domain
-/// in rendezvous order, best first: a copy's holder stands among them.
+/// Returns the boxes to query for a request's owner, in rendezvous order: up to `limit`
+/// of the failure domain of the first box in this order, then up to `limit` of all
+/// other failure domains. The holder of the request's copy is among them.
 pub fn rank_locate_targets(
     request: RequestId,
     candidates: &[HolderCandidate],
-    most: usize,
+    limit: usize,
 ) -> Vec<HolderCandidate> {
     let mut ranked: Vec<_> = candidates.to_vec();
     ranked.sort_by_cached_key(|c| score(request, &c.id));
@@ -43,8 +44,8 @@
     let (same, other): (Vec<_>, Vec<_>) = ranked
         .into_iter()
         .partition(|c| Some(&c.failure_domain) == first_domain.as_ref());
-    let same = same.into_iter().take(most);
-    let other = other.into_iter().take(most);
+    let same = same.into_iter().take(limit);
+    let other = other.into_iter().take(limit);
     same.chain(other).collect()
 }
 
@@ -55,7 +56,8 @@
     hash.finalize().into()
 }
 
-/// Returns the box that reads an upstream's load for its failure domain.
+/// Returns the box that reads an upstream's load on behalf of its failure domain, by
+/// rendezvous hashing; `None` if there are no daemons.
 pub fn load_reader(upstream: &BoxId, daemons: &[HolderCandidate]) -> Option<BoxId> {
     let score = |c: &&HolderCandidate| {
         let mut hash = Sha256::new();
--- a/src/policy/copies/mod.rs
+++ b/src/policy/copies/mod.rs
@@ -1,4 +1,5 @@
-//! Which boxes hold copies of a request, and how it goes on from one.
+//! Replication of requests: the boxes that hold copies or read loads, the heartbeat
+//! topology, and the assembly of an answer across attempts.
 
 mod holder;
 mod neighbours;
--- a/src/policy/copies/neighbours.rs
+++ b/src/policy/copies/neighbours.rs
@@ -1,16 +1,17 @@
 use {crate::names::*, crate::policy::HolderCandidate};
 
-/// Links to the next boxes of the own failure domain's ring.
+/// Number of heartbeat links to the next boxes on the ring of a box's failure domain.
 pub const RING_LINKS: usize = 2;
-/// Links into other failure domains.
+/// Number of heartbeat links into other failure domains.
 pub const CROSS_LINKS: usize = 1;
 
-/// Chooses the boxes that a daemon heartbeats: the next ones on the ring of its
-/// failure domain, one half-way round, and one in the next failure domain.
+/// Chooses the boxes to which a daemon sends heartbeats: the next ones on the ring of
+/// its failure domain, the one half-way round the ring, and one in another failure
+/// domain.
 ///
-/// The number of links doesn't grow with the number of boxes. A change goes
-/// round by the ring both ways and across by the half-way links, and every
-/// failure domain has as many links to the next as it has boxes.
+/// The number of links per box doesn't grow with the number of boxes. A change spreads
+/// along the ring in both directions and cross_domain_links it by the half-way links, and a failure
+/// domain has as many links into other domains as it has boxes.
 pub fn neighbours(me: &HolderCandidate, others: &[HolderCandidate]) -> Vec<BoxId> {
     let mut ring: Vec<&BoxId> = others
         .iter()
@@ -26,37 +27,37 @@
             chosen.push(half);
         }
     }
-    chosen.extend(across(me, others));
+    chosen.extend(cross_domain_links(me, others));
     chosen
 }
 
-fn across(me: &HolderCandidate, others: &[HolderCandidate]) -> Vec<BoxId> {
+fn cross_domain_links(me: &HolderCandidate, others: &[HolderCandidate]) -> Vec<BoxId> {
     let mut domains: Vec<&FailureDomain> = others.iter().map(|c| &c.failure_domain).collect();
     domains.push(&me.failure_domain);
     domains.sort();
     domains.dedup();
-    let at = domains.partition_point(|d| **d < me.failure_domain);
+    let own_index = domains.partition_point(|d| **d < me.failure_domain);
     let rank = others
         .iter()
         .filter(|c| c.failure_domain == me.failure_domain && c.id < me.id)
         .count();
     let n = domains.len();
-    // Boxes of a domain take turns in how far they reach, so that two domains
-    // that lost each other still hear through a third.
-    let reach = 1 + rank % n.saturating_sub(1).max(1);
+    // The boxes of a domain link to different domains in turn, so that two domains that
+    // can't reach each other still exchange changes through a third.
+    let distance = 1 + rank % n.saturating_sub(1).max(1);
     (0..CROSS_LINKS)
         .filter_map(|i| {
-            let domain = domains[(at + reach + i) % n];
+            let domain = domains[(own_index + distance + i) % n];
             if *domain == me.failure_domain {
                 return None;
             }
-            let mut there: Vec<&BoxId> = others
+            let mut domain_boxes: Vec<&BoxId> = others
                 .iter()
                 .filter(|c| c.failure_domain == *domain)
                 .map(|c| &c.id)
                 .collect();
-            there.sort();
-            Some(there[rank % there.len()].clone())
+            domain_boxes.sort();
+            Some(domain_boxes[rank % domain_boxes.len()].clone())
         })
         .collect()
 }
--- a/src/policy/copies/splice.rs
+++ b/src/policy/copies/splice.rs
@@ -1,37 +1,41 @@
 use std::{collections::BTreeMap, sync::Arc};
 
-/// How many tokens of early frames are buffered before the rest is dropped.
+/// Upper bound of buffered out-of-order tokens; chunks beyond it are dropped.
 pub const MAX_EARLY_TOKENS: usize = 4_096;
 
-/// One piece of an answer, as an upstream sent it.
+/// A part of an answer as an upstream sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerChunk {
-    /// The attempt that it belongs to.
+    /// The attempt that produced it.
     pub attempt: u32,
     /// The offset of its first token in the answer.
     pub offset: usize,
-    /// The tokens.
+    /// Consecutive tokens from `offset` on.
     pub tokens: Vec<Arc<str>>,
-    /// The total length of the answer, on the last piece.
+    /// The length of the whole answer in tokens; set on the last chunk.
     pub total: Option<usize>,
 }
 
-/// Puts an answer together from pieces that may come late, doubled, reordered
-/// or overlapping, or belong to an older attempt.
+/// Assembles an answer from chunks that may be late, duplicated, reordered or
+/// overlapping, or come from an earlier attempt.
 ///
-/// One rule: a token is committed if its piece belongs to the current attempt
-/// and it continues the committed offset.
+/// A token is committed if its chunk belongs to the current attempt and the token is
+/// the next one after the committed tokens.
 #[derive(Clone, Debug, Default)]
 pub struct Splice {
     attempt: u32,
+    /// Number of committed tokens, which is the offset of the next one.
     committed: usize,
+    /// Length of the whole answer, once the current attempt has sent it.
     total: Option<usize>,
+    /// Chunks beyond the committed offset, by offset.
     early: BTreeMap<usize, Vec<Arc<str>>>,
+    /// Tokens in `early`.
     early_tokens: usize,
 }
 
 impl Splice {
-    /// Starts at a committed offset.
+    /// Continues an answer of which `committed` tokens are already committed.
     pub fn at(committed: usize) -> Self {
         Self {
             committed,
@@ -39,8 +43,8 @@
         }
     }
 
-    /// Starts the next attempt and returns its number. Nothing that an earlier
-    /// attempt buffered survives: two attempts may word an answer differently.
+    /// Starts the next attempt and returns its number. The buffered tokens of earlier
+    /// attempts are dropped: two attempts may generate different answers.
     pub fn next_attempt(&mut self) -> u32 {
         self.attempt += 1;
         self.total = None;
@@ -49,7 +53,7 @@
         self.attempt
     }
 
-    /// Returns how many tokens are committed.
+    /// Returns the number of committed tokens.
     pub fn committed(&self) -> usize {
         self.committed
     }
@@ -59,43 +63,44 @@
         self.total == Some(self.committed)
     }
 
-    /// Takes a piece and returns the tokens that it lets be committed.
-    pub fn take(&mut self, piece: AnswerChunk) -> Vec<Arc<str>> {
-        if piece.attempt != self.attempt {
+    /// Adds a chunk and returns the tokens that are committed by it, buffered ones
+    /// included.
+    pub fn take(&mut self, chunk: AnswerChunk) -> Vec<Arc<str>> {
+        if chunk.attempt != self.attempt {
             return Vec::new();
         }
-        self.total = self.total.or(piece.total);
+        self.total = self.total.or(chunk.total);
         let mut out = Vec::new();
-        if piece.offset > self.committed {
-            self.buffer(piece.offset, piece.tokens);
+        if chunk.offset > self.committed {
+            self.buffer(chunk.offset, chunk.tokens);
         } else {
-            self.commit(piece.offset, piece.tokens, &mut out);
+            self.commit(chunk.offset, chunk.tokens, &mut out);
         }
         self.commit_early(&mut out);
         out
     }
 
     fn commit(&mut self, offset: usize, tokens: Vec<Arc<str>>, out: &mut Vec<Arc<str>>) {
-        let seen = self.committed - offset;
-        let room = self
+        let already_committed = self.committed - offset;
+        let remaining = self
             .total
             .map_or(usize::MAX, |total| total.saturating_sub(self.committed));
-        for token in tokens.into_iter().skip(seen).take(room) {
+        for token in tokens.into_iter().skip(already_committed).take(remaining) {
             out.push(token);
             self.committed += 1;
         }
     }
 
     fn buffer(&mut self, offset: usize, tokens: Vec<Arc<str>>) {
-        let known = self.early.get(&offset).map_or(0, Vec::len);
-        if tokens.len() <= known {
+        let buffered = self.early.get(&offset).map_or(0, Vec::len);
+        if tokens.len() <= buffered {
             return;
         }
-        let more = tokens.len() - known;
-        if self.early_tokens + more > MAX_EARLY_TOKENS {
+        let added = tokens.len() - buffered;
+        if self.early_tokens + added > MAX_EARLY_TOKENS {
             return;
         }
-        self.early_tokens += more;
+        self.early_tokens += added;
         self.early.insert(offset, tokens);
     }
 
--- a/src/policy/duties/claim.rs
+++ b/src/policy/duties/claim.rs
@@ -4,7 +4,7 @@
     uuid::Uuid,
 };
 
-/// What a claim is for: one request of one client account.
+/// The object of a claim: one request of one client account.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The client account.
@@ -13,12 +13,12 @@
     pub request: RequestId,
 }
 
-/// Who claims.
+/// A box in one incarnation, as the holder of a claim or a lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BoxIncarnation {
     /// The box.
     pub id: BoxId,
-    /// The life of the box; a later one knows nothing of an earlier one's claims.
+    /// The box's incarnation; a later incarnation knows no claims of an earlier one.
     pub incarnation: u64,
 }
 
@@ -26,26 +26,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimRecord {
-    /// Asks for the right to run a request.
+    /// Claims the right to run a request.
     Claim {
         /// The request.
         key: ClaimKey,
-        /// Fresh for every claim.
+        /// Unique to the claim.
         nonce: Uuid,
-        /// Who asks.
+        /// The box that claims the right.
         by: BoxIncarnation,
     },
-    /// Gives up a right that was not used and can't be any more.
+    /// Gives up a right that was not used and can no longer be used.
     Release {
         /// The request.
         key: ClaimKey,
-        /// The claim that is given up.
+        /// The nonce of the claim that is given up.
         nonce: Uuid,
     },
 }
 
 impl ClaimRecord {
-    /// Returns the key that the record is about.
+    /// Returns the key of the claim.
     pub fn key(&self) -> &ClaimKey {
         match self {
             Self::Claim { key, .. } | Self::Release { key, .. } => key,
@@ -55,11 +55,11 @@
 
 /// The right to run a request once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Right {
+pub struct ExecutionRight {
     /// The request.
     pub key: ClaimKey,
-    /// The claim that won.
+    /// The nonce of the claim that won the right.
     pub nonce: Uuid,
-    /// The claim's offset in the log, plus one: the fencing token.
+    /// The fencing token: the claim's offset in the log, plus one.
     pub fence: u64,
 }
--- a/src/policy/duties/claim_fold.rs
+++ b/src/policy/duties/claim_fold.rs
@@ -4,23 +4,24 @@
     uuid::Uuid,
 };
 
-/// What the log says of one key, folded in offset order.
+/// The claims of one key, folded from the log in offset order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyClaims {
     /// The claim that holds the right, if any.
     pub winner: Option<Winner>,
-    /// Claims that never win again: released, or beaten.
-    dead: BTreeSet<Uuid>,
+    /// Nonces of claims that can no longer win: they were released, or came after the
+    /// winner.
+    void: BTreeSet<Uuid>,
 }
 
-/// The claim that holds a key's right.
+/// The claim that holds the right to a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Winner {
-    /// The claim.
+    /// The claim's nonce.
     pub nonce: Uuid,
-    /// Who holds it.
+    /// The box that holds the right.
     pub by: BoxIncarnation,
-    /// Its offset in the log, plus one.
+    /// The fencing token: the claim's offset in the log, plus one.
     pub fence: u64,
 }
 
@@ -33,13 +34,13 @@
         }
     }
 
-    /// Returns whether a claim can never win any more.
-    pub fn is_dead(&self, nonce: Uuid) -> bool {
-        self.dead.contains(&nonce)
+    /// Returns true if a claim can no longer win.
+    pub fn is_void(&self, nonce: Uuid) -> bool {
+        self.void.contains(&nonce)
     }
 
     fn fold_claim(&mut self, offset: u64, nonce: Uuid, by: &BoxIncarnation) {
-        if self.dead.contains(&nonce) {
+        if self.void.contains(&nonce) {
             return;
         }
         match &self.winner {
@@ -51,30 +52,32 @@
                 });
             }
             Some(winner) if winner.nonce == nonce => {}
-            // Beaten for good: a doubled append of it must not win after a release.
+            // A claim that comes after the winner stays void: a duplicate append of it
+            // must not win after the winner's release.
             Some(_) => {
-                self.dead.insert(nonce);
+                self.void.insert(nonce);
             }
         }
     }
 
     fn fold_release(&mut self, nonce: Uuid) {
-        self.dead.insert(nonce);
+        self.void.insert(nonce);
         if self.winner.as_ref().is_some_and(|w| w.nonce == nonce) {
             self.winner = None;
         }
     }
 }
 
-/// The claims of all keys within the window.
+/// The claims of all keys that are young enough to be claimed.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimFold {
+    /// Offset of the next record to fold.
     next: u64,
     keys: BTreeMap<ClaimKey, KeyClaims>,
 }
 
 impl ClaimFold {
-    /// Folds the records at an offset; each offset folds once.
+    /// Folds the records at an offset. An offset that was folded before is ignored.
     pub fn fold(&mut self, offset: u64, records: &[ClaimRecord]) {
         if offset < self.next {
             return;
@@ -93,22 +96,23 @@
         self.next
     }
 
-    /// Returns what is known of a key.
+    /// Returns the claims of a key.
     pub fn key(&self, key: &ClaimKey) -> Option<&KeyClaims> {
         self.keys.get(key)
     }
 
-    /// Forgets keys made before a time, which nobody may claim any more.
+    /// Removes keys of requests created before `unix_ms`, which are too old to be
+    /// claimed.
     pub fn forget_before(&mut self, unix_ms: u64) {
         self.keys.retain(|key, _| key.request.unix_ms() >= unix_ms);
     }
 
-    /// Returns how many keys are held.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Returns whether no key is held.
+    /// Returns true if there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/src/policy/duties/claimant.rs
+++ b/src/policy/duties/claimant.rs
@@ -1,38 +1,38 @@
 use {crate::policy::*, uuid::Uuid};
 
-/// How far one box is with one non-repeatable request.
+/// The state of one box's claim to one non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimantState {
-    /// The claim may or may not be in the log yet.
+    /// The claim was sent; it may or may not be in the log yet.
     Claiming,
     /// The box holds the right and has not used it.
-    Holds(Right),
-    /// The box used the right.
+    Holds(ExecutionRight),
+    /// The box has used the right.
     Dispatched,
     /// Another claim holds the right.
     Lost(BoxIncarnation),
-    /// The box said `not-run` and stays by it.
+    /// The box gave up and may have answered `not-run`; it never runs the request.
     GivenUp,
-    /// The right went to another box.
+    /// The box handed the right over to another box.
     HandedOver,
 }
 
-/// What a claimant wants done.
+/// An action that a claimant requires of its caller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimCommand {
     /// Append this record.
     Append(ClaimRecord),
-    /// Run the request now, with this fencing token.
+    /// Run the request now with this fencing token.
     Dispatch(u64),
-    /// Nothing: what was asked isn't allowed in this state.
+    /// Do nothing: the requested transition isn't allowed in this state.
     Refuse,
 }
 
-/// Decides for one box and one non-repeatable request.
+/// The state machine of one box's claim to one non-repeatable request.
 ///
-/// The rules: a right is used at most once, and only by the box that holds it;
-/// a box that gave up before dispatch never dispatches, whatever the log shows
-/// later; a right that was handed over can't be used by the giver.
+/// A right is used at most once, and only by the box that holds it. A box that gave up
+/// before dispatch never dispatches, whatever the log shows later. A box that handed a
+/// right over can't use it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Claimant {
     key: ClaimKey,
@@ -56,10 +56,11 @@
         (claimant, record)
     }
 
-    /// Takes over a right that another box handed over.
+    /// Accepts a right that another box handed over.
     ///
-    /// Returns none if the hand-over named another life of this box, or if this
-    /// box took the same right before.
+    /// Returns `None` if the hand-over names another box or another incarnation of this
+    /// box, or if this box has accepted the same right before. `taken` holds the nonces
+    /// of the rights accepted so far.
     pub fn take(hand_over: &HandOver, me: &BoxIncarnation, taken: &mut Vec<Uuid>) -> Option<Self> {
         let right = &hand_over.right;
         if hand_over.taker != *me || taken.contains(&right.nonce) {
@@ -83,21 +84,21 @@
         self.nonce
     }
 
-    /// Looks at the folded log, read at least to the claim's own append.
+    /// Applies the folded log, read at least up to the claim's own append.
     ///
-    /// A claimant that gave up and sees its claim hold the key asks for the
-    /// release to be appended again.
+    /// Returns the release to append again if the claimant gave up but its claim holds
+    /// the key.
     pub fn observe(&mut self, claims: &KeyClaims) -> Option<ClaimCommand> {
         match (&self.state, &claims.winner) {
             (ClaimantState::Claiming, Some(w)) if w.nonce == self.nonce => {
-                self.state = ClaimantState::Holds(Right {
+                self.state = ClaimantState::Holds(ExecutionRight {
                     key: self.key.clone(),
                     nonce: w.nonce,
                     fence: w.fence,
                 });
                 None
             }
-            (ClaimantState::Claiming, Some(w)) if claims.is_dead(self.nonce) => {
+            (ClaimantState::Claiming, Some(w)) if claims.is_void(self.nonce) => {
                 self.state = ClaimantState::Lost(w.by.clone());
                 None
             }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Uses the right, once.
+    /// Uses the right, which is possible once.
     pub fn dispatch(&mut self) -> ClaimCommand {
         let ClaimantState::Holds(right) = &self.state else {
             return ClaimCommand::Refuse;
@@ -118,15 +119,16 @@
         ClaimCommand::Dispatch(fence)
     }
 
-    /// Takes back a dispatch that is known not to have started: the connection
-    /// was never made, or the upstream refused it by a typed answer.
-    pub fn not_started(&mut self, right: Right) {
+    /// Reverts a dispatch that is known not to have started: the connection was not
+    /// established, or the upstream refused the request with a typed answer.
+    pub fn not_started(&mut self, right: ExecutionRight) {
         if self.state == ClaimantState::Dispatched && right.nonce == self.nonce {
             self.state = ClaimantState::Holds(right);
         }
     }
 
-    /// Gives up before dispatch. After a release the caller may be told `not-run`.
+    /// Gives up before dispatch. Once this returns the release, the client may be
+    /// answered `not-run`.
     pub fn give_up(&mut self) -> ClaimCommand {
         match self.state {
             ClaimantState::Claiming | ClaimantState::Holds(_) => {
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Gives the right to another box; from then on this box can't use it.
+    /// Hands the right over to another box; from then on this box can't use it.
     pub fn hand_over(&mut self, taker: BoxIncarnation) -> Option<HandOver> {
         let ClaimantState::Holds(right) = &self.state else {
             return None;
@@ -158,13 +160,14 @@
     }
 }
 
-/// A right on its way to another box.
+/// A right that is handed over to another box.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct HandOver {
     /// The right.
-    pub right: Right,
-    /// Who may use it; redelivered to a later life of the box it is void.
+    pub right: ExecutionRight,
+    /// The box that may use it, in this incarnation only: a hand-over that is redelivered
+    /// to a later incarnation is void.
     pub taker: BoxIncarnation,
 }
--- a/src/policy/duties/duty_fitness.rs
+++ b/src/policy/duties/duty_fitness.rs
@@ -1,18 +1,20 @@
-/// What decides whether a daemon should hold the duties that one has at a time.
+/// The facts that decide whether a daemon should hold the duties, which one daemon holds
+/// at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct DutyFitness {
-    /// Whether it will stop.
+    /// The daemon is stopping.
     pub is_stopping: bool,
-    /// Whether it is a hub: it then hears the loads and the demand of all.
+    /// The daemon is a hub and so receives the loads and the demand of all daemons.
     pub is_hub: bool,
-    /// Whether it reads the shared source.
+    /// The daemon reads the shared source.
     pub reads_source: bool,
 }
 
 impl DutyFitness {
-    /// Returns whether a holder goes on. One that is no hub steps in while the source
-    /// turns the hubs away, but knows the demand of its own failure domain only, and
-    /// orders too few upstreams: once others read the source again, it is theirs.
+    /// Returns true if the daemon may hold the duties. A daemon that is not a hub does so
+    /// only while it reads the source because the source refuses the hubs: it knows only
+    /// the demand of its own failure domain and orders too few upstreams, so it leaves
+    /// the duties to others once they read the source again.
     pub fn may_hold(self) -> bool {
         !self.is_stopping && (self.is_hub || self.reads_source)
     }
--- a/src/policy/duties/duty_log.rs
+++ b/src/policy/duties/duty_log.rs
@@ -4,46 +4,48 @@
     std::collections::BTreeMap,
 };
 
-/// How many windows' reports are remembered.
-const KEPT_REPORTS: usize = 64;
+/// Number of windows whose reports are remembered.
+const MAX_REPORTS: usize = 64;
 
-/// A record of the duties' topic.
+/// A record of the duties topic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DutyRecord {
     /// Takes or renews the lease.
     Lease(LeaseRecord),
-    /// Says what a window's usage report will be, before it is sent.
+    /// Announces the contents of a window's usage report before the report is sent.
     Usage(UsageRecord),
 }
 
-/// What a window's usage report will be.
+/// The contents of a window's usage report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UsageRecord {
-    /// Who will send it.
+    /// The holder of the duties that will send the report.
     pub by: BoxIncarnation,
-    /// The window.
+    /// The time window.
     pub window: u64,
-    /// The counts.
+    /// The counts to report.
     pub counts: AccountCounts,
 }
 
-/// One daemon's view of the duties' topic. Times are milliseconds of its
-/// steady clock.
+/// One daemon's view of the duties topic. Times are milliseconds of the daemon's
+/// monotonic clock.
 #[derive(Clone, Debug)]
 pub struct DutyLog {
     me: BoxIncarnation,
     term_ms: u64,
     view: LeaseView,
+    /// The counts to report, by window.
     reports: BTreeMap<u64, AccountCounts>,
-    /// The lease record that was sent last: what it follows, and when.
+    /// The lease record that was sent last: the fencing token that it follows, and when
+    /// it was first sent.
     sent: Option<(u64, u64)>,
     /// The offset of the next record.
     next: u64,
 }
 
 impl DutyLog {
-    /// Starts with nothing read.
+    /// Creates a view of an unread topic.
     pub fn new(me: BoxIncarnation, term_ms: u64) -> Self {
         Self {
             me,
@@ -55,12 +57,12 @@
         }
     }
 
-    /// Returns the offset to read from, which is the end of what was read.
+    /// Returns the offset of the next record to read.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Goes on from an offset: the records before it are gone.
+    /// Continues at an offset: the records before it have been removed from the topic.
     pub fn skip_to(&mut self, offset: u64) {
         self.next = self.next.max(offset);
     }
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Notes an unreadable record.
+    /// Skips an unreadable record.
     pub fn skip(&mut self, offset: u64) {
         self.next = self.next.max(offset + 1);
     }
@@ -88,25 +90,26 @@
         self.view.fold(offset, lease, &self.me, sent_ms, now_ms, 0);
     }
 
-    /// The first report of a window by the holder of its time counts.
+    /// Only the first report of a window counts, and only if its sender holds the lease
+    /// at that point of the log.
     fn fold_usage(&mut self, usage: UsageRecord) {
         let holder = self.view.lease().current.as_ref();
         if holder.is_none_or(|(_, lease)| lease.by != usage.by) {
             return;
         }
         self.reports.entry(usage.window).or_insert(usage.counts);
-        while self.reports.len() > KEPT_REPORTS {
+        while self.reports.len() > MAX_REPORTS {
             self.reports.pop_first();
         }
     }
 
-    /// Decides what to do about the lease.
+    /// Decides what this daemon may do at `now_ms`.
     pub fn step(&self, now_ms: u64) -> LeaseStep {
         self.view.step(&self.me, self.term_ms, now_ms)
     }
 
-    /// Returns the record by which the holder gives the lease back: one that is over as
-    /// soon as it is taken. A successor need not wait for the term's end.
+    /// Returns the record by which the holder releases the lease: a lease that expires at
+    /// once, so that a successor need not wait for the end of the term.
     pub fn release(&self, now_ms: u64) -> Option<LeaseRecord> {
         self.view.may_act(now_ms)?;
         Some(LeaseRecord {
@@ -116,30 +119,30 @@
         })
     }
 
-    /// Notes that a lease record is sent.
+    /// Records that a lease record is sent. Call it before each try.
     pub fn record_sent(&mut self, lease: &LeaseRecord, now_ms: u64) {
-        let again = self
+        let is_retry = self
             .sent
             .is_some_and(|(follows, _)| follows == lease.follows);
-        // The first try may be the one that was taken.
-        if !again {
+        // The first try may be the one that was appended, so the term counts from it.
+        if !is_retry {
             self.sent = Some((lease.follows, now_ms));
         }
     }
 
-    /// Returns the fencing token, if a call that takes up to `call_ms` ends
-    /// while the lease is held.
+    /// Returns the fencing token if a call that takes up to `call_ms` ends while the lease
+    /// is held.
     pub fn fence_for(&self, call_ms: u64, now_ms: u64) -> Option<u64> {
         self.view.may_act(now_ms + call_ms)?;
         Some(self.view.lease().tenure)
     }
 
-    /// Returns what a window's report must be, if it was said.
+    /// Returns the counts that a window's report must have, if they were announced.
     pub fn report(&self, window: u64) -> Option<&AccountCounts> {
         self.reports.get(&window)
     }
 
-    /// Makes the record that says what a window's report will be.
+    /// Returns the record that announces a window's report.
     pub fn usage_record(&self, window: u64, counts: AccountCounts) -> DutyRecord {
         DutyRecord::Usage(UsageRecord {
             by: self.me.clone(),
--- a/src/policy/duties/lease.rs
+++ b/src/policy/duties/lease.rs
@@ -3,36 +3,37 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A record of a failure domain's `duties` stream: takes or renews the lease.
+/// A record of the duties stream that takes or renews the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who takes the lease.
+    /// The box that takes the lease.
     pub by: BoxIncarnation,
-    /// The offset, plus one, of the lease that this one follows; 0 for none.
+    /// The fencing token (offset plus one) of the lease that this one follows; 0 for none.
     pub follows: u64,
-    /// How long the lease lasts, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub term_ms: u64,
 }
 
-/// The lease as the log's records give it.
+/// The state of the lease, folded from the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseFold {
-    /// The lease in force and its fencing token (its offset, plus one).
+    /// The lease in force and its fencing token (offset plus one).
     pub current: Option<(u64, LeaseRecord)>,
-    /// The fencing token with which the present holder took the lease; stays
-    /// the same while it renews.
+    /// The fencing token with which the current holder took the lease; renewals keep it.
     pub tenure: u64,
+    /// Offset of the next record to fold.
     next: u64,
 }
 
 impl LeaseFold {
-    /// Folds a record; it counts only if it follows the lease in force.
+    /// Folds a record and returns true if it takes or renews the lease, which it does only
+    /// if it follows the lease in force.
     pub fn fold(&mut self, offset: u64, record: LeaseRecord) -> bool {
         if offset < self.next {
             return false;
         }
         self.next = offset + 1;
-        // What the first record that is left follows is no longer there.
+        // The oldest record left in the log may follow one that has been removed.
         let is_oldest_left = self.current.is_none() && record.follows > 0;
         if record.follows != self.fence() && !is_oldest_left {
             return false;
@@ -48,44 +49,48 @@
         true
     }
 
-    /// Returns the fencing token of the lease in force, 0 for none.
+    /// Returns the fencing token of the lease in force; 0 for none.
     pub fn fence(&self) -> u64 {
         self.current.as_ref().map_or(0, |(fence, _)| *fence)
     }
 }
 
-/// One box's view of a lease, with times of its own monotonic clock.
+/// One box's view of a lease. Times are milliseconds of the box's monotonic clock.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseView {
     fold: LeaseFold,
-    /// When this box last saw the lease change.
+    /// When this box last read a record that changed the lease.
     seen_at_ms: u64,
-    /// Until when this box may act as the holder.
+    /// Until when this box may act as the holder; 0 if it is not the holder.
     held_until_ms: u64,
+    /// Fencing token of this box's lease.
     held_fence: u64,
-    /// From when a new holder may order from upstreams that check no fence.
+    /// From when this box, as a new holder, may send orders to upstreams that don't check
+    /// fencing tokens: an earlier holder that was paused can then no longer send any.
     settled_at_ms: u64,
 }
 
-/// What a box may do about a duty now.
+/// The action that a box may take now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Act as the holder; orders carry this fencing token.
+    /// Act as the holder.
     Act {
-        /// The fencing token.
+        /// The fencing token that orders carry.
         fence: u64,
-        /// Whether upstreams that check no fence may be ordered too.
+        /// Orders may also go to upstreams that don't check fencing tokens.
         settled: bool,
     },
     /// Append this record to take or renew the lease.
     Append(LeaseRecord),
-    /// Wait.
+    /// Wait: another box holds the lease.
     Wait,
 }
 
 impl LeaseView {
-    /// Folds a record that was read at `now_ms`. `appended_at_ms` is when this
-    /// box sent the append, if the record is its own.
+    /// Folds a record that was read at `now_ms`. `appended_at_ms` is the time at which this
+    /// box sent the append, if the record is its own; the box's lease runs from then on.
+    /// `pause_allowance_ms` is how long a paused holder may take to notice that its lease
+    /// has expired.
     pub fn fold(
         &mut self,
         offset: u64,
@@ -95,31 +100,34 @@
         now_ms: u64,
         pause_allowance_ms: u64,
     ) {
-        let before = self.fold.current.clone();
+        let previous = self.fold.current.clone();
         if !self.fold.fold(offset, record.clone()) {
             return;
         }
         self.seen_at_ms = now_ms;
-        let renewed = before.as_ref().is_some_and(|(_, old)| old.by == record.by);
+        let renewed = previous
+            .as_ref()
+            .is_some_and(|(_, old)| old.by == record.by);
         match appended_at_ms {
-            Some(sent) if record.by == *me => {
-                self.held_until_ms = sent + record.term_ms;
+            Some(sent_ms) if record.by == *me => {
+                self.held_until_ms = sent_ms + record.term_ms;
                 self.held_fence = offset + 1;
                 if !renewed {
-                    let old_term = before.map_or(0, |(_, old)| old.term_ms);
-                    let wait = if old_term == 0 {
+                    let old_term_ms = previous.map_or(0, |(_, old)| old.term_ms);
+                    let wait_ms = if old_term_ms == 0 {
                         0
                     } else {
-                        old_term + pause_allowance_ms
+                        old_term_ms + pause_allowance_ms
                     };
-                    self.settled_at_ms = now_ms + wait;
+                    self.settled_at_ms = now_ms + wait_ms;
                 }
             }
             _ => self.held_until_ms = 0,
         }
     }
 
-    /// Decides what this box may do at `now_ms`, by its monotonic clock.
+    /// Decides what this box may do at `now_ms`. The holder renews the lease once half of
+    /// its term has passed.
     pub fn step(&self, me: &BoxIncarnation, term_ms: u64, now_ms: u64) -> LeaseStep {
         let record = LeaseRecord {
             by: me.clone(),
@@ -127,8 +135,8 @@
             term_ms,
         };
         if now_ms < self.held_until_ms {
-            let renew_at = self.held_until_ms.saturating_sub(term_ms / 2);
-            if now_ms >= renew_at {
+            let renew_at_ms = self.held_until_ms.saturating_sub(term_ms / 2);
+            if now_ms >= renew_at_ms {
                 return LeaseStep::Append(record);
             }
             return self.act(now_ms);
@@ -139,18 +147,18 @@
         }
     }
 
-    /// Returns whether an order may leave now, with its fencing token: asked
-    /// again right before each order, so that a paused holder orders nothing.
+    /// Returns the fencing token if an order may be sent now. Call it right before each
+    /// order, so that a holder that was paused past its term sends none.
     pub fn may_act(&self, now_ms: u64) -> Option<u64> {
         (now_ms < self.held_until_ms).then_some(self.held_fence)
     }
 
-    /// Returns until when this box may act as the holder.
+    /// Returns the time until which this box may act as the holder.
     pub fn held_until_ms(&self) -> u64 {
         self.held_until_ms
     }
 
-    /// Returns the lease as the records give it.
+    /// Returns the state of the lease, folded from the log.
     pub fn lease(&self) -> &LeaseFold {
         &self.fold
     }
--- a/src/policy/duties/mod.rs
+++ b/src/policy/duties/mod.rs
@@ -1,4 +1,5 @@
-//! What one daemon does at a time: leases, claims, and usage by window.
+//! Tasks that only one daemon may do at a time: leases, claims, and usage reports by
+//! time window.
 
 mod claim;
 mod claim_fold;
--- a/src/policy/duties/usage_due.rs
+++ b/src/policy/duties/usage_due.rs
@@ -1,48 +1,52 @@
-/// Of the time until a report of usage is due, how much is waited even if all
-/// daemons that are known have told their counts: others may not be known yet.
-const REPORT_AT: f64 = 0.35;
-/// How much is waited for daemons that have not: they may be cut off for some
-/// seconds, or gone.
-const REPORT_LATE: f64 = 0.7;
-/// Until how many times the time a late report is still sent.
-const REPORT_UNTIL: f64 = 1.2;
-/// For how long a new holder of the duties waits for counts in any case, in
-/// milliseconds: two tellings. One that reports at once has heard of few requests.
-const SETTLE_MS: f64 = 1_200.0;
-/// Of the time until a report is due, when it is sent even so.
-const REPORT_LAST: f64 = 0.92;
+/// Fraction of the report delay after which a window is reported if all known daemons
+/// have announced their counts. It is not reported earlier because other daemons may not
+/// be known yet.
+const COMPLETE_REPORT_AT: f64 = 0.35;
+/// Fraction of the report delay after which a window is reported if counts are missing:
+/// the daemons that lack may be disconnected for some seconds, or have stopped.
+const INCOMPLETE_REPORT_AT: f64 = 0.7;
+/// Multiple of the report delay up to which a late report is still sent.
+const LAST_REPORT_AT: f64 = 1.2;
+/// How long a new holder of the duties waits for counts, in milliseconds: two
+/// announcement intervals. A holder that reported at once would have received the counts
+/// of few requests.
+const NEW_HOLDER_WAIT_MS: f64 = 1_200.0;
+/// Fraction of the report delay after which a new holder reports an incomplete window
+/// even if it has not waited for `NEW_HOLDER_WAIT_MS`.
+const NEW_HOLDER_REPORT_AT: f64 = 0.92;
 
-/// What decides whether a window's usage is reported now. Times are in
-/// milliseconds.
+/// The facts that decide whether a window's usage is reported now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageReadiness {
-    /// How long ago the window ended.
+    /// Time since the window ended, in milliseconds.
     pub age_ms: f64,
-    /// How long after its end the report is due.
+    /// The report delay: time after the window's end at which the report is due, in
+    /// milliseconds.
     pub delay_ms: f64,
-    /// Whether all daemons have told what they counted in it.
+    /// All daemons have announced their counts of the window.
     pub is_complete: bool,
-    /// For how long this daemon has held the duties.
+    /// Time for which this daemon has held the duties, in milliseconds.
     pub held_ms: f64,
 }
 
 impl UsageReadiness {
-    /// Returns whether to report now.
+    /// Returns true if the window is to be reported now.
     pub fn is_due(&self) -> bool {
-        let part = self.age_ms / self.delay_ms.max(1.0);
-        if part > REPORT_UNTIL {
+        let elapsed = self.age_ms / self.delay_ms.max(1.0);
+        if elapsed > LAST_REPORT_AT {
             return false;
         }
-        let is_settled = self.is_complete || self.held_ms >= SETTLE_MS;
+        let is_settled = self.is_complete || self.held_ms >= NEW_HOLDER_WAIT_MS;
         match is_settled {
             true => {
-                part >= if self.is_complete {
-                    REPORT_AT
-                } else {
-                    REPORT_LATE
-                }
+                elapsed
+                    >= if self.is_complete {
+                        COMPLETE_REPORT_AT
+                    } else {
+                        INCOMPLETE_REPORT_AT
+                    }
             }
-            false => part >= REPORT_LAST,
+            false => elapsed >= NEW_HOLDER_REPORT_AT,
         }
     }
 }
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -3,10 +3,10 @@
     std::collections::{BTreeMap, HashMap},
 };
 
-/// How many windows are kept.
-const KEPT_WINDOWS: usize = 8;
+/// Number of newest windows that are kept per incarnation of a daemon.
+const MAX_WINDOWS: usize = 8;
 
-/// Requests that began to run, by client account.
+/// Numbers of requests that started to run, by client account.
 pub type AccountCounts = BTreeMap<ClientAccount, u64>;
 
 /// Usage counts of one incarnation of another daemon, as received from it.
@@ -14,46 +14,49 @@
 pub struct ReceivedUsage {
     /// The daemon's name.
     pub name: String,
-    /// Which life of it.
+    /// The daemon's incarnation.
     pub incarnation: u64,
-    /// Its counts by window.
+    /// The incarnation's counts, by window.
     pub windows: Vec<(u64, AccountCounts)>,
 }
 
-/// Counts of requests that began to run, by window of the wall clock.
+/// Counts of requests that started to run, by time window of the wall clock.
 #[derive(Clone, Debug, Default)]
 pub struct UsageWindows {
+    /// Counts of this daemon, by window.
     own: BTreeMap<u64, AccountCounts>,
-    /// By source, its own counts; they only grow.
+    /// Counts of other daemons, by name and incarnation, then by window. A count only
+    /// grows.
     others: BTreeMap<(String, u64), BTreeMap<u64, AccountCounts>>,
-    /// When something of each source was heard last.
+    /// When counts of each name and incarnation were last received.
     last_seen_ms: HashMap<(String, u64), u64>,
-    /// By daemon, before which window all was told, and when that was heard.
+    /// By daemon: the window before which its announced counts are complete, and when
+    /// that was last received.
     announcers: HashMap<String, (u64, u64)>,
 }
 
 impl UsageWindows {
-    /// Notes a request that began here.
+    /// Counts a request that started on this daemon.
     pub fn record(&mut self, window: u64, account: &ClientAccount) {
         let counts = self.own.entry(window).or_default();
         *counts.entry(account.clone()).or_default() += 1;
         trim(&mut self.own);
     }
 
-    /// Returns the counts of this daemon's newest windows.
+    /// Returns this daemon's counts of its newest windows.
     pub fn newest(&self, windows: usize) -> Vec<(u64, AccountCounts)> {
         let newest = self.own.iter().rev().take(windows);
         newest.map(|(w, c)| (*w, c.clone())).collect()
     }
 
-    /// Notes that something of a life's counts was heard.
+    /// Records that counts of a daemon's incarnation were received.
     pub fn record_contact(&mut self, node: &str, incarnation: u64, now_ms: u64) {
         self.last_seen_ms
             .insert((node.to_string(), incarnation), now_ms);
     }
 
-    /// Returns what was heard of other daemons' counts, from a window on, of lives
-    /// last heard before `before_ms`.
+    /// Returns the counts of other daemons, from a window on, for the incarnations whose
+    /// counts were last received before `before_ms`.
     pub fn received(&self, from_window: u64, before_ms: u64) -> Vec<ReceivedUsage> {
         let mut received = Vec::new();
         for ((name, incarnation), windows) in &self.others {
@@ -61,59 +64,63 @@
             if last_seen_ms.is_some_and(|at_ms| *at_ms >= before_ms) {
                 continue;
             }
-            let late = windows.range(from_window..);
-            let late: Vec<_> = late.map(|(w, counts)| (*w, counts.clone())).collect();
-            if !late.is_empty() {
+            let recent = windows.range(from_window..);
+            let recent: Vec<_> = recent.map(|(w, counts)| (*w, counts.clone())).collect();
+            if !recent.is_empty() {
                 received.push(ReceivedUsage {
                     name: name.clone(),
                     incarnation: *incarnation,
-                    windows: late,
+                    windows: recent,
                 });
             }
         }
         received
     }
 
-    /// Takes in what one life of another daemon has counted.
+    /// Merges counts of another daemon's incarnation. The larger of two counts is kept, so
+    /// that repeated and reordered announcements do no harm.
     pub fn merge(&mut self, node: &str, incarnation: u64, counts: &[(u64, AccountCounts)]) {
         let known = self
             .others
             .entry((node.to_string(), incarnation))
             .or_default();
         for (window, theirs) in counts {
-            let mine = known.entry(*window).or_default();
-            for (terms, count) in theirs {
-                let most = mine.entry(terms.clone()).or_default();
-                *most = (*most).max(*count);
+            let merged = known.entry(*window).or_default();
+            for (account, count) in theirs {
+                let max = merged.entry(account.clone()).or_default();
+                *max = (*max).max(*count);
             }
         }
         trim(known);
     }
 
-    /// Notes before which window a daemon has told all that it counted.
+    /// Records the window before which a daemon has announced all its counts.
     pub fn record_complete(&mut self, node: &str, complete_before: u64, now_ms: u64) {
         let announcer = self.announcers.entry(node.to_string()).or_default();
         *announcer = (complete_before.max(announcer.0), now_ms);
     }
 
-    /// Returns how many daemons told counts since a time, and whether all of
-    /// them have told the whole of a window.
+    /// Returns the number of daemons that announced counts at `since_ms` or later, and
+    /// whether all of them have announced their complete counts of a window.
     pub fn usage_complete_from(&self, window: u64, since_ms: u64) -> (usize, bool) {
-        let late = self
+        let recent = self
             .announcers
             .values()
             .filter(|(_, at_ms)| *at_ms >= since_ms);
-        let told: Vec<bool> = late.map(|(before, _)| *before > window).collect();
-        (told.len(), told.iter().all(|whole| *whole))
+        let complete: Vec<bool> = recent.map(|(before, _)| *before > window).collect();
+        (
+            complete.len(),
+            complete.iter().all(|is_complete| *is_complete),
+        )
     }
 
-    /// Returns the counts of a window over all daemons.
+    /// Returns the counts of a window, summed over all daemons and their incarnations.
     pub fn total(&self, window: u64) -> AccountCounts {
         let mut total = AccountCounts::new();
         let others = self.others.values().filter_map(|w| w.get(&window));
         for counts in self.own.get(&window).into_iter().chain(others) {
-            for (terms, count) in counts {
-                *total.entry(terms.clone()).or_default() += count;
+            for (account, count) in counts {
+                *total.entry(account.clone()).or_default() += count;
             }
         }
         total
@@ -121,7 +128,7 @@
 }
 
 fn trim(counts: &mut BTreeMap<u64, AccountCounts>) {
-    while counts.len() > KEPT_WINDOWS {
+    while counts.len() > MAX_WINDOWS {
         counts.pop_first();
     }
 }
