--- a/src/policy/duties/lease.rs
+++ b/src/policy/duties/lease.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A record of the duties stream that takes or renews the lease.
+/// A record of a duties log that takes or renews the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
     /// The box that takes the lease.
@@ -82,7 +82,7 @@
     },
     /// Append this record to take or renew the lease.
     Append(LeaseRecord),
-    /// Wait: another box holds the lease.
+    /// Wait: a lease is in force under which this box may not act.
     Wait,
 }
 
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Limits by row, and fair sharing under a flood.
+//! Token buckets, division of row limits, and fair queueing under overload.
 
 use {
     proptest::prelude::*,
@@ -10,9 +10,9 @@
 }
 
 proptest! {
-    /// No window of time lets through more than rate and burst allow.
+    /// Guards against a bucket that grants more than its rate and burst allow.
     #[test]
-    fn a_bucket_keeps_its_rate(waits in prop::collection::vec(0..200u64, 1..300), rate in 1..100u32) {
+    fn a_bucket_grants_no_more_than_rate_and_burst(waits in prop::collection::vec(0..200u64, 1..300), rate in 1..100u32) {
         let rate = f64::from(rate);
         let mut bucket = TokenBucket::full(rate, 0);
         let mut now = 0;
@@ -26,9 +26,9 @@
         prop_assert!(taken <= rate * (now as f64 / 1_000.0) + rate.max(1.0) + 1.0);
     }
 
-    /// After the wait that it names, the bucket gives.
+    /// Guards against a wait after which the bucket still refuses.
     #[test]
-    fn a_bucket_tells_the_right_wait(rate in 1..100u32, n in 1..300u32) {
+    fn a_bucket_grants_after_the_wait_that_it_returned(rate in 1..100u32, n in 1..300u32) {
         let rate = f64::from(rate);
         let mut bucket = TokenBucket::full(rate, 0);
         let mut wait = None;
@@ -43,7 +43,8 @@
     }
 }
 
-/// Serves `n` requests one by one while two accounts keep their queues full.
+/// Serves `n` requests one by one while two accounts have full queues; returns how many
+/// of each account were served.
 fn share(weight_a: u32, weight_b: u32, n: usize) -> (usize, usize) {
     let mut q = FairQueue::default();
     let (a, b) = (account("a"), account("b"));
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn capacity_is_shared_by_weight() {
+fn capacity_is_divided_by_account_weight() {
     let (a, b) = share(1, 1, 100);
     assert!(a.abs_diff(b) <= 2, "{a} {b}");
     let (a, b) = share(3, 1, 100);
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_flood_does_not_make_another_account_wait() {
+fn a_flood_of_one_account_does_not_delay_another_account() {
     let mut q = FairQueue::default();
     for _ in 0..1_000 {
         let _ = q.join(&account("flood"), 1, 4, 100.0, 0, u64::MAX / 2);
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_rejected_at_once() {
     let mut q = FairQueue::default();
     let flood = account("flood");
     for _ in 0..50 {
@@ -110,20 +111,20 @@
 }
 
 #[test]
-fn limits_are_divided_by_the_live_daemons() {
+fn row_limits_are_divided_by_the_live_daemons() {
     let share = RowShare::divide(90.0, 10, 0.0, 3);
     assert_eq!((share.rate, share.concurrency), (30.0, 4));
-    let alone = RowShare::divide(90.0, 10, 0.0, 1);
-    assert_eq!((alone.rate, alone.concurrency), (90.0, 10));
+    let single = RowShare::divide(90.0, 10, 0.0, 1);
+    assert_eq!((single.rate, single.concurrency), (90.0, 10));
 }
 
-/// In an overload a queue that only looks at the wait serves requests that
-/// expire while they run: all of its work is wasted.
+/// Guards against wasted work under overload: a queue that compares only the wait with
+/// the deadline starts requests that expire while they run.
 #[test]
-fn a_turn_that_leaves_no_time_to_run_is_refused() {
+fn a_request_that_would_expire_while_it_runs_is_rejected() {
     let mut q = FairQueue::default();
     let a = account("a");
-    // One runs and four wait: the next one's turn comes after 5 s.
+    // One request runs and four wait: the next one starts after 5 s.
     for _ in 0..5 {
         let _ = q.join(&a, 1, 1, 1_000.0, 0, u64::MAX / 2);
     }
@@ -131,8 +132,8 @@
     let Ok(JoinOutcome::Wait(ticket)) = q.join(&a, 1, 1, 1_000.0, 0, 6_500) else {
         panic!("expected a wait");
     };
-    // The turns before it took longer than thought: it is dropped.
+    // The requests before it ran longer than expected: it is dropped.
     q.end();
-    let turns = q.next(1, 1_000.0, 6_000);
-    assert!(turns.over.contains(&ticket) && !turns.go.contains(&ticket));
+    let outcome = q.next(1, 1_000.0, 6_000);
+    assert!(outcome.over.contains(&ticket) && !outcome.go.contains(&ticket));
 }
--- a/tests/decisions/claim_exploration.rs
+++ b/tests/decisions/claim_exploration.rs
@@ -1,5 +1,7 @@
-//! All interleavings of two boxes and one non-repeatable key: appends delayed,
-//! doubled and lost, crashes, give-ups, hand-overs delayed and doubled.
+//! Explores all interleavings of two boxes that claim one non-repeatable request, with
+//! delayed, duplicated and lost appends, crashes, give-ups, and delayed, duplicated and
+//! lost hand-overs. Guards against a request that runs twice, or runs after the client
+//! was answered `not-run`.
 
 use {
     saddlepulley::{names::*, policy::*},
@@ -9,34 +11,35 @@
 
 const BOXES: usize = 2;
 
-/// How much may happen in one exploration. Each is run to its end.
+/// Bounds of the events in one exploration, which runs until it finds no new state.
 #[derive(Clone, Copy)]
 struct Bounds {
     claims: [u8; BOXES],
     crashes: u8,
     hand_overs: u8,
     refusals: u8,
-    /// How often one append may reach the log.
+    /// How many times one append may reach the log.
     deliveries: u8,
     log: usize,
 }
 
-/// More states than any of the explorations has.
-const MOST_STATES: usize = 1_000_000;
+/// Upper bound on the states of an exploration, above what each of them reaches.
+const MAX_STATES: usize = 1_000_000;
 
-/// What a giver-up does when its claim turns up in the log later.
+/// What a box that gave up does when its claim appears in the log later.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Rules {
-    Ours,
-    /// The broken rule: it takes its word back.
-    TakesWordBack,
+    /// The implemented rule: it appends the release again.
+    Correct,
+    /// A broken rule: it uses the right although it answered `not-run`.
+    UsesRightAfterNotRun,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct BoxNow {
+struct BoxState {
     incarnation: u64,
     claimant: Option<Claimant>,
-    /// Claims that this life gave up, and told the caller `not-run`.
+    /// Claims that this incarnation gave up after which it answered `not-run`.
     given_up: Vec<Claimant>,
     taken: Vec<Uuid>,
     read: usize,
@@ -45,13 +48,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct State {
-    boxes: Vec<BoxNow>,
+    boxes: Vec<BoxState>,
     log: Vec<ClaimRecord>,
-    /// Appends on their way, each with the deliveries that it may still make.
+    /// Appends in transit, each with its remaining deliveries.
     appends: Vec<(ClaimRecord, u8)>,
+    /// Hand-overs in transit, each with its remaining deliveries.
     hand_overs: Vec<(HandOver, u8)>,
     executions: Vec<Uuid>,
-    told_not_run: BTreeSet<Uuid>,
+    answered_not_run: BTreeSet<Uuid>,
     crashes_left: u8,
     hand_overs_left: u8,
     refusals_left: u8,
@@ -76,7 +80,7 @@
 
 impl State {
     fn start(bounds: Bounds) -> Self {
-        let fresh = BoxNow {
+        let fresh = BoxState {
             incarnation: 1,
             claimant: None,
             given_up: Vec::new(),
@@ -84,7 +88,7 @@
             read: 0,
             claims_left: 0,
         };
-        let with = |claims_left| BoxNow {
+        let with = |claims_left| BoxState {
             claims_left,
             ..fresh.clone()
         };
@@ -94,7 +98,7 @@
             appends: Vec::new(),
             hand_overs: Vec::new(),
             executions: Vec::new(),
-            told_not_run: BTreeSet::new(),
+            answered_not_run: BTreeSet::new(),
             crashes_left: bounds.crashes,
             hand_overs_left: bounds.hand_overs,
             refusals_left: bounds.refusals,
@@ -117,7 +121,7 @@
         self.appends.sort();
     }
 
-    /// Every state that one step leads to.
+    /// Returns every state that one step leads to.
     fn next(&self, rules: Rules) -> Vec<State> {
         let mut out = Vec::new();
         for b in 0..BOXES {
@@ -162,24 +166,24 @@
         if let Some(claimant) = &mut s.boxes[b].claimant {
             claimant.observe(&claims);
         }
-        let mut again = Vec::new();
-        let mut back = None;
+        let mut releases = Vec::new();
+        let mut used_again = None;
         for c in &mut s.boxes[b].given_up {
             if let Some(ClaimCommand::Append(release)) = c.observe(&claims) {
                 match rules {
-                    Rules::Ours => again.push(release),
-                    Rules::TakesWordBack => back = claims.winner.clone(),
+                    Rules::Correct => releases.push(release),
+                    Rules::UsesRightAfterNotRun => used_again = claims.winner.clone(),
                 }
             }
         }
-        // The release of a claim that turned up late; one such append is enough to explore.
-        for release in again {
+        // The release of a claim that appeared late; one such append is enough to explore.
+        for release in releases {
             if !s.appends.iter().any(|(r, _)| *r == release) && !s.log.contains(&release) {
                 s.append(release);
             }
         }
-        if let Some(winner) = back {
-            let right = Right {
+        if let Some(winner) = used_again {
+            let right = ExecutionRight {
                 key: key(),
                 nonce: winner.nonce,
                 fence: winner.fence,
@@ -206,7 +210,7 @@
         assert!(matches!(c.dispatch(), ClaimCommand::Dispatch(_)));
         assert_eq!(c.dispatch(), ClaimCommand::Refuse, "a right is used once");
         if self.refusals_left > 0 {
-            // The upstream refused it before its start.
+            // The upstream refused the request before it started.
             let mut refused = s.clone();
             refused.refusals_left -= 1;
             refused.boxes[b]
@@ -216,7 +220,7 @@
                 .not_started(right);
             out.push(refused);
         }
-        s.executions.push(c_nonce(&s, b));
+        s.executions.push(nonce_of(&s, b));
         out.push(s);
     }
 
@@ -228,7 +232,7 @@
         let mut s = self.clone();
         match claimant.give_up() {
             ClaimCommand::Append(release) => {
-                s.told_not_run.insert(claimant.nonce());
+                s.answered_not_run.insert(claimant.nonce());
                 s.boxes[b].given_up.push(claimant);
                 s.boxes[b].claimant = None;
                 s.append(release);
@@ -275,7 +279,7 @@
         out.push(s);
     }
 
-    /// Delivered, doubled or lost.
+    /// The append is delivered, delivered with a duplicate to follow, or lost.
     fn deliver_append(&self, i: usize, out: &mut Vec<State>) {
         let mut lost = self.clone();
         let (record, left) = lost.appends.remove(i);
@@ -283,16 +287,17 @@
             let mut s = lost.clone();
             s.log.push(record.clone());
             if left > 1 {
-                let mut doubled = s.clone();
-                doubled.appends.push((record, left - 1));
-                doubled.appends.sort();
-                out.push(doubled);
+                let mut duplicated = s.clone();
+                duplicated.appends.push((record, left - 1));
+                duplicated.appends.sort();
+                out.push(duplicated);
             }
             out.push(s);
         }
         out.push(lost);
     }
 
+    /// The hand-over is delivered, delivered with a duplicate to follow, or lost.
     fn deliver_hand_over(&self, i: usize, out: &mut Vec<State>) {
         let mut lost = self.clone();
         let (hand_over, left) = lost.hand_overs.remove(i);
@@ -310,9 +315,9 @@
             }
         }
         if left > 1 {
-            let mut doubled = s.clone();
-            doubled.hand_overs.push((hand_over, left - 1));
-            out.push(doubled);
+            let mut duplicated = s.clone();
+            duplicated.hand_overs.push((hand_over, left - 1));
+            out.push(duplicated);
         }
         out.push(s);
         out.push(lost);
@@ -325,7 +330,7 @@
         if self
             .executions
             .iter()
-            .any(|n| self.told_not_run.contains(n))
+            .any(|n| self.answered_not_run.contains(n))
         {
             return Err(format!("ran after `not-run`: {self:#?}"));
         }
@@ -337,11 +342,12 @@
     matches!(c.state(), ClaimantState::Holds(_))
 }
 
-fn c_nonce(s: &State, b: usize) -> Uuid {
+fn nonce_of(s: &State, b: usize) -> Uuid {
     s.boxes[b].claimant.as_ref().unwrap().nonce()
 }
 
-/// Explores breadth first; returns the states seen, or the first that breaks a promise.
+/// Explores breadth first; returns the number of states, or the first state that breaks
+/// an invariant.
 fn explore(rules: Rules, bounds: Bounds) -> Result<usize, String> {
     let mut seen: HashSet<State> = HashSet::new();
     let mut layer = vec![State::start(bounds)];
@@ -355,15 +361,15 @@
                     next.push(s);
                 }
             }
-            assert!(seen.len() < MOST_STATES, "the exploration did not end");
+            assert!(seen.len() < MAX_STATES, "the exploration did not end");
         }
         layer = next;
     }
     Ok(seen.len())
 }
 
-fn no_double_run(bounds: Bounds) {
-    let states = explore(Rules::Ours, bounds).unwrap_or_else(|e| panic!("{e}"));
+fn assert_no_double_run(bounds: Bounds) {
+    let states = explore(Rules::Correct, bounds).unwrap_or_else(|e| panic!("{e}"));
     println!("states: {states}");
     assert!(states > 1_000);
 }
@@ -378,13 +384,13 @@
 };
 
 #[test]
-fn appends_doubled_and_late_with_a_crash_and_a_refusal() {
-    no_double_run(CRASH);
+fn duplicated_and_late_appends_with_a_crash_and_a_refusal_cause_no_double_run() {
+    assert_no_double_run(CRASH);
 }
 
 #[test]
-fn a_hand_over_doubled_late_and_lost_with_a_crash() {
-    no_double_run(Bounds {
+fn a_duplicated_late_or_lost_hand_over_with_a_crash_causes_no_double_run() {
+    assert_no_double_run(Bounds {
         hand_overs: 1,
         refusals: 0,
         deliveries: 1,
@@ -393,8 +399,8 @@
 }
 
 #[test]
-fn the_same_key_sent_again_after_not_run() {
-    no_double_run(Bounds {
+fn a_key_that_is_sent_again_after_not_run_causes_no_double_run() {
+    assert_no_double_run(Bounds {
         claims: [2, 1],
         crashes: 0,
         refusals: 0,
@@ -404,9 +410,10 @@
     });
 }
 
-/// The proof fails where a giver-up doesn't stay by its word.
+/// Shows that the exploration detects a violation: a box that gave up and answered
+/// `not-run` uses its right when its claim appears in the log later.
 #[test]
-fn taking_a_word_back_is_found() {
-    let found = explore(Rules::TakesWordBack, CRASH);
+fn the_exploration_detects_a_run_after_not_run() {
+    let found = explore(Rules::UsesRightAfterNotRun, CRASH);
     assert!(found.is_err(), "the broken rule went unnoticed");
 }
--- a/tests/decisions/clients.rs
+++ b/tests/decisions/clients.rs
@@ -1,4 +1,4 @@
-//! When connections of clients are closed, and what a stopping daemon takes.
+//! When client connections are closed, and which requests a stopping daemon accepts.
 
 use saddlepulley::policy::{ClientActivity, CloseReason, CloseStep, StopSchedule};
 
@@ -6,7 +6,7 @@
 const IDLE: CloseReason = CloseReason::Idle;
 
 #[test]
-fn a_connection_that_rests_is_closed_at_once() {
+fn an_idle_connection_is_closed_at_once() {
     let mut activity = ClientActivity::new(0);
     activity.begin_request();
     activity.finish_request(1_000);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_stop_waits_for_answers_and_an_idle_limit_does_not_hold_while_answering() {
+fn a_stop_waits_for_responses_and_the_idle_limit_does_not_apply_during_a_response() {
     let mut activity = ClientActivity::new(0);
     activity.begin_request();
     assert_eq!(activity.close_step(STOP, false, 10, 9_000), CloseStep::Wait);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_request_that_has_arrived_is_waited_for_but_not_for_long() {
+fn a_request_that_is_arriving_delays_the_close_for_a_limited_time() {
     let mut unused = ClientActivity::new(0);
     for (reason, has_unread) in [(STOP, true), (IDLE, true)] {
         let step = |now_ms| unused.close_step(reason, has_unread, 10_000, now_ms);
@@ -33,7 +33,7 @@
         assert_eq!(step(10_900), CloseStep::Wait);
         assert_eq!(step(11_000), CloseStep::Close);
     }
-    // A part of its head was read.
+    // A part of a request head was read.
     unused.record_bytes();
     assert_eq!(
         unused.close_step(STOP, false, 10_000, 10_900),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_stop_leaves_new_clients_and_those_just_answered_time_to_ask() {
+fn a_stop_leaves_new_and_just_answered_clients_time_to_send_a_request() {
     let new = ClientActivity::new(9_900);
     assert_eq!(new.close_step(STOP, false, 10_000, 10_000), CloseStep::Wait);
     assert_eq!(
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_idle_connection_that_is_used_after_all_stays() {
+fn an_idle_connection_that_gets_a_request_is_kept() {
     let mut activity = ClientActivity::new(0);
     assert_eq!(
         activity.close_step(IDLE, true, 10_000, 10_000),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_body_read_while_its_request_is_answered_begins_no_other() {
+fn a_body_read_during_a_response_does_not_count_as_the_next_request() {
     let mut activity = ClientActivity::new(0);
     activity.begin_request();
     activity.record_bytes();
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn after_its_notice_a_stop_takes_only_what_it_can_finish() {
-    let times = StopSchedule::new(8_000);
-    assert!(times.accepts(0, 60_000));
-    assert!(times.accepts(times.notice_ms - 1, 60_000));
-    assert!(times.accepts(times.notice_ms, times.end_ms - times.notice_ms));
-    assert!(!times.accepts(times.notice_ms, times.end_ms - times.notice_ms + 1));
-    // A short stop has a short notice.
+fn after_the_notice_period_a_stop_accepts_only_requests_that_can_finish() {
+    let schedule = StopSchedule::new(8_000);
+    assert!(schedule.accepts(0, 60_000));
+    assert!(schedule.accepts(schedule.notice_ms - 1, 60_000));
+    assert!(schedule.accepts(schedule.notice_ms, schedule.end_ms - schedule.notice_ms));
+    assert!(!schedule.accepts(schedule.notice_ms, schedule.end_ms - schedule.notice_ms + 1));
+    // A short stop has a short notice period.
     let short = StopSchedule::new(1_000);
     assert!(short.notice_ms * 2 <= short.end_ms && short.end_ms < 1_000);
 }
--- a/tests/decisions/duties.rs
+++ b/tests/decisions/duties.rs
@@ -1,4 +1,4 @@
-//! The duties' topic: one holder at a time, and one report a window.
+//! The duties topic: one lease holder at a time, and one usage report per window.
 
 use {
     saddlepulley::{
@@ -10,7 +10,7 @@
 
 const TERM_MS: u64 = 3_000;
 
-fn claimer(name: &str) -> BoxIncarnation {
+fn incarnation_of(name: &str) -> BoxIncarnation {
     BoxIncarnation {
         id: BoxId::from(name),
         incarnation: 1,
@@ -21,7 +21,8 @@
     BTreeMap::from([(ClientAccount::from("t"), n)])
 }
 
-/// Takes or renews the lease; `records` is the topic.
+/// Takes or renews the lease and returns true if a record was appended; `records` is the
+/// topic.
 fn take(log: &mut DutyLog, records: &mut Vec<DutyRecord>, now_ms: u64) -> bool {
     read(log, records, now_ms);
     let LeaseStep::Append(lease) = log.step(now_ms) else {
@@ -41,14 +42,18 @@
 }
 
 #[test]
-fn a_successor_waits_until_the_lease_is_over_and_has_a_higher_fence() {
+fn a_successor_waits_until_the_lease_expires_and_gets_a_higher_fencing_token() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(claimer("a"), TERM_MS);
-    let mut b = DutyLog::new(claimer("b"), TERM_MS);
+    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
+    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
     assert!(take(&mut a, &mut records, 0));
     let fence_a = a.fence_for(0, 10).unwrap();
     assert!(!take(&mut b, &mut records, 1_000));
-    assert_eq!(a.fence_for(0, TERM_MS), None, "over by its own clock");
+    assert_eq!(
+        a.fence_for(0, TERM_MS),
+        None,
+        "the lease has expired by its own clock"
+    );
     assert!(take(&mut b, &mut records, 1_000 + TERM_MS));
     assert!(b.fence_for(0, 1_000 + TERM_MS).unwrap() > fence_a);
     read(&mut a, &records, 5_000);
@@ -56,24 +61,24 @@
 }
 
 #[test]
-fn a_lease_that_is_given_back_can_be_taken_at_once() {
+fn a_released_lease_can_be_taken_at_once() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(claimer("a"), TERM_MS);
-    let mut b = DutyLog::new(claimer("b"), TERM_MS);
+    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
+    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
     assert!(take(&mut a, &mut records, 0));
     let fence_a = a.fence_for(0, 10).unwrap();
     assert!(!take(&mut b, &mut records, 1_000));
-    assert_eq!(b.release(1_000), None, "it is not b's");
-    let release = a.release(1_000).expect("a holds it");
+    assert_eq!(b.release(1_000), None, "b does not hold the lease");
+    let release = a.release(1_000).expect("a holds the lease");
     a.record_sent(&release, 1_000);
     records.push(DutyRecord::Lease(release));
     read(&mut a, &records, 1_010);
-    assert_eq!(a.fence_for(0, 1_010), None, "a acts no more");
+    assert_eq!(a.fence_for(0, 1_010), None, "a no longer holds the lease");
     assert!(take(&mut b, &mut records, 1_020));
     assert!(b.fence_for(0, 1_030).unwrap() > fence_a);
-    // Given back in vain: one that took it meanwhile keeps it.
+    // A release that follows an older lease has no effect on the new holder.
     let late = LeaseRecord {
-        by: claimer("a"),
+        by: incarnation_of("a"),
         follows: 1,
         term_ms: 0,
     };
@@ -83,9 +88,9 @@
 }
 
 #[test]
-fn the_fence_stays_while_the_holder_renews() {
+fn a_renewal_keeps_the_fencing_token() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(claimer("a"), TERM_MS);
+    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
     take(&mut a, &mut records, 0);
     let fence = a.fence_for(0, 0);
     assert!(take(&mut a, &mut records, 2_000));
@@ -93,23 +98,23 @@
 }
 
 #[test]
-fn a_call_that_could_end_after_the_lease_is_not_made() {
+fn a_call_that_could_end_after_the_lease_gets_no_fencing_token() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(claimer("a"), TERM_MS);
+    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
     take(&mut a, &mut records, 0);
     assert!(a.fence_for(900, 2_000).is_some());
     assert!(a.fence_for(900, 2_200).is_none());
 }
 
 #[test]
-fn a_lost_answer_to_a_renewal_counts_from_when_it_was_first_sent() {
+fn the_term_of_a_lease_record_that_was_retried_counts_from_the_first_try() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(claimer("a"), TERM_MS);
+    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
     let LeaseStep::Append(lease) = a.step(0) else {
         panic!("the lease is free");
     };
     a.record_sent(&lease, 0);
-    // The answer is lost, the record is there; it is sent again and conflicts.
+    // The record was appended but the reply is lost; the retry conflicts.
     records.push(DutyRecord::Lease(lease.clone()));
     a.record_sent(&lease, 2_500);
     read(&mut a, &records, 2_600);
@@ -120,23 +125,27 @@
 #[test]
 fn a_successor_sends_the_report_that_was_announced() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(claimer("a"), TERM_MS);
+    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
     take(&mut a, &mut records, 0);
     records.push(a.usage_record(7, counts(10)));
-    let mut b = DutyLog::new(claimer("b"), TERM_MS);
+    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
     read(&mut b, &records, 0);
     assert!(take(&mut b, &mut records, TERM_MS));
     assert_eq!(b.report(7), Some(&counts(10)));
     records.push(b.usage_record(7, counts(99)));
     read(&mut b, &records, TERM_MS);
-    assert_eq!(b.report(7), Some(&counts(10)), "the first one stays");
+    assert_eq!(
+        b.report(7),
+        Some(&counts(10)),
+        "only the first report counts"
+    );
 }
 
 #[test]
-fn a_report_of_one_that_no_longer_holds_the_lease_does_not_count() {
+fn a_report_by_a_former_lease_holder_does_not_count() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(claimer("a"), TERM_MS);
-    let mut b = DutyLog::new(claimer("b"), TERM_MS);
+    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
+    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
     take(&mut a, &mut records, 0);
     read(&mut b, &records, 0);
     take(&mut b, &mut records, TERM_MS);
@@ -146,24 +155,24 @@
 }
 
 #[test]
-fn a_reader_that_comes_after_old_records_went_accepts_the_oldest_that_is_left() {
+fn a_reader_accepts_the_oldest_record_left_after_earlier_ones_were_removed() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(claimer("a"), TERM_MS);
+    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
     take(&mut a, &mut records, 0);
     take(&mut a, &mut records, 2_000);
-    let mut b = DutyLog::new(claimer("b"), TERM_MS);
+    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
     b.skip_to(1);
     read(&mut b, &records, 2_000);
     assert_eq!(b.step(2_500), LeaseStep::Wait);
 }
 
 #[test]
-fn usage_is_the_sum_of_what_each_life_counted() {
-    let terms = ClientAccount::from("t");
+fn usage_is_the_sum_of_the_counts_of_all_incarnations() {
+    let account = ClientAccount::from("t");
     let mut usage = UsageWindows::default();
-    usage.record(3, &terms);
+    usage.record(3, &account);
     usage.merge("b", 1, &[(3, counts(5))]);
-    // Told again, later and out of order.
+    // Announced again, later and out of order.
     usage.merge("b", 1, &[(3, counts(7))]);
     usage.merge("b", 1, &[(3, counts(6))]);
     usage.merge("b", 2, &[(3, counts(2))]);
@@ -171,7 +180,7 @@
 }
 
 #[test]
-fn usage_is_reported_once_it_is_whole_and_in_time_even_if_it_is_not() {
+fn usage_is_reported_when_complete_and_in_time_even_if_incomplete() {
     let readiness = |age_ms, is_complete, held_ms| UsageReadiness {
         age_ms,
         delay_ms: 10_000.0,
@@ -180,32 +189,39 @@
     };
     assert!(!readiness(1_000.0, true, 9_000.0).is_due());
     assert!(readiness(4_000.0, true, 9_000.0).is_due());
-    assert!(!readiness(4_000.0, false, 9_000.0).is_due(), "some lack");
+    assert!(
+        !readiness(4_000.0, false, 9_000.0).is_due(),
+        "counts are missing"
+    );
     assert!(readiness(7_100.0, false, 9_000.0).is_due());
-    // One that has just taken over is told by all first, unless time is up.
+    // A new holder first waits for the counts of all daemons, unless the report is due.
     assert!(!readiness(8_000.0, false, 300.0).is_due());
     assert!(readiness(9_300.0, false, 300.0).is_due());
     assert!(!readiness(13_000.0, true, 9_000.0).is_due(), "too late");
 }
 
-/// A daemon that is no hub took the duties while the source turned the hubs away, and
-/// kept them for the rest of the day, though it heard of its own domain's demand only.
+/// Guards against a daemon that is not a hub, takes the duties while the source refuses
+/// the hubs and then keeps them, although it knows only the demand of its own failure
+/// domain.
 #[test]
-fn one_that_is_no_hub_holds_the_duties_only_while_it_reads_the_source() {
+fn a_daemon_that_is_not_a_hub_holds_the_duties_only_while_it_reads_the_source() {
     let fitness = |is_stopping, is_hub, reads_source| DutyFitness {
         is_stopping,
         is_hub,
         reads_source,
     };
     assert!(fitness(false, true, true).may_hold());
-    assert!(fitness(false, true, false).may_hold(), "a hub hears of all");
+    assert!(
+        fitness(false, true, false).may_hold(),
+        "a hub knows the demand of all domains"
+    );
     assert!(
         fitness(false, false, true).may_hold(),
-        "nobody else may reach it"
+        "it may be the only daemon that reaches the source"
     );
     assert!(
         !fitness(false, false, false).may_hold(),
-        "others read it again"
+        "others read the source again"
     );
-    assert!(!fitness(true, true, true).may_hold(), "it stops");
+    assert!(!fitness(true, true, true).may_hold(), "it is stopping");
 }
--- a/tests/decisions/lease.rs
+++ b/tests/decisions/lease.rs
@@ -1,4 +1,5 @@
-//! Duties are leased: never two holders at once, and a paused one orders nothing.
+//! The lease of the duties: never two holders at once, and a holder that was paused past
+//! its term sends no orders.
 
 use {
     proptest::prelude::*,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Takes a step; an append's answer may be lost.
+    /// Takes one step; the reply to an append may be lost.
     fn step(&mut self, log: &mut Vec<LeaseRecord>, now: u64, lost: bool) {
         self.read(log, now);
         if let LeaseStep::Append(record) = self.view.step(&self.me, TERM_MS, now) {
@@ -60,10 +61,10 @@
 }
 
 proptest! {
-    /// Members step at random times, with pauses and lost answers; their own
-    /// clocks agree in rate only. At no moment may two of them act.
+    /// Guards against two holders at the same time: members step at random times, with
+    /// pauses and lost replies.
     #[test]
-    fn never_two_holders(steps in prop::collection::vec((0..3usize, 1..400u64, any::<bool>()), 1..200)) {
+    fn two_members_never_hold_the_lease_at_the_same_time(steps in prop::collection::vec((0..3usize, 1..400u64, any::<bool>()), 1..200)) {
         let mut members = [Member::new("a"), Member::new("b"), Member::new("c")];
         let mut log = Vec::new();
         let mut now = 0;
@@ -75,12 +76,12 @@
             prop_assert!(acting.len() <= 1, "two holders at {now}: {acting:?}");
             fences.extend(acting);
         }
-        prop_assert!(fences.is_sorted(), "an older fence after a newer one");
+        prop_assert!(fences.is_sorted(), "an older fencing token after a newer one");
     }
 }
 
 #[test]
-fn a_paused_holder_orders_nothing_when_it_wakes() {
+fn a_holder_that_was_paused_past_its_term_may_not_act() {
     let mut log = Vec::new();
     let mut a = Member::new("a");
     a.step(&mut log, 0, false);
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_new_holder_waits_before_it_orders_from_upstreams_without_fences() {
+fn a_new_holder_waits_before_it_sends_orders_to_upstreams_that_check_no_fencing_token() {
     let mut log = Vec::new();
     let (mut a, mut b) = (Member::new("a"), Member::new("b"));
     a.step(&mut log, 0, false);
--- a/tests/decisions/splice.rs
+++ b/tests/decisions/splice.rs
@@ -1,4 +1,4 @@
-//! The splicing rule against a naive reference.
+//! Assembly of answers from chunks, compared with a naive reference.
 
 use {proptest::prelude::*, saddlepulley::policy::*, std::sync::Arc};
 
@@ -6,7 +6,7 @@
     Arc::from(format!("{attempt}:{i} "))
 }
 
-fn piece(attempt: u32, offset: usize, len: usize, total: Option<usize>) -> AnswerChunk {
+fn chunk(attempt: u32, offset: usize, len: usize, total: Option<usize>) -> AnswerChunk {
     AnswerChunk {
         attempt,
         offset,
@@ -15,8 +15,8 @@
     }
 }
 
-/// The reference: remembers every token of the current attempt by offset and
-/// commits the longest run without a gap.
+/// The reference: keeps every token of the current attempt by offset and commits the
+/// longest run without a gap.
 #[derive(Default)]
 struct Naive {
     attempt: u32,
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     NextAttempt,
-    AnswerChunk {
+    Chunk {
         old: bool,
         offset: usize,
         len: usize,
@@ -54,10 +54,10 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let piece = (any::<bool>(), 0..40usize, 0..12usize)
-        .prop_map(|(old, offset, len)| Step::AnswerChunk { old, offset, len });
+    let chunk = (any::<bool>(), 0..40usize, 0..12usize)
+        .prop_map(|(old, offset, len)| Step::Chunk { old, offset, len });
     prop::collection::vec(
-        prop_oneof![1 => Just(Step::NextAttempt), 20 => piece],
+        prop_oneof![1 => Just(Step::NextAttempt), 20 => chunk],
         1..120,
     )
 }
@@ -76,9 +76,9 @@
                     splice.next_attempt();
                     naive.next_attempt();
                 }
-                Step::AnswerChunk { old, offset, len } => {
+                Step::Chunk { old, offset, len } => {
                     let attempt = naive.attempt - u32::from(old);
-                    let p = piece(attempt, offset, len, None);
+                    let p = chunk(attempt, offset, len, None);
                     naive.take(&p);
                     text.extend(splice.take(p));
                 }
@@ -89,7 +89,7 @@
     }
 
     #[test]
-    fn any_order_of_all_pieces_gives_the_whole(
+    fn any_order_of_all_chunks_gives_the_complete_answer(
         cuts in prop::collection::btree_set(1..60usize, 0..10),
         order in any::<prop::sample::Index>(),
         seed in any::<u64>(),
@@ -99,42 +99,42 @@
         let mut ends: Vec<usize> = cuts.into_iter().collect();
         ends.push(total);
         let mut start = 0;
-        let mut pieces = Vec::new();
+        let mut chunks = Vec::new();
         for end in ends {
-            pieces.push(piece(1, start, end - start, (end == total).then_some(total)));
+            chunks.push(chunk(1, start, end - start, (end == total).then_some(total)));
             start = end;
         }
-        let doubled = pieces[order.index(pieces.len())].clone();
-        pieces.push(doubled);
-        pieces.shuffle(&mut rand_chacha::ChaCha8Rng::seed_from_u64(seed));
+        let duplicate = chunks[order.index(chunks.len())].clone();
+        chunks.push(duplicate);
+        chunks.shuffle(&mut rand_chacha::ChaCha8Rng::seed_from_u64(seed));
         let mut splice = Splice::default();
         splice.next_attempt();
         let mut text = Vec::new();
-        for p in pieces {
+        for p in chunks {
             text.extend(splice.take(p));
         }
-        let whole: Vec<_> = (0..total).map(|i| token(1, i)).collect();
-        prop_assert_eq!(text, whole);
+        let expected: Vec<_> = (0..total).map(|i| token(1, i)).collect();
+        prop_assert_eq!(text, expected);
         prop_assert!(splice.is_complete());
     }
 }
 
 #[test]
-fn nothing_is_committed_beyond_the_total() {
+fn no_token_is_committed_beyond_the_total() {
     let mut splice = Splice::default();
     splice.next_attempt();
-    let got = splice.take(piece(1, 0, 10, Some(8)));
+    let got = splice.take(chunk(1, 0, 10, Some(8)));
     assert_eq!(got.len(), 8);
     assert!(splice.is_complete());
 }
 
 #[test]
-fn early_pieces_are_bounded() {
+fn buffered_out_of_order_tokens_are_bounded() {
     let mut splice = Splice::default();
     splice.next_attempt();
     for i in 1..10_000 {
-        splice.take(piece(1, i * 10, 10, None));
+        splice.take(chunk(1, i * 10, 10, None));
     }
-    let got = splice.take(piece(1, 0, 10, None));
+    let got = splice.take(chunk(1, 0, 10, None));
     assert!(got.len() <= 10 + MAX_EARLY_TOKENS);
 }
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -1,4 +1,4 @@
-//! Counts of requests reach the holder of the duties whole.
+//! Usage counts reach the holder of the duties completely.
 
 use {
     crate::cluster_support::address,
@@ -10,12 +10,12 @@
 };
 
 #[test]
-fn usage_of_300_daemons_and_40_accounts_reaches_the_holder_whole() {
+fn usage_of_300_daemons_and_40_accounts_reaches_the_holder_completely() {
     let mut holder = UsageWindows::default();
     let mut true_total = 0;
     for daemon in 0..300_usize {
         let mut own = UsageWindows::default();
-        let mut teller = UsageAnnouncer::default();
+        let mut announcer = UsageAnnouncer::default();
         for n in 0..60 {
             let account = ClientAccount::from(format!("tenant-{}", (daemon + n) % 40).as_str());
             own.record(7 + n as u64 % 2, &account);
@@ -23,9 +23,9 @@
         true_total += 30;
         let name = format!("n{daemon}");
         let holder_at = (address(0), 99);
-        // Each third datagram is lost.
+        // Every third datagram is lost.
         for round in 0..8 {
-            let parts = teller.parts((&name, 1), holder_at, &own.newest(8), 9);
+            let parts = announcer.parts((&name, 1), holder_at, &own.newest(8), 9);
             for (n, part) in parts.into_iter().enumerate() {
                 if (n + round + daemon) % 3 == 0 {
                     continue;
@@ -35,7 +35,7 @@
                 let counts = counts.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
                 holder.merge(&name, 1, &[(part.window, counts.collect())]);
                 holder.record_complete(&name, part.complete_before, 1_000);
-                teller.apply(
+                announcer.apply(
                     address(0),
                     UsageAck {
                         holder_incarnation: 99,
@@ -52,32 +52,33 @@
     assert_eq!(
         holder.usage_complete_from(9, 0),
         (300, false),
-        "it is not over"
+        "window 9 is not over"
     );
 }
 
 #[test]
-fn a_new_holder_of_the_duties_is_told_all_again() {
+fn a_new_holder_of_the_duties_gets_all_counts_again() {
     let mut own = UsageWindows::default();
     own.record(7, &ClientAccount::from("t"));
-    let mut teller = UsageAnnouncer::default();
-    let heard = |parts: &[UsagePart], incarnation| UsageAck {
+    let mut announcer = UsageAnnouncer::default();
+    let ack = |parts: &[UsagePart], incarnation| UsageAck {
         holder_incarnation: incarnation,
         incarnation: 1,
         number: parts[0].number,
     };
-    let parts = teller.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
-    teller.apply(address(0), heard(&parts, 5));
-    let again = teller.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
-    assert!(again.is_empty(), "it has heard all: {again:?}");
-    let parts = teller.parts(("n", 1), (address(1), 6), &own.newest(8), 7);
+    let parts = announcer.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
+    announcer.apply(address(0), ack(&parts, 5));
+    let again = announcer.parts(("n", 1), (address(0), 5), &own.newest(8), 7);
+    assert!(again.is_empty(), "all counts were acknowledged: {again:?}");
+    let parts = announcer.parts(("n", 1), (address(1), 6), &own.newest(8), 7);
     assert_eq!(parts[0].counts, [("t".to_string(), 1)]);
 }
 
-/// Daemons stop one after the other, and with them each that knew their counts: a
-/// holder of the duties that came late reports them all the same.
+/// Guards against lost counts when daemons stop one after the other: those who received
+/// the counts of a stopped daemon pass them on before they stop, so that a later holder
+/// of the duties can report them.
 #[test]
-fn what_a_stopping_daemon_has_heard_reaches_a_holder_that_came_late() {
+fn counts_received_by_a_stopping_daemon_reach_a_later_holder() {
     let account = ClientAccount::from("t");
     let counts = |n: u64| [(account.clone(), n)].into_iter().collect();
     let mut first_holder = UsageWindows::default();
@@ -87,25 +88,26 @@
     first_holder.record_contact("lives", 2, 5_000);
 
     let mut second_holder = UsageWindows::default();
-    // The second holder is known since 4,000: what was heard later it has heard, too.
+    // The second holder is known since 4,000 ms: it has received itself what was announced
+    // later.
     assert_eq!(first_holder.received(7, 4_000).len(), 1);
-    for heard in first_holder.received(7, 6_000) {
-        let mut teller = UsageAnnouncer::default();
-        let daemon = (heard.name.as_str(), heard.incarnation);
-        let parts = teller.parts(daemon, (address(1), 6), &heard.windows, 0);
+    for usage in first_holder.received(7, 6_000) {
+        let mut announcer = UsageAnnouncer::default();
+        let daemon = (usage.name.as_str(), usage.incarnation);
+        let parts = announcer.parts(daemon, (address(1), 6), &usage.windows, 0);
         for part in parts {
             assert_eq!(
                 part.complete_before, 0,
-                "only a daemon itself says what is whole"
+                "only a daemon itself declares its counts complete"
             );
-            let told = part.counts.iter();
-            let told = told.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
+            let counts = part.counts.iter();
+            let counts = counts.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
             second_holder.merge(
                 &part.name,
                 part.incarnation,
-                &[(part.window, told.collect())],
+                &[(part.window, counts.collect())],
             );
-            teller.apply(
+            announcer.apply(
                 address(1),
                 UsageAck {
                     holder_incarnation: 6,
@@ -114,32 +116,36 @@
                 },
             );
         }
-        let again = teller.parts(daemon, (address(1), 6), &heard.windows, 0);
-        assert!(again.is_empty(), "all of it was heard: {again:?}");
+        let again = announcer.parts(daemon, (address(1), 6), &usage.windows, 0);
+        assert!(again.is_empty(), "all counts were acknowledged: {again:?}");
     }
     assert_eq!(second_holder.total(7), counts(5));
     assert_eq!(second_holder.total(8), counts(7));
-    assert!(second_holder.total(3).is_empty(), "it is long reported");
+    assert!(
+        second_holder.total(3).is_empty(),
+        "the window was reported long ago"
+    );
 }
 
-/// A daemon that serves nothing for long tells each window that it is over. That makes
-/// it forget nothing of what was heard before: it would tell it for ever.
+/// Guards against counts that are announced for ever: a daemon without requests announces
+/// the end of each window, and these acknowledgements must not displace those of earlier
+/// counts.
 #[test]
-fn what_was_heard_is_not_told_again_after_many_empty_windows() {
+fn acknowledged_counts_are_not_announced_again_after_many_empty_windows() {
     let mut own = UsageWindows::default();
     own.record(7, &ClientAccount::from("t"));
-    let mut teller = UsageAnnouncer::default();
-    let mut told = Vec::new();
+    let mut announcer = UsageAnnouncer::default();
+    let mut announced = Vec::new();
     for window in 8..40 {
-        for part in teller.parts(("n", 1), (address(0), 5), &own.newest(8), window) {
-            let heard = UsageAck {
+        for part in announcer.parts(("n", 1), (address(0), 5), &own.newest(8), window) {
+            let ack = UsageAck {
                 holder_incarnation: 5,
                 incarnation: 1,
                 number: part.number,
             };
-            teller.apply(address(0), heard);
-            told.extend(part.counts);
+            announcer.apply(address(0), ack);
+            announced.extend(part.counts);
         }
     }
-    assert_eq!(told.len(), 1, "{told:?}");
+    assert_eq!(announced.len(), 1, "{announced:?}");
 }
