--- a/src/policy/admission/admission_queue.rs
+++ b/src/policy/admission/admission_queue.rs
@@ -40,6 +40,7 @@
             self.level -= amount;
             return Ok(());
         }
+        // A bucket without a rate never refills.
         if rate <= 0.0 {
             return Err(60_000);
         }
--- a/src/policy/admission/concurrency.rs
+++ b/src/policy/admission/concurrency.rs
@@ -72,6 +72,7 @@
             self.shrink();
             return;
         }
+        // The limit grows only while at least half of it is in use.
         let is_used = f64::from(in_flight) * 2.0 >= self.limit;
         if is_used {
             self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
--- a/src/policy/duties/usage_due.rs
+++ b/src/policy/duties/usage_due.rs
@@ -3,7 +3,7 @@
 /// be known yet.
 const COMPLETE_REPORT_AT: f64 = 0.35;
 /// Fraction of the report delay after which a window is reported if counts are missing:
-/// the daemons that lack may be disconnected for some seconds, or have stopped.
+/// daemons whose counts are missing may be disconnected for some seconds, or stopped.
 const INCOMPLETE_REPORT_AT: f64 = 0.7;
 /// Multiple of the report delay up to which a late report is still sent.
 const LAST_REPORT_AT: f64 = 1.2;
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -87,8 +87,8 @@
         for (window, theirs) in counts {
             let merged = known.entry(*window).or_default();
             for (account, count) in theirs {
-                let max = merged.entry(account.clone()).or_default();
-                *max = (*max).max(*count);
+                let highest = merged.entry(account.clone()).or_default();
+                *highest = (*highest).max(*count);
             }
         }
         trim(known);
--- a/tests/decisions/claim_exploration.rs
+++ b/tests/decisions/claim_exploration.rs
@@ -39,7 +39,7 @@
 struct BoxState {
     incarnation: u64,
     claimant: Option<Claimant>,
-    /// Claims that this incarnation gave up after which it answered `not-run`.
+    /// Claims that this incarnation gave up, with the answer `not-run` to the client.
     given_up: Vec<Claimant>,
     taken: Vec<Uuid>,
     read: usize,
@@ -71,7 +71,7 @@
     }
 }
 
-fn claimer(b: usize, incarnation: u64) -> BoxIncarnation {
+fn box_incarnation(b: usize, incarnation: u64) -> BoxIncarnation {
     BoxIncarnation {
         id: BoxId::from(["a", "b"][b]),
         incarnation,
@@ -148,7 +148,7 @@
         let mut s = self.clone();
         s.nonces += 1;
         let nonce = Uuid::from_u128(s.nonces);
-        let by = claimer(b, s.boxes[b].incarnation);
+        let by = box_incarnation(b, s.boxes[b].incarnation);
         let (claimant, record) = Claimant::start(key(), nonce, by);
         s.boxes[b].claimant = Some(claimant);
         s.boxes[b].claims_left -= 1;
@@ -167,12 +167,12 @@
             claimant.observe(&claims);
         }
         let mut releases = Vec::new();
-        let mut used_again = None;
+        let mut late_winner = None;
         for c in &mut s.boxes[b].given_up {
             if let Some(ClaimCommand::Append(release)) = c.observe(&claims) {
                 match rules {
                     Rules::Correct => releases.push(release),
-                    Rules::UsesRightAfterNotRun => used_again = claims.winner.clone(),
+                    Rules::UsesRightAfterNotRun => late_winner = claims.winner.clone(),
                 }
             }
         }
@@ -182,13 +182,13 @@
                 s.append(release);
             }
         }
-        if let Some(winner) = used_again {
+        if let Some(winner) = late_winner {
             let right = ExecutionRight {
                 key: key(),
                 nonce: winner.nonce,
                 fence: winner.fence,
             };
-            let me = claimer(b, s.boxes[b].incarnation);
+            let me = box_incarnation(b, s.boxes[b].incarnation);
             let hand_over = HandOver {
                 right,
                 taker: me.clone(),
@@ -251,7 +251,7 @@
             return;
         }
         let mut s = self.clone();
-        let taker = claimer(1 - b, s.boxes[1 - b].incarnation);
+        let taker = box_incarnation(1 - b, s.boxes[1 - b].incarnation);
         let Some(claimant) = &mut s.boxes[b].claimant else {
             return;
         };
@@ -307,7 +307,7 @@
             1
         };
         let mut s = lost.clone();
-        let me = claimer(to, s.boxes[to].incarnation);
+        let me = box_incarnation(to, s.boxes[to].incarnation);
         if s.boxes[to].claimant.as_ref().is_none_or(|c| !holds(c)) {
             let taken = Claimant::take(&hand_over, &me, &mut s.boxes[to].taken);
             if taken.is_some() {
--- a/tests/decisions/duties.rs
+++ b/tests/decisions/duties.rs
@@ -10,7 +10,7 @@
 
 const TERM_MS: u64 = 3_000;
 
-fn incarnation_of(name: &str) -> BoxIncarnation {
+fn box_incarnation(name: &str) -> BoxIncarnation {
     BoxIncarnation {
         id: BoxId::from(name),
         incarnation: 1,
@@ -44,8 +44,8 @@
 #[test]
 fn a_successor_waits_until_the_lease_expires_and_gets_a_higher_fencing_token() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
-    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
+    let mut a = DutyLog::new(box_incarnation("a"), TERM_MS);
+    let mut b = DutyLog::new(box_incarnation("b"), TERM_MS);
     assert!(take(&mut a, &mut records, 0));
     let fence_a = a.fence_for(0, 10).unwrap();
     assert!(!take(&mut b, &mut records, 1_000));
@@ -63,8 +63,8 @@
 #[test]
 fn a_released_lease_can_be_taken_at_once() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
-    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
+    let mut a = DutyLog::new(box_incarnation("a"), TERM_MS);
+    let mut b = DutyLog::new(box_incarnation("b"), TERM_MS);
     assert!(take(&mut a, &mut records, 0));
     let fence_a = a.fence_for(0, 10).unwrap();
     assert!(!take(&mut b, &mut records, 1_000));
@@ -78,7 +78,7 @@
     assert!(b.fence_for(0, 1_030).unwrap() > fence_a);
     // A release that follows an older lease has no effect on the new holder.
     let late = LeaseRecord {
-        by: incarnation_of("a"),
+        by: box_incarnation("a"),
         follows: 1,
         term_ms: 0,
     };
@@ -90,7 +90,7 @@
 #[test]
 fn a_renewal_keeps_the_fencing_token() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
+    let mut a = DutyLog::new(box_incarnation("a"), TERM_MS);
     take(&mut a, &mut records, 0);
     let fence = a.fence_for(0, 0);
     assert!(take(&mut a, &mut records, 2_000));
@@ -100,7 +100,7 @@
 #[test]
 fn a_call_that_could_end_after_the_lease_gets_no_fencing_token() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
+    let mut a = DutyLog::new(box_incarnation("a"), TERM_MS);
     take(&mut a, &mut records, 0);
     assert!(a.fence_for(900, 2_000).is_some());
     assert!(a.fence_for(900, 2_200).is_none());
@@ -109,7 +109,7 @@
 #[test]
 fn the_term_of_a_lease_record_that_was_retried_counts_from_the_first_try() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
+    let mut a = DutyLog::new(box_incarnation("a"), TERM_MS);
     let LeaseStep::Append(lease) = a.step(0) else {
         panic!("the lease is free");
     };
@@ -125,10 +125,10 @@
 #[test]
 fn a_successor_sends_the_report_that_was_announced() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
+    let mut a = DutyLog::new(box_incarnation("a"), TERM_MS);
     take(&mut a, &mut records, 0);
     records.push(a.usage_record(7, counts(10)));
-    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
+    let mut b = DutyLog::new(box_incarnation("b"), TERM_MS);
     read(&mut b, &records, 0);
     assert!(take(&mut b, &mut records, TERM_MS));
     assert_eq!(b.report(7), Some(&counts(10)));
@@ -144,8 +144,8 @@
 #[test]
 fn a_report_by_a_former_lease_holder_does_not_count() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
-    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
+    let mut a = DutyLog::new(box_incarnation("a"), TERM_MS);
+    let mut b = DutyLog::new(box_incarnation("b"), TERM_MS);
     take(&mut a, &mut records, 0);
     read(&mut b, &records, 0);
     take(&mut b, &mut records, TERM_MS);
@@ -157,10 +157,10 @@
 #[test]
 fn a_reader_accepts_the_oldest_record_left_after_earlier_ones_were_removed() {
     let mut records = Vec::new();
-    let mut a = DutyLog::new(incarnation_of("a"), TERM_MS);
+    let mut a = DutyLog::new(box_incarnation("a"), TERM_MS);
     take(&mut a, &mut records, 0);
     take(&mut a, &mut records, 2_000);
-    let mut b = DutyLog::new(incarnation_of("b"), TERM_MS);
+    let mut b = DutyLog::new(box_incarnation("b"), TERM_MS);
     b.skip_to(1);
     read(&mut b, &records, 2_000);
     assert_eq!(b.step(2_500), LeaseStep::Wait);
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -100,12 +100,12 @@
                 part.complete_before, 0,
                 "only a daemon itself declares its counts complete"
             );
-            let counts = part.counts.iter();
-            let counts = counts.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
+            let part_counts = part.counts.iter();
+            let part_counts = part_counts.map(|(a, n)| (a.as_str().into(), u64::from(*n)));
             second_holder.merge(
                 &part.name,
                 part.incarnation,
-                &[(part.window, counts.collect())],
+                &[(part.window, part_counts.collect())],
             );
             announcer.apply(
                 address(1),
