--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -7,7 +7,7 @@
         gateway::{Gateway, GatewayPhase},
         names::{BoxId, now_ms},
         policy::{
-            Claimer, DutyFitness, DutyLog, DutyRecord, LeaseRecord, LeaseStep, UsageReadiness,
+            BoxIncarnation, DutyFitness, DutyLog, DutyRecord, LeaseRecord, LeaseStep, UsageReadiness,
         },
     },
     bytes::Bytes,
@@ -53,7 +53,7 @@
         api: Arc<dyn DutyApi>,
         status_store: Arc<dyn RolloutStatusStore>,
     ) -> Self {
-        let claimer = Claimer {
+        let claimer = BoxIncarnation {
             id: BoxId::from(gateway.settings.node.name.as_str()),
             incarnation: gateway.incarnation,
         };
@@ -83,7 +83,7 @@
             }
             self.scaler.observe_fleet(&self.gateway);
             let stopping = *self.gateway.phase.borrow() != GatewayPhase::Ready;
-            let is_fit = self.fitness(stopping).keeps();
+            let is_fit = self.fitness(stopping).may_hold();
             let other_holds = self.gateway.peers.lock().has_duty_holder();
             if !holds && other_holds && !self.gateway.watches_duties() {
                 // Enough other daemons follow the renewals, and so know when the lease ends.
@@ -178,7 +178,7 @@
     }
 
     async fn take_lease(&mut self, lease: LeaseRecord) -> Result<bool, BackendError> {
-        self.log.sending(&lease, self.gateway.steady_ms());
+        self.log.record_sent(&lease, self.gateway.steady_ms());
         let taken = self.append(DutyRecord::Lease(lease)).await?;
         Ok(taken && self.log.fence_for(0, self.gateway.steady_ms()).is_some())
     }
@@ -191,7 +191,7 @@
         let Some(lease) = self.log.release(now_ms) else {
             return;
         };
-        self.log.sending(&lease, now_ms);
+        self.log.record_sent(&lease, now_ms);
         if let Err(e) = self.append(DutyRecord::Lease(lease)).await {
             // The lease expires by itself.
             log::info!(target: "duties", "the lease could not be released. error=\"{e}\"");
--- a/src/policy/clients/mod.rs
+++ b/src/policy/clients/mod.rs
@@ -1,7 +1,7 @@
-//! When connections of clients are closed, and what a daemon that stops still
-//! takes.
+//! Closing of client connections, and the requests that a stopping daemon still
+//! accepts.
 
 mod activity;
-mod stop_times;
+mod stop_schedule;
 
-pub use {activity::*, stop_times::*};
+pub use {activity::*, stop_schedule::*};
