--- a/src/policy/engines/engine_model.rs
+++ b/src/policy/engines/engine_model.rs
@@ -3,84 +3,90 @@
     std::collections::VecDeque,
 };
 
-/// How many of the last answers a new one is compared with.
-const COMPARED: usize = 8;
-/// How many comparisons are remembered: some seconds' worth under load, few
-/// enough to follow engines that change.
-const REMEMBERED: usize = 192;
-/// Prompts are compared whose sizes differ by this factor at least: between
-/// alike ones, chance decides.
+/// How many of the latest answers a new answer is compared with.
+const COMPARED_ANSWERS: usize = 8;
+/// How many comparisons are kept: a few seconds' worth under load, and few enough to follow
+/// engines whose speed changes.
+const MAX_COMPARISONS: usize = 192;
+/// Two answers are compared only if their prompt sizes differ by at least this factor:
+/// between prompts of similar size, noise decides the result.
 const MIN_SIZE_RATIO: f64 = 2.0;
-/// Each how many comparisons the estimate is worked out anew.
-const RENEW_EVERY: usize = 8;
-/// How many comparisons make an estimate.
+/// Number of new comparisons after which the estimate is recalculated.
+const ESTIMATE_INTERVAL: usize = 8;
+/// The fewest comparisons from which an estimate is made.
 const MIN_COMPARISONS: usize = 12;
-/// How much one more answer moves the averages of times.
+/// Weight of a new answer in the moving averages of times.
 const AVERAGE_WEIGHT: f64 = 0.05;
 
-/// How two answers differ: the time that a token more took.
+/// The difference between two answers, as the additional time for each additional prompt
+/// token.
 #[derive(Clone, Copy, Debug)]
 struct Comparison {
     ms_per_token: f64,
-    /// By how many tokens the prompts differ: the more, the less chance counts.
+    /// Difference of the prompt sizes in tokens. It weights the comparison: the larger it is,
+    /// the smaller the influence of noise.
     tokens: f64,
 }
 
-/// What one daemon has learned of a service's engines from answers.
+/// What one daemon has learned from answers about a service's engines.
 ///
-/// The time to read a token is the slope between answers of small and large
-/// prompts that nothing waited before: what all answers have in common (ways,
-/// steps of the engine) cancels out, and a weighted median leaves late ones
-/// out. Nothing is learned from an engine that is known to be busy, so that
-/// overload doesn't make engines look slower than they are.
+/// The time to read a token is the slope between answers to small and large prompts that did
+/// not wait behind other requests. What all answers have in common (network latency, engine
+/// step time) cancels out, and a weighted median discards outliers that came late. Nothing is
+/// learned from an engine that is known to be busy, so that overload doesn't make engines
+/// look slower than they are.
 #[derive(Clone, Debug, Default)]
 pub struct EngineModel {
-    last: VecDeque<FirstEvent>,
+    recent: VecDeque<FirstEvent>,
     comparisons: VecDeque<Comparison>,
-    since_renewed: usize,
+    since_estimate: usize,
     speed: Option<ReadingSpeed>,
     first_event_ms: Option<f64>,
     stay_ms: Option<f64>,
 }
 
 impl EngineModel {
-    /// Notes the first event of an answer that nothing waited before.
+    /// Records the first event of an answer whose request did not wait behind others.
     pub fn record_first_event(&mut self, event: FirstEvent) {
-        self.first_event_ms = Some(averaged(self.first_event_ms, event.after_ms));
-        let compared = self.last.iter().filter_map(|other| compare(event, *other));
-        let fresh: Vec<Comparison> = compared.collect();
-        self.since_renewed += fresh.len();
-        self.comparisons.extend(fresh);
-        while self.comparisons.len() > REMEMBERED {
+        self.first_event_ms = Some(moving_average(self.first_event_ms, event.after_ms));
+        let compared = self
+            .recent
+            .iter()
+            .filter_map(|other| compare(event, *other));
+        let new_comparisons: Vec<Comparison> = compared.collect();
+        self.since_estimate += new_comparisons.len();
+        self.comparisons.extend(new_comparisons);
+        while self.comparisons.len() > MAX_COMPARISONS {
             self.comparisons.pop_front();
         }
-        self.last.push_back(event);
-        if self.last.len() > COMPARED {
-            self.last.pop_front();
+        self.recent.push_back(event);
+        if self.recent.len() > COMPARED_ANSWERS {
+            self.recent.pop_front();
         }
-        if self.since_renewed >= RENEW_EVERY {
-            self.since_renewed = 0;
+        if self.since_estimate >= ESTIMATE_INTERVAL {
+            self.since_estimate = 0;
             self.speed = self.estimate();
         }
     }
 
-    /// Notes how long a request stayed at an upstream, in milliseconds.
+    /// Records how long a request stayed at an upstream, in milliseconds.
     pub fn record_stay(&mut self, stay_ms: f64) {
-        self.stay_ms = Some(averaged(self.stay_ms, stay_ms));
+        self.stay_ms = Some(moving_average(self.stay_ms, stay_ms));
     }
 
-    /// Returns how fast engines read, once that is known.
+    /// Returns how fast the engines read prompts, or `None` while there are too few
+    /// comparisons.
     pub fn reading_speed(&self) -> Option<ReadingSpeed> {
         self.speed
     }
 
-    /// Returns how long the first event takes on average where nothing waits,
-    /// in milliseconds.
+    /// Returns the average time to the first event of a request that did not wait, in
+    /// milliseconds.
     pub fn first_event_ms(&self) -> Option<f64> {
         self.first_event_ms
     }
 
-    /// Returns how long a request stays on average, in milliseconds.
+    /// Returns the average time that a request stays at an upstream, in milliseconds.
     pub fn stay_ms(&self) -> Option<f64> {
         self.stay_ms
     }
@@ -117,6 +123,6 @@
     })
 }
 
-fn averaged(average: Option<f64>, value: f64) -> f64 {
+fn moving_average(average: Option<f64>, value: f64) -> f64 {
     average.map_or(value, |a| a + AVERAGE_WEIGHT * (value - a))
 }
--- a/src/policy/engines/first_event.rs
+++ b/src/policy/engines/first_event.rs
@@ -1,8 +1,8 @@
-/// The first event of an answer, as its daemon saw it.
+/// The first event of an answer, as observed by the daemon that forwarded the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstEvent {
-    /// The prompt tokens that the engine had to read for it.
+    /// Prompt tokens that the engine had to read before it: those that were not in its cache.
     pub unread_tokens: u64,
-    /// How long it took, in milliseconds.
+    /// Time from sending the request to this event, in milliseconds.
     pub after_ms: f64,
 }
--- a/src/policy/engines/mod.rs
+++ b/src/policy/engines/mod.rs
@@ -1,4 +1,5 @@
-//! What is learned of engines: how fast they read, how long requests stay, what they keep.
+//! What a daemon learns about model engines: how fast they read prompts, how long requests
+//! stay, and which prompt parts they have cached.
 
 mod cache_memory;
 mod engine_model;
--- a/src/policy/engines/reading_speed.rs
+++ b/src/policy/engines/reading_speed.rs
@@ -1,14 +1,15 @@
 /// How fast a service's engines read prompts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReadingSpeed {
-    /// Milliseconds a token.
+    /// Milliseconds per prompt token.
     pub ms_per_token: f64,
-    /// How many comparisons it rests on.
+    /// Number of comparisons that the estimate is based on.
     pub comparisons: u32,
 }
 
 impl ReadingSpeed {
-    /// Returns the average of several estimates by what they rest on.
+    /// Returns the average of several estimates, weighted by their numbers of comparisons, or
+    /// `None` if there are no comparisons.
     pub fn merged(speeds: impl Iterator<Item = Self>) -> Option<Self> {
         let (mut sum, mut comparisons) = (0.0, 0);
         for speed in speeds {
@@ -21,7 +22,7 @@
         })
     }
 
-    /// Returns the tokens that an engine reads in a second.
+    /// Returns the number of prompt tokens that an engine reads per second.
     pub fn tokens_per_s(&self) -> f64 {
         1_000.0 / self.ms_per_token
     }
--- a/src/policy/fleet/demand.rs
+++ b/src/policy/fleet/demand.rs
@@ -1,7 +1,8 @@
-/// Over which time work is averaged, in milliseconds.
+/// Time constant of the moving average of work, in milliseconds.
 const WINDOW_MS: f64 = 2_000.0;
 
-/// How much work is offered a second. Times are milliseconds of a steady clock.
+/// Measures how much work is offered per second, as an exponential moving average. Times are
+/// milliseconds of a monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DemandMeter {
     per_s: f64,
@@ -9,20 +10,20 @@
 }
 
 impl DemandMeter {
-    /// Notes work that is offered.
+    /// Records work that is offered.
     pub fn record(&mut self, work: f64, now_ms: u64) {
         self.per_s = self.per_s(now_ms) + work * 1_000.0 / WINDOW_MS;
         self.at_ms = now_ms;
     }
 
-    /// Returns the work that is offered a second.
+    /// Returns the work that is offered per second.
     pub fn per_s(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         self.per_s * (-age_ms / WINDOW_MS).exp()
     }
 }
 
-/// The highest demand of late: rises at once, falls slowly.
+/// The recent peak of demand: it rises at once and decays exponentially.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandPeak {
     decay_ms: f64,
@@ -31,7 +32,7 @@
 }
 
 impl DemandPeak {
-    /// Starts a peak that falls by e in some milliseconds.
+    /// Creates a peak that decays by a factor of e in `decay_ms` milliseconds.
     pub fn new(decay_ms: f64) -> Self {
         Self {
             decay_ms,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Notes the demand and returns its peak.
+    /// Records the current demand and returns its peak.
     pub fn record(&mut self, demand: f64, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
         let decayed = self.peak * (-age_ms / self.decay_ms).exp();
--- a/src/policy/fleet/mod.rs
+++ b/src/policy/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! How many upstreams a service is to have, and of which kind.
+//! Fleet planning: how many upstreams a service needs, and of which price class.
 
 mod demand;
 mod known_fleet;
--- a/src/policy/fleet/plan.rs
+++ b/src/policy/fleet/plan.rs
@@ -1,63 +1,66 @@
 use {super::FleetPolicy, crate::names::FailureDomain};
 
-/// Reclaimable upstreams are worth their risk below this price.
+/// Reclaimable upstreams are used only below this price, as a share of the on-demand price:
+/// above it, the saving doesn't justify the risk of losing them.
 const WORTHWHILE_PRICE: f64 = 0.7;
-/// Where one domain has all upstreams, how many of those needed can't be taken away.
-const LONE_DOMAIN_PART: f64 = 0.5;
+/// With a single failure domain: the share of the needed upstreams that is ordered on demand.
+const SINGLE_DOMAIN_ON_DEMAND_SHARE: f64 = 0.5;
 
-/// A domain as the planner sees it.
+/// The upstreams of a service in one failure domain, as input to the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DomainFleet {
-    /// The domain.
+    /// The failure domain.
     pub domain: FailureDomain,
-    /// What a second of an upstream costs there.
+    /// Price of an upstream there per second.
     pub price: f64,
-    /// Upstreams there that can't be taken away.
+    /// On-demand upstreams, which can't be reclaimed.
     pub on_demand: u32,
-    /// Upstreams there that can be taken away and have not been told to leave.
+    /// Reclaimable upstreams that have not been given notice to leave.
     pub reclaimable: u32,
-    /// Reclaimable ones that are ordered and start by now.
+    /// Reclaimable upstreams that are ordered and still starting.
     pub coming: u32,
 }
 
 /// Bounds of a service's fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetBounds {
-    /// The least upstreams of a domain, of both kinds together.
+    /// The minimum number of upstreams in a failure domain, of both classes together.
     pub min_per_domain: u32,
-    /// The most upstreams of a domain, of both kinds together.
+    /// The maximum number of upstreams in a failure domain, of both classes together.
     pub max_per_domain: u32,
-    /// The price of a reclaimable upstream as a share of the other kind's.
+    /// The price of a reclaimable upstream as a share of the on-demand price; `None` if there
+    /// are no reclaimable ones.
     pub reclaimable_price: Option<f64>,
 }
 
-/// How many upstreams a domain shall have.
+/// The planned numbers of upstreams in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DomainPlan {
     /// The domain.
     pub domain: FailureDomain,
-    /// Those that can't be taken away.
+    /// On-demand upstreams.
     pub on_demand: u32,
-    /// Those that can.
+    /// Reclaimable upstreams.
     pub reclaimable: u32,
 }
 
-/// The number of upstreams that the demand needs.
+/// The number of upstreams that the demand requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetDemand {
-    /// By the highest demand of late: what cheap upstreams are ordered for.
+    /// For the recent peak of demand: reclaimable upstreams, which are cheap, are ordered for
+    /// it.
     pub steady: u32,
-    /// By the demand of now: what dear upstreams are ordered for.
+    /// For the current demand: on-demand upstreams, which are expensive, are ordered for it.
     pub now: u32,
 }
 
 /// Plans a service's fleet.
 ///
-/// Reclaimable upstreams carry the load where they are cheap: so many that
-/// enough are left when those of some domains are taken away, one after the
-/// other. On-demand ones step in for what is missing and, once a domain's are
-/// gone, for a part of what the next loss would take. What is there goes on
-/// until what replaces it serves.
+/// Reclaimable upstreams carry the load where they are cheap: enough of them that the demand
+/// is still met when those of several failure domains are reclaimed one after the other.
+/// On-demand upstreams cover what is missing. After a failure domain has lost its reclaimable
+/// upstreams, they also cover a share of what the next loss would take. Running upstreams are
+/// kept until their replacements serve requests.
 pub fn plan_fleet(
     domains: &[DomainFleet],
     bounds: FleetBounds,
@@ -68,7 +71,7 @@
     if price >= WORTHWHILE_PRICE {
         let on_demand = spread(need.steady, domains);
         let plans = domains.iter().zip(on_demand);
-        return plans.map(|(z, n)| bounded(z, n, 0, bounds)).collect();
+        return plans.map(|(d, n)| bounded(d, n, 0, bounds)).collect();
     }
     let reclaimable = spread(
         reclaimable_total(need.steady, domains.len(), price, policy),
@@ -81,7 +84,9 @@
         .collect()
 }
 
-/// The fewest, spread evenly, of which enough are left without some domains'.
+/// Returns the smallest number of upstreams, spread evenly over the failure domains, that
+/// still meets the demand without those of some domains. It covers as many lost domains as
+/// the policy's limits on losses and cost allow.
 fn reclaimable_total(needed: u32, domains: usize, price: f64, policy: &FleetPolicy) -> u32 {
     let domains = domains.max(1) as u32;
     let total_without = |taken: u32| (needed * domains).div_ceil(domains - taken);
@@ -95,23 +100,24 @@
 }
 
 fn on_demand_total(domains: &[DomainFleet], needed: u32, policy: &FleetPolicy) -> u32 {
-    let there: u32 = domains.iter().map(|z| z.reclaimable).sum();
-    let coming: u32 = domains.iter().map(|z| z.coming).sum();
-    let on_demand: u32 = domains.iter().map(|z| z.on_demand).sum();
-    let missing = needed.saturating_sub(there + coming);
-    let next_loss = domains.iter().map(|z| z.reclaimable + z.coming).max();
-    let left = (there + coming).saturating_sub(next_loss.unwrap_or(0));
+    let running: u32 = domains.iter().map(|d| d.reclaimable).sum();
+    let coming: u32 = domains.iter().map(|d| d.coming).sum();
+    let on_demand: u32 = domains.iter().map(|d| d.on_demand).sum();
+    let shortfall = needed.saturating_sub(running + coming);
+    let next_loss = domains.iter().map(|d| d.reclaimable + d.coming).max();
+    let remaining = (running + coming).saturating_sub(next_loss.unwrap_or(0));
     let at_risk = match domains.len() {
-        0 | 1 => f64::from(needed) * LONE_DOMAIN_PART,
-        _ => f64::from(needed.saturating_sub(left)) * policy.next_loss_cover,
+        0 | 1 => f64::from(needed) * SINGLE_DOMAIN_ON_DEMAND_SHARE,
+        _ => f64::from(needed.saturating_sub(remaining)) * policy.next_loss_cover,
     };
-    let ordered = missing.max(at_risk.ceil() as u32);
-    // What is there goes on until those that start by now serve.
-    let held = needed.saturating_sub(there).min(on_demand);
-    ordered.max(held)
+    let ordered = shortfall.max(at_risk.ceil() as u32);
+    // On-demand upstreams are kept until the reclaimable ones that are starting serve
+    // requests.
+    let kept = needed.saturating_sub(running).min(on_demand);
+    ordered.max(kept)
 }
 
-/// Spreads a number evenly; what is left over goes to the cheapest domains.
+/// Spreads a number of upstreams evenly; the remainder goes to the cheapest failure domains.
 fn spread(total: u32, domains: &[DomainFleet]) -> Vec<u32> {
     let count = domains.len().max(1) as u32;
     let mut shares = vec![total / count; domains.len()];
--- a/src/policy/fleet/policy.rs
+++ b/src/policy/fleet/policy.rs
@@ -3,36 +3,36 @@
     serde::Deserialize,
 };
 
-/// By which weights a service's fleet is planned. The defaults were chosen by
-/// trials on several deployments (docs/DECISIONS.md).
+/// Settings by which a service's fleet is planned.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetPolicy {
-    /// Of what upstreams can do, how much is planned with; the rest is for
-    /// requests that come in clumps.
+    /// Share of the upstreams' capacity that is planned for; the rest is headroom for bursts
+    /// of requests.
     #[serde(deserialize_with = "share")]
     pub planned_use: f64,
-    /// The fewest upstreams that are planned for a service.
+    /// The minimum number of upstreams that is planned for a service.
     pub min_needed: u32,
-    /// In how many failure domains reclaimable upstreams may be taken away
-    /// before others are to be had again.
+    /// Number of failure domains whose reclaimable upstreams may all be reclaimed before
+    /// replacements are available.
     pub losses_borne: u32,
-    /// What reclaimable upstreams for all of the load may cost together, beside
-    /// on-demand ones for the same load.
+    /// The maximum cost of all reclaimable upstreams together, as a multiple of the cost of
+    /// on-demand upstreams for the same load.
     #[serde(deserialize_with = "positive")]
     pub max_reclaimable_cost: f64,
-    /// Of the upstreams that the next failure domain's loss would take, how many
-    /// on-demand ones are ordered ahead.
+    /// Share of the upstreams that the loss of the next failure domain would take for which
+    /// on-demand upstreams are ordered in advance.
     #[serde(deserialize_with = "not_negative")]
     pub next_loss_cover: f64,
-    /// How long fewer upstreams are wanted before they are ordered, in
+    /// How long a lower number of upstreams must be wanted before it is ordered, in
     /// milliseconds.
     pub lower_after_ms: u64,
-    /// In which time a peak of demand that is not reached again is forgotten for
-    /// reclaimable upstreams, in milliseconds.
+    /// Time constant with which a peak of demand decays for reclaimable upstreams, in
+    /// milliseconds.
     #[serde(deserialize_with = "positive")]
     pub steady_decay_ms: f64,
-    /// The same for on-demand ones.
+    /// Time constant with which a peak of demand decays for on-demand upstreams, in
+    /// milliseconds.
     #[serde(deserialize_with = "positive")]
     pub now_decay_ms: f64,
 }
@@ -53,8 +53,8 @@
 }
 
 impl FleetPolicy {
-    /// Returns how many upstreams a load needs that would keep `load` of them
-    /// busy all the time.
+    /// Returns how many upstreams are needed for a load that would keep `load` of them fully
+    /// busy.
     pub fn needed(&self, load: f64) -> u32 {
         let needed = load / self.planned_use.max(f64::MIN_POSITIVE);
         (needed.ceil() as u32).max(self.min_needed)
