--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -131,7 +131,7 @@
     pub(super) domain_reach: Mutex<DomainReach>,
     pub(super) table: RwLock<Option<Arc<RouteTable>>>,
     pub(super) retries: Mutex<HashMap<ServiceName, RetryAllowance>>,
-    pub(super) caches: Mutex<CacheMemory>,
+    pub(super) caches: Mutex<PrefixCacheTracker>,
     pub(super) demand: Mutex<HashMap<ServiceName, DemandMeter>>,
     pub(super) engines: Mutex<HashMap<ServiceName, EngineModel>>,
     pub(super) rng: Mutex<ChaCha8Rng>,
--- a/src/policy/engines/cache_memory.rs
+++ b/src/policy/engines/cache_memory.rs
@@ -10,11 +10,11 @@
 /// Indexed by part, because few upstreams have a given part: a placement decision looks at
 /// these instead of at all upstreams.
 #[derive(Clone, Debug, Default)]
-pub struct CacheMemory {
+pub struct PrefixCacheTracker {
     sent: HashMap<u64, HashMap<UpstreamId, u64>>,
 }
 
-impl CacheMemory {
+impl PrefixCacheTracker {
     /// Records that prompt parts were sent to an upstream.
     pub fn record(&mut self, upstream: &UpstreamId, parts: impl Iterator<Item = u64>, now_ms: u64) {
         for part in parts {
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -303,8 +303,8 @@
     assert_eq!(prompt.unread_tokens(1), 660);
     let [first, second] = [0, 1].map(|n| prompt.parts[n].chain);
     assert_eq!(prompt.shared_chain(), Some(second));
-    let mut caches = CacheMemory::default();
-    let kept = |caches: &CacheMemory, upstream: &str, now_ms| {
+    let mut caches = PrefixCacheTracker::default();
+    let kept = |caches: &PrefixCacheTracker, upstream: &str, now_ms| {
         let parts = prompt.parts.iter().map(|p| p.chain);
         let kept = caches.kept_parts(parts, now_ms);
         kept.get(&UpstreamId::from(upstream)).copied()
