--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -325,7 +325,7 @@
     ) {
         let caches = self.caches.lock();
         let parts = prompt.parts.iter().map(|p| p.chain);
-        for (id, count) in caches.kept_parts(parts, now_ms) {
+        for (id, count) in caches.likely_cached_parts(parts, now_ms) {
             if let Some(index) = ready.index_of(id) {
                 candidates[index].unread_tokens = prompt.unread_tokens(count);
             }
--- a/src/policy/engines/prefix_cache_tracker.rs
+++ b/src/policy/engines/prefix_cache_tracker.rs
@@ -26,7 +26,7 @@
     /// Returns for each upstream how many leading prompt parts are likely to be in its cache.
     /// Counting stops at the first part that is missing, because an engine can't use a cached
     /// part without all parts before it. Upstreams that lack the first part are left out.
-    pub fn kept_parts(
+    pub fn likely_cached_parts(
         &self,
         parts: impl Iterator<Item = u64>,
         now_ms: u64,
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -306,7 +306,7 @@
     let mut caches = PrefixCacheTracker::default();
     let kept = |caches: &PrefixCacheTracker, upstream: &str, now_ms| {
         let parts = prompt.parts.iter().map(|p| p.chain);
-        let kept = caches.kept_parts(parts, now_ms);
+        let kept = caches.likely_cached_parts(parts, now_ms);
         kept.get(&UpstreamId::from(upstream)).copied()
     };
     caches.record(&UpstreamId::from("u1"), [first].into_iter(), 0);
