--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -176,16 +176,16 @@
     /// Counts upstreams that are ordered and start by now.
     fn add_coming(&self, service: &ServiceName, domains: &mut [DomainFleet], now_ms: u64) {
         for domain in domains {
-            let coming = |reclaimable| {
+            let pending = |reclaimable| {
                 let key = (service.clone(), domain.domain.clone(), reclaimable);
                 let placed = self.placed.get(&key);
                 placed
                     .filter(|p| p.taken && now_ms < p.next_ms)
                     .map_or(0, |p| p.count)
             };
-            let (on_demand, reclaimable) = (coming(false), coming(true));
+            let (on_demand, reclaimable) = (pending(false), pending(true));
             domain.on_demand = domain.on_demand.max(on_demand);
-            domain.coming = reclaimable.saturating_sub(domain.reclaimable);
+            domain.pending = reclaimable.saturating_sub(domain.reclaimable);
         }
     }
 
@@ -257,7 +257,7 @@
             price: scaling.domain_prices.get(&domain).copied().unwrap_or(1.0),
             on_demand: count(false),
             reclaimable: count(true),
-            coming: 0,
+            pending: 0,
             domain,
         }
     });
--- a/src/policy/fleet/plan.rs
+++ b/src/policy/fleet/plan.rs
@@ -18,7 +18,7 @@
     /// Reclaimable upstreams that have not been given notice to leave.
     pub reclaimable: u32,
     /// Reclaimable upstreams that are ordered and still starting.
-    pub coming: u32,
+    pub pending: u32,
 }
 
 /// Bounds of a service's fleet.
@@ -101,11 +101,11 @@
 
 fn on_demand_total(domains: &[DomainFleet], needed: u32, policy: &FleetPolicy) -> u32 {
     let running: u32 = domains.iter().map(|d| d.reclaimable).sum();
-    let coming: u32 = domains.iter().map(|d| d.coming).sum();
+    let pending: u32 = domains.iter().map(|d| d.pending).sum();
     let on_demand: u32 = domains.iter().map(|d| d.on_demand).sum();
-    let shortfall = needed.saturating_sub(running + coming);
-    let next_loss = domains.iter().map(|d| d.reclaimable + d.coming).max();
-    let remaining = (running + coming).saturating_sub(next_loss.unwrap_or(0));
+    let shortfall = needed.saturating_sub(running + pending);
+    let next_loss = domains.iter().map(|d| d.reclaimable + d.pending).max();
+    let remaining = (running + pending).saturating_sub(next_loss.unwrap_or(0));
     let at_risk = match domains.len() {
         0 | 1 => f64::from(needed) * SINGLE_DOMAIN_ON_DEMAND_SHARE,
         _ => f64::from(needed.saturating_sub(remaining)) * policy.next_loss_cover,
--- a/tests/decisions/fleet.rs
+++ b/tests/decisions/fleet.rs
@@ -8,7 +8,7 @@
         price,
         on_demand,
         reclaimable,
-        coming: 0,
+        pending: 0,
     }
 }
 
@@ -103,7 +103,7 @@
 fn what_is_there_goes_on_until_its_replacement_serves() {
     let starting = |there| {
         let mut fleet = evenly(3, 3, there);
-        fleet.iter_mut().for_each(|z| z.coming = 9 - there);
+        fleet.iter_mut().for_each(|z| z.pending = 9 - there);
         fleet
     };
     let (on_demand, reclaimable) = totals(&plan_fleet(
@@ -147,7 +147,7 @@
 fn on_demand_ones_are_not_ordered_while_reclaimable_ones_start() {
     let mut fleet = evenly(3, 0, 0);
     for domain in &mut fleet {
-        domain.coming = 9;
+        domain.pending = 9;
     }
     assert_eq!(
         totals(&plan_fleet(&fleet, LOOSE, need(9), &FleetPolicy::default())).0,
@@ -159,7 +159,7 @@
 fn dear_ones_follow_the_demand_of_now_and_cheap_ones_its_peak() {
     let need = FleetDemand { steady: 9, now: 4 };
     let mut fleet = evenly(3, 9, 0);
-    fleet.iter_mut().for_each(|z| z.coming = 9);
+    fleet.iter_mut().for_each(|z| z.pending = 9);
     let (on_demand, reclaimable) =
         totals(&plan_fleet(&fleet, LOOSE, need, &FleetPolicy::default()));
     assert_eq!((on_demand, reclaimable), (4, 27));
