--- a/src/policy/hubs/contact.rs
+++ b/src/policy/hubs/contact.rs
@@ -1,55 +1,57 @@
-/// How long an answer is waited for before any was measured, in milliseconds.
+/// Timeout for an answer before any response time was measured, in milliseconds.
 const FIRST_TIMEOUT_MS: f64 = 40.0;
-/// The least wait, in milliseconds: below it a late timer of either daemon would
-/// pass for silence.
+/// The shortest timeout, in milliseconds: with a shorter one, a timer that fires late in
+/// either daemon would be mistaken for a hub that doesn't answer.
 const MIN_TIMEOUT_MS: f64 = 15.0;
-/// The longest wait, in milliseconds: a daemon whose processor is taken away for
-/// the rest of a tenth of a second is not waited for.
+/// The longest timeout, in milliseconds: a daemon that gets no processor time for the rest of
+/// a 100 ms period is not waited for.
 const MAX_TIMEOUT_MS: f64 = 80.0;
-/// How much a measured time moves the average, and the average deviation
-/// (as TCP's retransmission timer does it, RFC 6298).
+/// Weights of a new measurement in the average response time and in its average deviation, as
+/// in TCP's retransmission timer (RFC 6298).
 const TIME_WEIGHT: f64 = 0.125;
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// How many deviations an answer may be late (RFC 6298).
+/// Number of average deviations that are added to the average time (RFC 6298).
 const DEVIATIONS: f64 = 4.0;
-/// How long a hub that didn't answer is not asked, at first and at most, in
-/// milliseconds.
+/// The first and the longest backoff, in milliseconds, during which a hub that didn't answer
+/// is not queried.
 const FIRST_BACKOFF_MS: u64 = 400;
 const MAX_BACKOFF_MS: u64 = 3_200;
 
-/// How one hub answers another daemon. Times are milliseconds of the daemon's
-/// steady clock.
+/// Response times and backoff of one hub, as another daemon sees it. Times are milliseconds
+/// of the daemon's monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HubContact {
-    /// Average and average deviation of the time to an answer.
+    /// Average and average deviation of the response time, in milliseconds.
     times: Option<(f64, f64)>,
     backoff_ms: u64,
     avoided_until_ms: u64,
 }
 
 impl HubContact {
-    /// Notes an answer to a question that was sent once.
+    /// Records the answer to a query that was sent only once, so that the response time is
+    /// unambiguous.
     pub fn record_answer(&mut self, after_ms: f64) {
         self.record_contact();
         self.times = Some(match self.times {
             None => (after_ms, after_ms / 2.0),
             Some((time, deviation)) => {
-                let off = (after_ms - time).abs();
+                let error = (after_ms - time).abs();
                 (
                     time + TIME_WEIGHT * (after_ms - time),
-                    deviation + DEVIATION_WEIGHT * (off - deviation),
+                    deviation + DEVIATION_WEIGHT * (error - deviation),
                 )
             }
         });
     }
 
-    /// Notes that the hub was heard from.
+    /// Records that a message of the hub arrived; this ends its backoff.
     pub fn record_contact(&mut self) {
         self.backoff_ms = 0;
         self.avoided_until_ms = 0;
     }
 
-    /// Notes that it did not answer in time.
+    /// Records that the hub did not answer before the timeout. This starts a backoff that is
+    /// twice the one before.
     pub fn record_silent(&mut self, now_ms: u64) {
         if self.is_avoided(now_ms) {
             return;
@@ -58,14 +60,16 @@
         self.avoided_until_ms = now_ms + self.backoff_ms;
     }
 
-    /// Returns whether it is not to be asked now.
+    /// Returns true during the hub's backoff, when it is not to be queried.
     pub fn is_avoided(&self, now_ms: u64) -> bool {
         now_ms < self.avoided_until_ms
     }
 
-    /// Returns how long to wait for an answer, in milliseconds.
+    /// Returns the timeout for an answer, in milliseconds.
     pub fn timeout_ms(&self) -> f64 {
-        let expected = self.times.map(|(time, off)| time + DEVIATIONS * off);
+        let expected = self
+            .times
+            .map(|(time, deviation)| time + DEVIATIONS * deviation);
         expected
             .unwrap_or(FIRST_TIMEOUT_MS)
             .clamp(MIN_TIMEOUT_MS, MAX_TIMEOUT_MS)
--- a/src/policy/hubs/mod.rs
+++ b/src/policy/hubs/mod.rs
@@ -1,5 +1,5 @@
-//! Which daemons of a failure domain let requests in and place them for the
-//! others, and how those choose whom to ask.
+//! Ranking of the daemons of a failure domain, by which they agree on their hubs, and the
+//! backoff of queries to hubs and seeds.
 
 mod contact;
 mod rank;
--- a/src/policy/hubs/rank.rs
+++ b/src/policy/hubs/rank.rs
@@ -1,17 +1,17 @@
 use rapidhash::v3::rapidhash_v3;
 
-/// How many daemons of a failure domain are its hubs. The first one is asked;
-/// the others take over at once. In a domain with no more daemons than that,
-/// each decides for itself, as is best there: nobody knows more.
+/// Number of daemons of a failure domain that are its hubs. The first one is queried; the
+/// others take over at once when it fails. In a domain with no more daemons than this, each
+/// daemon decides for itself: no hub would know more than it does.
 pub const HUBS_PER_DOMAIN: usize = 3;
-/// Distinguishes this ranking from others of the same names.
+/// Salt of the hash, so that this ranking differs from other rankings by the same names.
 const RANK_SALT: u64 = 0x0073_6f75_7263_6501;
-/// Capacities are compared in this part of a processor core: smaller
-/// differences are none.
+/// Capacities are rounded to this fraction of a processor core, so that smaller differences
+/// don't affect the ranking.
 const CAPACITY_UNIT: f32 = 0.01;
 
-/// A daemon's place among those of its failure domain: larger boxes first, then
-/// in an order that is the same on all daemons without talking about it.
+/// A daemon's rank in its failure domain: larger boxes come first, then the order is by a
+/// hash of the name. All daemons compute the same order without communicating.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DaemonRank {
     capacity: u32,
@@ -19,7 +19,7 @@
 }
 
 impl DaemonRank {
-    /// Ranks a daemon by its name and its share of processor cores.
+    /// Computes the rank from a daemon's name and its share of processor cores.
     pub fn new(name: &str, capacity: f32) -> Self {
         Self {
             capacity: (capacity.max(0.0) / CAPACITY_UNIT).round() as u32,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns a number that spreads daemons evenly.
+    /// Returns the hash of the name, which distributes daemons evenly.
     pub fn drawn(&self) -> u64 {
         self.drawn
     }
--- a/src/policy/hubs/seed_backoff.rs
+++ b/src/policy/hubs/seed_backoff.rs
@@ -1,12 +1,14 @@
-/// How long after its first question to a seed a daemon asks again, in milliseconds.
+/// Pause after the first query to a seed, in milliseconds.
 const FIRST_PAUSE_MS: u64 = 100;
-/// The longest time between two questions, in milliseconds.
+/// The longest pause between two queries, in milliseconds.
 const MAX_PAUSE_MS: u64 = 1_600;
 
-/// When a daemon that starts asks which of its seeds who the others are: one after the
-/// other, each time after twice the pause before. All daemons of a fleet may start at the
-/// same moment and have the same few seeds; asked by all of them all the time, these
-/// would not get their answers out. Times are milliseconds of the daemon's steady clock.
+/// Decides when a starting daemon queries which of its seeds for the other daemons.
+///
+/// It queries the seeds in turn, and doubles the pause after each query. All daemons of a
+/// fleet may start at the same moment with the same few seeds: without a backoff, their
+/// queries would demand more answers than the links of the seeds can carry. Times are
+/// milliseconds of the daemon's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct SeedBackoff {
     next: usize,
@@ -17,25 +19,26 @@
 /// A query to a seed daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedQuery {
-    /// Which of the seeds.
+    /// Index of the seed.
     pub seed: usize,
-    /// How long until the same seed is asked again at the latest, in milliseconds.
+    /// The longest time until the same seed is queried again, in milliseconds.
     pub every_ms: u64,
 }
 
 impl SeedBackoff {
-    /// Starts at a seed that is drawn, so that all seeds are asked by as many.
-    pub fn new(drawn: u64) -> Self {
+    /// Starts at a random seed, so that the daemons of a fleet distribute their first queries
+    /// evenly over the seeds.
+    pub fn new(random: u64) -> Self {
         Self {
-            next: drawn as usize,
+            next: random as usize,
             pause_ms: FIRST_PAUSE_MS,
             due_ms: 0,
         }
     }
 
-    /// Returns what to ask now, if anything. `drawn` spreads the questions of daemons that
-    /// started together.
-    pub fn next_query(&mut self, seeds: usize, drawn: u64, now_ms: u64) -> Option<SeedQuery> {
+    /// Returns the query that is due, if any. `random` adds jitter, so that the queries of
+    /// daemons that started together spread out.
+    pub fn next_query(&mut self, seeds: usize, random: u64, now_ms: u64) -> Option<SeedQuery> {
         if now_ms < self.due_ms || seeds == 0 {
             return None;
         }
@@ -46,12 +49,12 @@
         };
         self.next = next_query.seed + 1;
         let half_ms = self.pause_ms / 2;
-        self.due_ms = now_ms + half_ms + drawn % (half_ms + 1);
+        self.due_ms = now_ms + half_ms + random % (half_ms + 1);
         self.pause_ms = doubled(self.pause_ms);
         Some(next_query)
     }
 
-    /// Begins anew: no daemon is heard any more.
+    /// Restarts the backoff, because no other daemon is reachable any more.
     pub fn restart(&mut self, now_ms: u64) {
         self.pause_ms = FIRST_PAUSE_MS;
         self.due_ms = now_ms;
--- a/src/policy/limits/known_limit.rs
+++ b/src/policy/limits/known_limit.rs
@@ -1,20 +1,21 @@
 use {super::RequestRate, crate::names::UpstreamId};
 
-/// What is known of an upstream's limit, as daemons tell each other.
+/// What a daemon knows about an upstream's rate limit, as daemons announce it to each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KnownLimit {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// What it takes; none if it names no limit any more.
+    /// The rate limit; `None` if the upstream no longer names one.
     pub rate: Option<RequestRate>,
-    /// How many times it is known to have changed.
+    /// Version of the limit: incremented on each change that a daemon observes.
     pub version: u64,
-    /// How old the answer is that said so, in milliseconds.
+    /// Age of the latest answer that confirmed this, in milliseconds.
     pub age_ms: u64,
 }
 
 impl KnownLimit {
-    /// Returns whether it counts in place of what is known.
+    /// Returns true if this is to replace a limit with the given version and rate: its
+    /// version is higher, or the versions are equal and its rate is lower.
     pub(super) fn supersedes(&self, version: u64, rate: Option<RequestRate>) -> bool {
         let per_s = |rate: Option<RequestRate>| rate.map_or(f64::INFINITY, RequestRate::per_s);
         let is_lower = per_s(self.rate) < per_s(rate);
@@ -25,8 +26,9 @@
 /// Limits to announce next.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LimitsToAnnounce {
-    /// The hubs of all failure domains, or those of the daemon's own if it is none.
+    /// For the hubs of all failure domains; from a daemon that is no hub, for the hubs of its
+    /// own.
     pub hubs: Vec<KnownLimit>,
-    /// The daemons that report to a hub.
+    /// For the daemons that report to this hub.
     pub members: Vec<KnownLimit>,
 }
--- a/src/policy/limits/mod.rs
+++ b/src/policy/limits/mod.rs
@@ -1,4 +1,5 @@
-//! How many requests a second upstreams take that say so, and who may send them some.
+//! Rate limits that upstreams name in their answers, and the permits by which daemons share
+//! them.
 
 mod known_limit;
 mod limit_table;
--- a/src/policy/limits/named_limit.rs
+++ b/src/policy/limits/named_limit.rs
@@ -1,18 +1,18 @@
 use super::RequestRate;
 
-/// What an answer says of how much its upstream takes.
+/// The rate limit that an upstream names in the headers of an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NamedLimit {
-    /// It names no limit: there is none, or no longer.
+    /// The answer names no limit: there is none, or no longer.
     Absent,
-    /// It names one.
+    /// The answer names a limit.
     Rate(RequestRate),
-    /// It names something that is no rate: nothing is learned from it.
+    /// The answer's header holds no valid rate; the known limit stays as it is.
     Unreadable,
 }
 
 impl NamedLimit {
-    /// Reads the values of an answer's header: the lowest, where there are several.
+    /// Parses the values of an answer's header; of several valid values the lowest counts.
     pub fn read<'a>(values: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut named = Self::Absent;
         for value in values {
--- a/src/policy/limits/permit_bucket.rs
+++ b/src/policy/limits/permit_bucket.rs
@@ -1,10 +1,10 @@
-/// How many seconds' worth of permits are kept while nobody asks for them, one at least:
-/// requests come unevenly, and what is not asked for at once shall not be lost. Each daemon
-/// that comes to issue permits in a span may have kept as much.
-const KEPT_S: f64 = 0.25;
+/// Capacity of the bucket in seconds of permits, but at least one permit: requests arrive
+/// unevenly, and permits that are not taken at once should not be lost. Each daemon that
+/// becomes the issuer of permits may add a burst of this size.
+const BURST_S: f64 = 0.25;
 
-/// Permits to send a request to an upstream: they come at an even pace, and some are kept.
-/// Times are milliseconds of the daemon's steady clock.
+/// Token bucket of permits to send a request to an upstream. Times are milliseconds of the
+/// daemon's monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitBucket {
     level: f64,
@@ -12,7 +12,7 @@
 }
 
 impl PermitBucket {
-    /// Makes an empty bucket: what was sent before is not known.
+    /// Creates an empty bucket, because it is not known how much was sent before.
     pub fn new(now_ms: u64) -> Self {
         Self {
             level: 0.0,
@@ -20,11 +20,11 @@
         }
     }
 
-    /// Lets permits come that are due at a pace.
+    /// Adds the permits that are due at a rate of `per_s` per second.
     pub fn refill(&mut self, per_s: f64, now_ms: u64) {
-        let passed_s = now_ms.saturating_sub(self.at_ms) as f64 / 1_000.0;
-        let most = (per_s * KEPT_S).max(1.0);
-        self.level = (self.level + per_s * passed_s).min(most);
+        let elapsed_s = now_ms.saturating_sub(self.at_ms) as f64 / 1_000.0;
+        let capacity = (per_s * BURST_S).max(1.0);
+        self.level = (self.level + per_s * elapsed_s).min(capacity);
         self.at_ms = self.at_ms.max(now_ms);
     }
 
@@ -32,7 +32,8 @@
     ///
     /// # Errors
     ///
-    /// Returns in how many milliseconds the next one is there.
+    /// Returns the time until the next permit is due, in milliseconds, if the bucket has
+    /// none.
     pub fn take(&mut self, per_s: f64, now_ms: u64) -> Result<(), f64> {
         self.refill(per_s, now_ms);
         if self.level < 1.0 {
--- a/src/policy/limits/permit_share.rs
+++ b/src/policy/limits/permit_share.rs
@@ -1,20 +1,21 @@
-/// What a daemon may take of the permits that an upstream's limit allows.
+/// The share of an upstream's permits that a daemon may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitShare {
-    /// The part of all.
+    /// Fraction of all permits, from 0 to 1.
     pub part: f64,
-    /// What daemons send there that know of no limits, in requests a second: taken off all.
+    /// Requests per second that the upstream receives from daemons whose builds know no
+    /// limits; subtracted from the limit before `part` applies.
     pub unaware_per_s: f64,
 }
 
 impl PermitShare {
-    /// All of them.
+    /// All permits.
     pub const ALL: Self = Self {
         part: 1.0,
         unaware_per_s: 0.0,
     };
 
-    /// Returns the share of a number a second.
+    /// Returns the daemon's share of a rate per second.
     pub fn of(self, per_s: f64) -> f64 {
         (per_s - self.unaware_per_s).max(0.0) * self.part
     }
