--- a/src/policy/reclaim/box_state.rs
+++ b/src/policy/reclaim/box_state.rs
@@ -4,7 +4,7 @@
     std::net::SocketAddr,
 };
 
-/// What a box is for.
+/// The role of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BoxKind {
@@ -22,9 +22,9 @@
 pub enum BoxState {
     /// Takes work.
     Live,
-    /// Was announced to leave: takes no new work.
+    /// Given notice to leave: takes no new work.
     Leaving,
-    /// Gone.
+    /// Shut down or reclaimed.
     Gone,
 }
 
@@ -32,46 +32,48 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BoxClass {
-    /// Cheap, and can be taken back.
+    /// Cheap, but the provider may reclaim it.
     Reclaimable,
-    /// Dearer, and kept.
+    /// More expensive, and never reclaimed.
     OnDemand,
 }
 
-/// What is known of a box: a truth that only moves forward.
+/// What is known of a box. Facts from different sources are merged so that the state only
+/// moves forward.
 ///
-/// Source: the platform's box list, reclaim notices, peers, refused connections.
+/// Sources: the platform's list of boxes, reclaim notices, peers, and refused connections.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxFact {
     /// The box.
     pub id: BoxId,
-    /// Which life of the box; a restarted or replaced box has a higher one.
+    /// Incarnation of the box; a restarted or replaced box has a higher one.
     pub incarnation: u64,
     /// The state of this incarnation.
     pub state: BoxState,
-    /// When a leaving box is taken, in Unix milliseconds; 0 if not known.
+    /// When a leaving box is reclaimed, in Unix milliseconds; 0 if unknown.
     pub leaves_at_ms: u64,
     /// What the box is for.
     pub kind: BoxKind,
     /// The box's failure domain.
     pub failure_domain: FailureDomain,
-    /// Where it takes calls: peers for an entry box, requests for an upstream.
+    /// Address at which it accepts calls: of peers for an entry box, requests for an
+    /// upstream.
     pub address: SocketAddr,
-    /// The service an upstream serves; empty for an entry box.
+    /// The service that an upstream serves; empty for an entry box.
     pub service: ServiceName,
     /// The price class.
     pub class: BoxClass,
     /// Price in millionths of a currency unit per second.
     pub price_micros: u64,
-    /// Whether the upstream checks the fencing token of an order.
+    /// True if the upstream checks the fencing token of an order.
     pub checks_fence: bool,
 }
 
 impl BoxFact {
-    /// Folds another fact about the same box into this one: a higher incarnation
-    /// replaces it, within one incarnation the furthest state wins.
+    /// Merges another fact about the same box into this one: a higher incarnation replaces
+    /// it; within one incarnation the more advanced state counts.
     ///
-    /// Returns whether anything changed.
+    /// Returns true if this fact changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         if other.incarnation > self.incarnation {
             *self = other.clone();
@@ -81,7 +83,7 @@
             return false;
         }
         let state = self.state.max(other.state);
-        let leaves_at_ms = sooner(self.leaves_at_ms, other.leaves_at_ms);
+        let leaves_at_ms = earlier(self.leaves_at_ms, other.leaves_at_ms);
         let changed = state != self.state || leaves_at_ms != self.leaves_at_ms;
         self.state = state;
         self.leaves_at_ms = leaves_at_ms;
@@ -89,8 +91,8 @@
     }
 }
 
-/// Returns the sooner of two times, where 0 stands for not known.
-fn sooner(a: u64, b: u64) -> u64 {
+/// Returns the earlier of two times, where 0 means unknown.
+fn earlier(a: u64, b: u64) -> u64 {
     match (a, b) {
         (0, t) | (t, 0) => t,
         (a, b) => a.min(b),
--- a/src/policy/reclaim/mod.rs
+++ b/src/policy/reclaim/mod.rs
@@ -1,4 +1,4 @@
-//! What is known of boxes that are taken back, and what is ordered in their place.
+//! State of boxes that may be reclaimed, and how streams move away from upstreams that are.
 
 mod box_state;
 mod stream_moves;
--- a/src/policy/reclaim/stream_moves.rs
+++ b/src/policy/reclaim/stream_moves.rs
@@ -5,14 +5,15 @@
 pub struct StreamAtRisk {
     /// The request.
     pub request: RequestId,
-    /// What it asks; `generated_tokens` is what its answer has so far.
+    /// What the request needs; `generated_tokens` is the length of its answer so far.
     pub needs: RequestNeeds,
-    /// Bytes of its KV cache.
+    /// Size of its KV cache in bytes.
     pub kv_bytes: u64,
 }
 
 impl StreamAtRisk {
-    /// Returns the tokens that a fresh start elsewhere computes again.
+    /// Returns the number of tokens that have to be computed again if the stream restarts
+    /// elsewhere without its KV cache.
     pub fn tokens_at_risk(&self) -> u32 {
         self.needs.prompt_tokens + self.needs.generated_tokens
     }
@@ -21,21 +22,22 @@
 /// How a stream leaves its upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Move {
-    /// Export the KV cache to this target, then resume there.
+    /// Export the KV cache to a target, then resume there.
     Export {
         /// Index of the target.
         target: usize,
     },
-    /// Resume from prompt plus generated tokens, on a target chosen when it is due.
+    /// Resume from the prompt and the generated tokens, on a target that is chosen at that
+    /// time.
     Resume,
 }
 
-/// Plans how streams leave an upstream that will be taken.
+/// Plans how streams move away from an upstream that is about to be reclaimed.
 ///
-/// Those with the most tokens at risk go first. A KV cache is exported only if
-/// the transfers before it and its own end before the notice does. Each target
-/// counts the streams already sent to it, so that one wave doesn't swamp the
-/// box that looked best and make the next one.
+/// Streams with the most tokens at risk go first. A KV cache is exported only if its
+/// transfer, after all transfers before it, completes within the notice. Each target's load
+/// includes the streams already assigned to it, so that the plan doesn't overload the target
+/// that looked best and cause another wave of moves.
 pub fn plan_moves(
     streams: &[StreamAtRisk],
     targets: &[UpstreamView],
@@ -44,21 +46,21 @@
 ) -> Vec<(RequestId, Move)> {
     let mut order: Vec<&StreamAtRisk> = streams.iter().collect();
     order.sort_by_key(|s| (std::cmp::Reverse(s.tokens_at_risk()), s.request));
-    let mut sent: BTreeMap<usize, u32> = BTreeMap::new();
-    let mut spent_ms = 0.0;
+    let mut assigned: BTreeMap<usize, u32> = BTreeMap::new();
+    let mut transfers_ms = 0.0;
     let mut moves = Vec::new();
     for stream in order {
         let transfer_ms = stream.kv_bytes as f64 / kv_bytes_per_ms.max(1.0);
-        let in_time = spent_ms + transfer_ms <= notice_ms as f64;
+        let in_time = transfers_ms + transfer_ms <= notice_ms as f64;
         let target = in_time
-            .then(|| best_target(stream, targets, &sent))
+            .then(|| best_target(stream, targets, &assigned))
             .flatten();
         let Some(target) = target else {
             moves.push((stream.request, Move::Resume));
             continue;
         };
-        spent_ms += transfer_ms;
-        *sent.entry(target).or_default() += 1;
+        transfers_ms += transfer_ms;
+        *assigned.entry(target).or_default() += 1;
         moves.push((stream.request, Move::Export { target }));
     }
     moves
@@ -67,11 +69,11 @@
 fn best_target(
     stream: &StreamAtRisk,
     targets: &[UpstreamView],
-    sent: &BTreeMap<usize, u32>,
+    assigned: &BTreeMap<usize, u32>,
 ) -> Option<usize> {
     let loaded = |i: usize| {
         let mut u = targets[i].clone();
-        u.unreported += sent.get(&i).copied().unwrap_or(0);
+        u.unreported += assigned.get(&i).copied().unwrap_or(0);
         u
     };
     (0..targets.len())
--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -1,15 +1,15 @@
-/// For how long calls must have failed before the source counts as away, in
-/// milliseconds.
-const AWAY_AFTER_MS: u64 = 1_000;
-/// For how long nobody must have heard the source for entries to have lapsed meanwhile, in
-/// milliseconds: they go after three heartbeats of silence, of a second or more each.
-const UNHEARD_MS: u64 = 2_000;
-/// How long after its return the source may still lack entries that lapsed
-/// while it was away, in milliseconds.
-const RETURN_MS: u64 = 2_200;
+/// How long calls must have failed until the source counts as unavailable, in milliseconds.
+const UNAVAILABLE_AFTER_MS: u64 = 1_000;
+/// How long no daemon must have had an answer from the source so that entries may have lapsed
+/// in the meantime, in milliseconds. Entries lapse after three missed heartbeats, whose
+/// interval is a second or more.
+const MIN_LAPSE_OUTAGE_MS: u64 = 2_000;
+/// How long after its return the source may still lack entries that lapsed during the outage,
+/// in milliseconds.
+const LAPSE_GRACE_MS: u64 = 2_200;
 
-/// What one daemon knows of its contact with the shared source. Times are
-/// milliseconds of its steady clock.
+/// One daemon's contact with the shared source, from which it tells lapsed entries from
+/// removed ones. Times are milliseconds of its monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SourceContact {
     last_seen_ms: Option<u64>,
@@ -18,56 +18,59 @@
 }
 
 impl SourceContact {
-    /// Notes that the source answered.
+    /// Records that the source answered this daemon.
     pub fn record_answer(&mut self, now_ms: u64) {
         self.record_contact(now_ms, now_ms);
         self.failing_since_ms = None;
     }
 
-    /// Notes when the source was heard, by this daemon or another. If nobody heard it for
-    /// long, entries may have lapsed; if others did all the time, only this daemon was cut
-    /// off, and what goes is gone.
+    /// Records when the source last answered this daemon or another one.
+    ///
+    /// If it answered nobody for long, entries may have lapsed. If it answered others all the
+    /// time, only this daemon was cut off, and entries that are missing were removed.
     fn record_contact(&mut self, last_seen_ms: u64, now_ms: u64) {
         let before_ms = self.last_seen_ms;
-        let was_away = before_ms.is_none_or(|before_ms| last_seen_ms >= before_ms + UNHEARD_MS);
-        if was_away && self.is_cut(now_ms) {
+        let was_unavailable =
+            before_ms.is_none_or(|before_ms| last_seen_ms >= before_ms + MIN_LAPSE_OUTAGE_MS);
+        if was_unavailable && self.is_cut(now_ms) {
             self.returned_ms = Some(last_seen_ms);
         }
         self.last_seen_ms = before_ms.max(Some(last_seen_ms));
     }
 
-    /// Notes that a call to the source, begun at `began_ms`, failed.
+    /// Records that a call to the source, begun at `began_ms`, failed.
     pub fn record_failure(&mut self, began_ms: u64) {
         self.failing_since_ms.get_or_insert(began_ms);
     }
 
-    /// Notes when the source told something to a daemon that this one asks.
+    /// Records when the source last answered a daemon that this one queries.
     pub fn record_relayed(&mut self, last_seen_ms: u64, now_ms: u64) {
         self.record_contact(last_seen_ms, now_ms);
     }
 
-    /// Notes that the source is no longer called: whether it could be reached
-    /// isn't known then.
+    /// Records that this daemon no longer calls the source, so that it doesn't know any more
+    /// if the source is reachable.
     pub fn record_not_calling(&mut self) {
         self.failing_since_ms = None;
     }
 
-    /// Returns how old the newest answer is; none before the first.
+    /// Returns the age of the latest answer in milliseconds, or `None` before the first one.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.last_seen_ms
             .map(|last_seen_ms| now_ms.saturating_sub(last_seen_ms))
     }
 
-    /// Returns whether calls have been failing for a while.
+    /// Returns true if calls have failed for long enough that the source counts as
+    /// unavailable.
     pub fn is_cut(&self, now_ms: u64) -> bool {
         self.failing_since_ms
-            .is_some_and(|since_ms| now_ms >= since_ms + AWAY_AFTER_MS)
+            .is_some_and(|since_ms| now_ms >= since_ms + UNAVAILABLE_AFTER_MS)
     }
 
-    /// Returns until when entries that are missing may only have lapsed while
-    /// the source was away.
+    /// Returns the time until which missing entries may only have lapsed during an outage, or
+    /// `None` if missing entries were removed.
     pub fn lapsed_until_ms(&self, now_ms: u64) -> Option<u64> {
-        let until_ms = self.returned_ms? + RETURN_MS;
+        let until_ms = self.returned_ms? + LAPSE_GRACE_MS;
         (now_ms < until_ms).then_some(until_ms)
     }
 }
--- a/src/policy/sources/mod.rs
+++ b/src/policy/sources/mod.rs
@@ -1,4 +1,5 @@
-//! From whom a daemon learns configuration and upstreams.
+//! Where a daemon gets configurations and upstreams from: it reads the shared source itself
+//! or follows daemons that do.
 
 mod contact;
 mod missing_config;
--- a/src/policy/sources/role.rs
+++ b/src/policy/sources/role.rs
@@ -1,51 +1,52 @@
 use crate::policy::DaemonRank;
 
-/// How many daemons a follower asks before it reads the source itself.
-const FOLLOWED: usize = 2;
+/// How many daemons a follower queries before it reads the source itself.
+const FOLLOWED_DAEMONS: usize = 2;
 
 /// Another daemon of the same failure domain that could read the shared source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DomainDaemon<A> {
-    /// Its place among those of the domain.
+    /// Its rank among the daemons of the domain.
     pub rank: DaemonRank,
-    /// Where it listens for other daemons.
+    /// Address at which it listens for other daemons.
     pub address: A,
-    /// Whether it tries to reach the source and can't.
+    /// True if it calls the source and gets no answer.
     pub cut_from_source: bool,
 }
 
-/// How many daemons that come after the readers read the source as soon as what
-/// the readers tell is old: one of the readers may be cut off without knowing it
-/// yet. All others go on asking: if the source itself is away, it would be called by each
-/// of them.
+/// Number of daemons, ranked next after the readers, that read the source as soon as the
+/// readers' state is stale: a reader may be cut off without having detected it yet. All other
+/// followers keep querying other daemons; otherwise an outage of the source would make all
+/// daemons call it.
 const STANDBYS: usize = 2;
 
-/// Where a daemon learns from.
+/// How a daemon gets the state of the shared source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceRole<A> {
-    /// It reads the source itself.
+    /// The daemon reads the source itself.
     Reads,
-    /// It follows others.
+    /// The daemon follows others.
     Follows {
-        /// Whom it asks, the first one first.
+        /// The daemons that it queries, in this order.
         daemons: Vec<A>,
-        /// Whether it reads the source as soon as what they tell is old.
+        /// True if it reads the source as soon as their state is stale.
         is_standby: bool,
     },
 }
 
-/// How asking others went since it last brought news.
+/// Failed queries to other daemons since the last query that returned changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceTries {
-    /// How many did not answer.
+    /// Number of queries without an answer.
     pub unreachable: usize,
-    /// How many answered, but had heard nothing of the source for too long.
+    /// Number of queries answered by a daemon whose own contact with the source was too long
+    /// ago.
     pub stale: usize,
 }
 
 impl<A: Clone> SourceRole<A> {
-    /// Returns whom to ask next, or none to read the source itself. `others` are
-    /// daemons anywhere that say that they have news.
+    /// Returns the daemon to query next, or `None` to read the source itself. `others` are
+    /// daemons of any failure domain that report recent contact with the source.
     pub fn next(&self, tries: SourceTries, others: &[A]) -> Option<A> {
         let Self::Follows {
             daemons,
@@ -54,12 +55,12 @@
         else {
             return None;
         };
-        let old = if *is_standby { tries.stale } else { 0 };
-        if tries.unreachable + old >= daemons.len() {
+        let stale = if *is_standby { tries.stale } else { 0 };
+        if tries.unreachable + stale >= daemons.len() {
             return None;
         }
-        let far = tries.stale.checked_rem(others.len());
-        if let (true, Some(index)) = (tries.stale >= daemons.len(), far) {
+        let other_index = tries.stale.checked_rem(others.len());
+        if let (true, Some(index)) = (tries.stale >= daemons.len(), other_index) {
             return others.get(index).cloned();
         }
         daemons
@@ -68,33 +69,36 @@
     }
 }
 
-/// Decides whether a daemon reads the shared source itself, where so many of a
-/// failure domain are to be its readers.
+/// Decides if a daemon reads the shared source itself, where `readers` daemons of a failure
+/// domain should read.
 ///
-/// All daemons of a failure domain rank each other in the same way, without
-/// talking about it. Where their views differ, a few more of them read, which
-/// does no harm; one that hears of nobody reads.
+/// All daemons of a failure domain compute the same ranking without communicating. Where
+/// their views differ, a few more of them read, which does no harm. A daemon that knows of no
+/// others reads.
 pub fn source_role<A: Clone>(
     own: DaemonRank,
     domain: &[DomainDaemon<A>],
     readers: usize,
 ) -> SourceRole<A> {
-    let mut ahead: Vec<(DaemonRank, A)> = domain
+    let mut higher_ranked: Vec<(DaemonRank, A)> = domain
         .iter()
         .filter(|daemon| !daemon.cut_from_source && daemon.rank > own)
         .map(|daemon| (daemon.rank, daemon.address.clone()))
         .collect();
-    if ahead.len() < readers {
+    if higher_ranked.len() < readers {
         return SourceRole::Reads;
     }
-    let is_standby = ahead.len() < readers + STANDBYS;
-    ahead.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
-    ahead.truncate(FOLLOWED.max(readers));
-    // Followers are shared out evenly among the readers.
-    let first = own.drawn() as usize % readers.max(1);
-    ahead[..readers].rotate_left(first);
+    let is_standby = higher_ranked.len() < readers + STANDBYS;
+    higher_ranked.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
+    higher_ranked.truncate(FOLLOWED_DAEMONS.max(readers));
+    // Followers are distributed evenly over the readers.
+    let offset = own.drawn() as usize % readers.max(1);
+    higher_ranked[..readers].rotate_left(offset);
     SourceRole::Follows {
-        daemons: ahead.into_iter().map(|(_, address)| address).collect(),
+        daemons: higher_ranked
+            .into_iter()
+            .map(|(_, address)| address)
+            .collect(),
         is_standby,
     }
 }
--- a/src/policy/sources/source_health.rs
+++ b/src/policy/sources/source_health.rs
@@ -1,10 +1,10 @@
-/// How long after the last call to a silent source another one begins, in milliseconds: so
-/// late at most its return is noticed. A call that began before may hang for as long as it
-/// is waited for, whatever the source does meanwhile.
-const PROBE_EVERY_MS: u64 = 800;
+/// Interval of calls to a source that doesn't answer, in milliseconds; its return is detected
+/// at most this late. A call that began earlier may hang until its timeout, even if the
+/// source is back.
+const PROBE_INTERVAL_MS: u64 = 800;
 
-/// Whether a shared source answers, as seen by all calls of a daemon to it. Times are
-/// milliseconds of the daemon's steady clock.
+/// Availability of a shared source, as observed by all calls of a daemon to it. Times are
+/// milliseconds of the daemon's monotonic clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceHealth {
     silent_since_ms: Option<u64>,
@@ -13,37 +13,38 @@
 }
 
 impl SourceHealth {
-    /// Notes that a call begins.
+    /// Records that a call begins.
     pub fn record_call(&mut self, now_ms: u64) {
         self.last_call_ms = now_ms;
     }
 
-    /// Notes that a call that began at `began_ms` got no answer.
+    /// Records that a call that began at `began_ms` got no answer.
     pub fn record_failure(&mut self, began_ms: u64) {
         self.silent_since_ms.get_or_insert(began_ms);
     }
 
-    /// Notes that a call was answered; returns for how many milliseconds none had been.
+    /// Records that a call was answered. Returns the duration of the outage in milliseconds
+    /// if this answer ends one.
     pub fn record_answer(&mut self, now_ms: u64) -> Option<u64> {
         let since_ms = self.silent_since_ms.take()?;
         self.returns += 1;
         Some(now_ms.saturating_sub(since_ms))
     }
 
-    /// Returns whether the last call that ended got no answer.
+    /// Returns true if the last call that ended got no answer.
     pub fn is_silent(&self) -> bool {
         self.silent_since_ms.is_some()
     }
 
-    /// Returns how often the source has answered again after a silence.
+    /// Returns the number of outages after which the source has answered again.
     pub fn returns(&self) -> u64 {
         self.returns
     }
 
-    /// Returns in how many milliseconds another call is to find out whether the source
-    /// answers again; none while it answers.
+    /// Returns the time until the next call that probes the source, in milliseconds, or
+    /// `None` while the source answers.
     pub fn probe_in_ms(&self, now_ms: u64) -> Option<u64> {
-        let due_ms = self.last_call_ms + PROBE_EVERY_MS;
+        let due_ms = self.last_call_ms + PROBE_INTERVAL_MS;
         self.is_silent().then(|| due_ms.saturating_sub(now_ms))
     }
 }
