--- a/src/policy/sources/role.rs
+++ b/src/policy/sources/role.rs
@@ -34,7 +34,7 @@
     },
 }
 
-/// Failed queries to other daemons since the last query that returned changes.
+/// Failed queries to other daemons since the last answer that was not stale.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceTries {
     /// Number of queries without an answer.
@@ -55,8 +55,8 @@
         else {
             return None;
         };
-        let stale = if *is_standby { tries.stale } else { 0 };
-        if tries.unreachable + stale >= daemons.len() {
+        let stale_tries = if *is_standby { tries.stale } else { 0 };
+        if tries.unreachable + stale_tries >= daemons.len() {
             return None;
         }
         let other_index = tries.stale.checked_rem(others.len());
