--- a/tests/decisions/engine_model.rs
+++ b/tests/decisions/engine_model.rs
@@ -1,4 +1,5 @@
-//! How fast engines read is learned from answers, whatever engines they are.
+//! The estimate of an engine's reading speed from the answers to requests, for fast and slow
+//! engines.
 
 use {
     rand::{Rng, SeedableRng},
@@ -6,14 +7,15 @@
     saddlepulley::policy::*,
 };
 
-/// An engine as a daemon sees it: ways and steps, then reading, at times late.
-struct SeenEngine {
+/// An engine as a daemon observes it: a fixed latency, then the time to read the prompt, and
+/// late answers at random.
+struct ObservedEngine {
     base_ms: f64,
     ms_per_token: f64,
     late_share: f64,
 }
 
-impl SeenEngine {
+impl ObservedEngine {
     fn first_event(&self, rng: &mut ChaCha8Rng) -> FirstEvent {
         let unread_tokens = match rng.random_bool(0.4) {
             true => rng.random_range(2_000..20_000),
@@ -29,7 +31,7 @@
         }
     }
 
-    fn learned(&self, answers: usize, seed: u64) -> EngineModel {
+    fn model_after(&self, answers: usize, seed: u64) -> EngineModel {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut model = EngineModel::default();
         for _ in 0..answers {
@@ -40,15 +42,15 @@
 }
 
 #[test]
-fn the_speed_of_any_engine_is_learned_from_a_hundred_answers() {
+fn a_hundred_answers_suffice_to_estimate_the_speed_of_any_engine() {
     for ms_per_token in [0.004, 0.01, 0.033, 0.2] {
         for seed in 0..10 {
-            let engine = SeenEngine {
+            let engine = ObservedEngine {
                 base_ms: 40.0,
                 ms_per_token,
                 late_share: 0.0,
             };
-            let speed = engine.learned(100, seed).reading_speed().unwrap();
+            let speed = engine.model_after(100, seed).reading_speed().unwrap();
             let ratio = speed.ms_per_token / ms_per_token;
             assert!((0.7..1.4).contains(&ratio), "{ms_per_token}: {ratio}");
         }
@@ -56,28 +58,28 @@
 }
 
 #[test]
-fn a_fifth_of_late_answers_does_not_make_engines_look_half_as_fast() {
+fn late_answers_do_not_make_engines_look_half_as_fast() {
     for seed in 0..20 {
-        let engine = SeenEngine {
+        let engine = ObservedEngine {
             base_ms: 40.0,
             ms_per_token: 0.01,
             late_share: 0.2,
         };
-        let speed = engine.learned(200, seed).reading_speed().unwrap();
+        let speed = engine.model_after(200, seed).reading_speed().unwrap();
         let ratio = speed.ms_per_token / 0.01;
         assert!((0.5..2.0).contains(&ratio), "seed {seed}: {ratio}");
     }
 }
 
 #[test]
-fn a_change_of_engines_is_followed() {
-    let slow = SeenEngine {
+fn the_estimate_follows_a_change_of_engines() {
+    let slow = ObservedEngine {
         base_ms: 30.0,
         ms_per_token: 0.05,
         late_share: 0.0,
     };
-    let mut model = slow.learned(100, 1);
-    let fast = SeenEngine {
+    let mut model = slow.model_after(100, 1);
+    let fast = ObservedEngine {
         ms_per_token: 0.01,
         ..slow
     };
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn nothing_is_said_before_answers_differ_enough() {
+fn prompts_of_the_same_size_give_no_estimate() {
     let mut model = EngineModel::default();
     assert_eq!(model.reading_speed(), None);
     for _ in 0..100 {
@@ -99,12 +101,16 @@
             after_ms: 50.0,
         });
     }
-    assert_eq!(model.reading_speed(), None, "all prompts are alike");
+    assert_eq!(
+        model.reading_speed(),
+        None,
+        "all prompts have the same size"
+    );
     assert_eq!(model.first_event_ms(), Some(50.0));
 }
 
 #[test]
-fn estimates_count_by_what_they_rest_on() {
+fn merged_estimates_are_weighted_by_their_comparisons() {
     let speed = |ms_per_token, comparisons| ReadingSpeed {
         ms_per_token,
         comparisons,
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -1,4 +1,4 @@
-//! What a message or a question costs does not depend on how many daemons there are.
+//! The cost of handling a message or a query does not depend on the number of daemons.
 
 use {
     crate::cluster_support::*, rand::SeedableRng, rand_chacha::ChaCha8Rng, saddlepulley::cluster::*,
@@ -6,10 +6,10 @@
 
 const SIZES: [usize; 4] = [100, 300, 1_000, 2_000];
 const DOMAINS: usize = 5;
-/// Of each failure domain, the hubs and as many again that come next.
-const MOST_OF_DOMAIN: u64 = 6;
-/// The hubs of all failure domains, by their place and by their word.
-const MOST_HUBS: u64 = 30;
+/// Peers of one failure domain: its hubs and as many daemons that rank next.
+const MAX_OF_DOMAIN: u64 = 6;
+/// The hubs of all failure domains, found by rank and by what they announce.
+const MAX_HUBS: u64 = 30;
 
 fn domain(n: usize) -> String {
     format!("domain-{}", n % DOMAINS)
@@ -31,8 +31,8 @@
     }
 }
 
-/// Makes the table of a daemon to which all others report, as they do to a seed.
-fn seed_of(daemons: usize) -> PeerTable {
+/// Creates the table of a daemon that gets reports from all others, as a seed does.
+fn seed_table(daemons: usize) -> PeerTable {
     let mut table = PeerTable::new(entry("n0", &domain(0), 0));
     for n in 1..daemons {
         table.apply_report(&report(n, 1), 1_000);
@@ -41,39 +41,39 @@
     table
 }
 
-/// Returns how many peers a table looks at to answer.
-fn examined<T>(table: &PeerTable, ask: impl FnOnce(&PeerTable) -> T) -> u64 {
+/// Returns how many peers a table examines for a query.
+fn examined<T>(table: &PeerTable, query: impl FnOnce(&PeerTable) -> T) -> u64 {
     let before = table.examined();
-    ask(table);
+    query(table);
     table.examined() - before
 }
 
 #[test]
-fn who_is_hub_and_whom_to_name_costs_the_same_in_any_fleet() {
+fn queries_about_hubs_and_daemons_cost_the_same_in_any_fleet() {
     for daemons in SIZES {
-        let table = seed_of(daemons);
+        let table = seed_table(daemons);
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         let named = examined(&table, |t| t.named_for(&domain(3), &mut rng));
-        assert!(named <= MOST_OF_DOMAIN + MOST_HUBS, "{daemons}: {named}");
+        assert!(named <= MAX_OF_DOMAIN + MAX_HUBS, "{daemons}: {named}");
         let is_hub = examined(&table, |t| t.is_hub());
-        assert!(is_hub <= MOST_OF_DOMAIN, "{daemons}: {is_hub}");
+        assert!(is_hub <= MAX_OF_DOMAIN, "{daemons}: {is_hub}");
         let own_hubs = examined(&table, |t| t.own_hubs());
-        assert!(own_hubs <= MOST_OF_DOMAIN, "{daemons}: {own_hubs}");
+        assert!(own_hubs <= MAX_OF_DOMAIN, "{daemons}: {own_hubs}");
         let hubs = examined(&table, |t| t.hub_addresses());
-        assert!(hubs <= MOST_HUBS, "{daemons}: {hubs}");
+        assert!(hubs <= MAX_HUBS, "{daemons}: {hubs}");
         let known = examined(&table, |t| t.daemons());
-        assert!(known <= MOST_HUBS, "{daemons}: {known}");
+        assert!(known <= MAX_HUBS, "{daemons}: {known}");
         let holders = examined(&table, |t| t.duty_daemons());
-        assert!(holders <= MOST_HUBS, "{daemons}: {holders}");
+        assert!(holders <= MAX_HUBS, "{daemons}: {holders}");
         let wants = examined(&table, |t| t.wants_digest(address(9), 600));
         assert!(wants <= 1, "{daemons}: {wants}");
     }
 }
 
 #[test]
-fn hearing_a_daemon_costs_the_same_in_any_fleet() {
+fn applying_a_report_or_digest_costs_the_same_in_any_fleet() {
     for daemons in SIZES {
-        let mut table = seed_of(daemons);
+        let mut table = seed_table(daemons);
         let before = table.examined();
         assert!(table.apply_report(&report(9, 2), 1_100));
         let digest = digest_of("n7", 1);
@@ -83,36 +83,36 @@
 }
 
 #[test]
-fn daemons_that_fell_silent_are_not_looked_at_again_and_again() {
-    let mut table = seed_of(2_000);
+fn silent_daemons_are_not_examined_again_and_again() {
+    let mut table = seed_table(2_000);
     table.apply_report(&report(9, 2), 10_000);
     table.tick(1, 10_000);
     let is_hub = examined(&table, |t| t.is_hub());
-    assert!(is_hub <= MOST_OF_DOMAIN, "{is_hub}");
+    assert!(is_hub <= MAX_OF_DOMAIN, "{is_hub}");
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let named = table.named_for(&domain(9), &mut rng);
     let names: Vec<&str> = named.iter().map(|entry| entry.name.as_str()).collect();
-    assert_eq!(names, ["n9"], "only this one was heard since");
+    assert_eq!(names, ["n9"], "only this one has sent a report since");
 }
 
 #[test]
-fn one_that_moved_or_left_is_found_only_where_it_is() {
-    let mut table = seed_of(100);
+fn a_daemon_that_moved_or_left_is_not_found_at_its_old_place() {
+    let mut table = seed_table(100);
     let mut moved = report(8, 2);
     moved.daemon.domain = "elsewhere".into();
     moved.daemon.address = address(500);
     assert!(table.apply_report(&moved, 1_100));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let there = table.named_for("elsewhere", &mut rng);
-    assert_eq!(there[0].address, address(500));
+    let named = table.named_for("elsewhere", &mut rng);
+    assert_eq!(named[0].address, address(500));
     let mut leaving = moved.clone();
     leaving.sequence = 3;
     leaving.status.is_leaving = true;
     assert!(table.apply_report(&leaving, 1_200));
-    let there = table.named_for("elsewhere", &mut rng);
-    assert!(there.iter().all(|entry| entry.domain != "elsewhere"));
+    let named = table.named_for("elsewhere", &mut rng);
+    assert!(named.iter().all(|entry| entry.domain != "elsewhere"));
     assert!(
         table.wants_digest(address(8), 0),
-        "it is not there any more"
+        "it no longer has this address"
     );
 }
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -1,9 +1,9 @@
-//! Daemons of a whole fleet that start at the same moment find each other, and the few
-//! seeds that all of them know are asked a few times by each, however many there are.
+//! Daemons of a whole fleet that start at the same moment find each other, and each of them
+//! queries the few common seeds only a few times, however many daemons there are.
 //!
-//! Operators saw the seeds of 985 boxes busy with nothing but their answers for the whole
-//! time between the start and the first traffic: each box asked each seed ten times a
-//! second, and their links could not carry a tenth of the answers.
+//! Without a backoff, the seeds of 985 boxes did nothing but answer between the start and the
+//! first traffic: each box queried each seed ten times a second, and the links of the seeds
+//! could not carry a tenth of the answers.
 
 use {
     crate::cluster_support::*,
@@ -21,15 +21,15 @@
 
 const DOMAINS: usize = 5;
 const SEEDS: usize = 3;
-/// One way between two daemons, and how long each of them waits until it looks what is
+/// The latency between two daemons, and the interval at which each of them checks what is
 /// due, in milliseconds.
 const STEP_MS: u64 = 50;
-const LOOK_MS: u64 = 100;
+const CHECK_INTERVAL_MS: u64 = 100;
 const REPORT_MS: u64 = 500;
 const DIGEST_MS: u64 = 250;
 const STARTING_MS: u64 = 1_000;
-/// How often a seed is asked by one daemon, on average over the fleet.
-const MOST_ASKS: f64 = 2.0;
+/// How often a daemon may query a seed, on average over the fleet.
+const MAX_QUERIES: f64 = 2.0;
 
 enum Message {
     Report(Report),
@@ -39,16 +39,16 @@
 struct Daemon {
     table: PeerTable,
     backoff: SeedBackoff,
-    /// How long after the first ones it starts.
+    /// Delay of its start after the first daemons.
     lag_ms: u64,
 }
 
 struct Fleet {
     daemons: Vec<Daemon>,
     by_address: HashMap<SocketAddr, usize>,
-    on_their_way: Vec<(usize, Message)>,
-    /// How often each seed was asked as a seed.
-    asked: BTreeMap<usize, u32>,
+    in_flight: Vec<(usize, Message)>,
+    /// How many queries each seed got from starting daemons.
+    queried: BTreeMap<usize, u32>,
     now_ms: u64,
     sequence: u64,
     rng: ChaCha8Rng,
@@ -57,7 +57,7 @@
 impl Fleet {
     fn new(daemons: usize, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let made = (0..daemons).map(|n| Daemon {
+        let started = (0..daemons).map(|n| Daemon {
             table: PeerTable::new(entry(
                 &format!("n{n}"),
                 &format!("domain-{}", n % DOMAINS),
@@ -67,10 +67,10 @@
             lag_ms: rng.random_range(0..4) * STEP_MS,
         });
         Self {
-            daemons: made.collect(),
+            daemons: started.collect(),
             by_address: (0..daemons).map(|n| (address(n), n)).collect(),
-            on_their_way: Vec::new(),
-            asked: BTreeMap::new(),
+            in_flight: Vec::new(),
+            queried: BTreeMap::new(),
             now_ms: 0,
             sequence: 0,
             rng,
@@ -78,7 +78,7 @@
     }
 
     fn send(&mut self, to: SocketAddr, message: Message) {
-        self.on_their_way.push((self.by_address[&to], message));
+        self.in_flight.push((self.by_address[&to], message));
     }
 
     fn report(&mut self, from: usize, to: SocketAddr, every_ms: u64) {
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Lets a daemon do what is due.
+    /// Does what is due at a daemon.
     fn act(&mut self, own: usize) {
         let now_ms = self.now_ms;
         let age_ms = now_ms - self.daemons[own].lag_ms;
-        if age_ms.is_multiple_of(LOOK_MS) {
-            self.look_for_others(own, age_ms);
+        if age_ms.is_multiple_of(CHECK_INTERVAL_MS) {
+            self.query_seeds(own, age_ms);
         }
         if age_ms.is_multiple_of(REPORT_MS) {
             self.report_to_hubs(own, REPORT_MS);
@@ -149,18 +149,18 @@
         }
     }
 
-    fn look_for_others(&mut self, own: usize, age_ms: u64) {
-        let drawn = self.rng.random();
+    fn query_seeds(&mut self, own: usize, age_ms: u64) {
+        let draw = self.rng.random();
         let daemon = &mut self.daemons[own];
         if age_ms >= STARTING_MS && daemon.table.hears_hubs() {
             return;
         }
-        let Some(ask) = daemon.backoff.next_query(SEEDS, drawn, self.now_ms) else {
+        let Some(query) = daemon.backoff.next_query(SEEDS, draw, self.now_ms) else {
             return;
         };
-        if ask.seed != own {
-            *self.asked.entry(ask.seed).or_default() += 1;
-            self.report(own, address(ask.seed), ask.every_ms);
+        if query.seed != own {
+            *self.queried.entry(query.seed).or_default() += 1;
+            self.report(own, address(query.seed), query.every_ms);
         }
         self.report_to_hubs(own, REPORT_MS);
     }
@@ -176,7 +176,7 @@
 
     fn run(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
-            for (to, message) in std::mem::take(&mut self.on_their_way) {
+            for (to, message) in std::mem::take(&mut self.in_flight) {
                 self.apply(to, message);
             }
             for own in 0..self.daemons.len() {
@@ -188,63 +188,67 @@
         }
     }
 
-    /// Returns the hubs of a failure domain as they are, by rank.
+    /// Returns the actual hubs of a failure domain, by rank.
     fn hubs(&self, domain: usize) -> Vec<SocketAddr> {
-        let there = self.daemons.iter().map(|d| d.table.own());
-        let mut there: Vec<_> = there
+        let entries = self.daemons.iter().map(|d| d.table.own());
+        let mut entries: Vec<_> = entries
             .filter(|entry| entry.domain == format!("domain-{domain}"))
             .collect();
-        there.sort_by_key(|entry| std::cmp::Reverse(entry.rank()));
-        let hubs = there.into_iter().take(HUBS_PER_DOMAIN);
+        entries.sort_by_key(|entry| std::cmp::Reverse(entry.rank()));
+        let hubs = entries.into_iter().take(HUBS_PER_DOMAIN);
         hubs.map(|entry| entry.address).collect()
     }
 
-    /// Returns how many daemons would not ask the first hub of their failure domain first.
-    fn astray(&self) -> usize {
+    /// Returns the number of daemons whose first choice is not the first hub of their failure
+    /// domain.
+    fn misdirected(&self) -> usize {
         let first: Vec<SocketAddr> = (0..DOMAINS).map(|domain| self.hubs(domain)[0]).collect();
         let daemons = self.daemons.iter().enumerate();
-        let astray = daemons.filter(|(own, daemon)| {
+        let misdirected = daemons.filter(|(own, daemon)| {
             let first = first[own % DOMAINS];
             let hubs = daemon.table.own_hubs();
             address(*own) != first && hubs.first() != Some(&first)
         });
-        astray.count()
+        misdirected.count()
     }
 }
 
 #[test]
-fn a_fleet_that_starts_at_once_finds_its_hubs_and_spares_its_seeds() {
+fn a_fleet_that_starts_at_once_finds_its_hubs_without_flooding_its_seeds() {
     for daemons in [100, 300, 1_000, 2_000] {
         let mut fleet = Fleet::new(daemons, 7);
         fleet.run(2_000);
-        assert_eq!(fleet.astray(), 0, "of {daemons}, after 2 s");
-        let busiest = fleet.asked.values().max().unwrap();
-        let asks = f64::from(*busiest) / daemons as f64;
+        assert_eq!(fleet.misdirected(), 0, "of {daemons}, after 2 s");
+        let busiest = fleet.queried.values().max().unwrap();
+        let queries = f64::from(*busiest) / daemons as f64;
         assert!(
-            asks <= MOST_ASKS,
-            "{daemons} daemons: {asks} questions of each"
+            queries <= MAX_QUERIES,
+            "{daemons} daemons: {queries} queries by each"
         );
     }
 }
 
 #[test]
-fn a_seed_that_does_not_answer_is_asked_again_and_others_meanwhile() {
+fn a_seed_that_does_not_answer_is_queried_again_after_the_others() {
     let mut backoff = SeedBackoff::new(4);
-    let mut asked = Vec::new();
+    let mut queried = Vec::new();
     for now_ms in (0..10_000).step_by(50) {
-        if let Some(ask) = backoff.next_query(3, 1, now_ms) {
-            assert!(ask.every_ms >= 700, "until it is asked again");
-            asked.push((now_ms, ask.seed));
+        if let Some(query) = backoff.next_query(3, 1, now_ms) {
+            assert!(
+                query.every_ms >= 700,
+                "until the same seed is queried again"
+            );
+            queried.push((now_ms, query.seed));
         }
     }
-    let seeds: Vec<usize> = asked.iter().map(|(_, seed)| *seed).collect();
+    let seeds: Vec<usize> = queried.iter().map(|(_, seed)| *seed).collect();
     assert_eq!(seeds[..6], [1, 2, 0, 1, 2, 0]);
-    let pauses = asked.windows(2).map(|pair| pair[1].0 - pair[0].0);
+    let pauses = queried.windows(2).map(|pair| pair[1].0 - pair[0].0);
     let pauses: Vec<u64> = pauses.collect();
     assert!(pauses.iter().all(|ms| *ms <= 1_600));
     assert!(*pauses.last().unwrap() >= 800);
     backoff.restart(10_000);
     assert!(backoff.next_query(3, 1, 10_000).is_some(), "at once");
     assert!(backoff.next_query(3, 1, 10_100).is_some());
-    assert_eq!(backoff.next_query(0, 1, 20_000), None, "there are none");
+    assert_eq!(backoff.next_query(0, 1, 20_000), None, "no seeds");
 }
