--- a/tests/decisions/box_facts.rs
+++ b/tests/decisions/box_facts.rs
@@ -1,4 +1,4 @@
-//! Truths about boxes only move forward.
+//! Merging facts about a box from several sources: its state only moves forward.
 
 use {
     proptest::prelude::*,
@@ -31,9 +31,9 @@
 }
 
 proptest! {
-    /// However facts are ordered and doubled, every daemon ends with the same.
+    /// Whatever the order and duplication of facts, every daemon arrives at the same state.
     #[test]
-    fn order_does_not_matter(facts in prop::collection::vec(any_fact(), 1..12), seed in any::<u64>()) {
+    fn reordered_and_repeated_facts_give_the_same_state(facts in prop::collection::vec(any_fact(), 1..12), seed in any::<u64>()) {
         use rand::{SeedableRng, seq::SliceRandom};
         let mut shuffled = facts.clone();
         shuffled.extend(facts.iter().take(3).cloned());
@@ -46,7 +46,7 @@
     }
 
     #[test]
-    fn a_leaving_box_never_comes_back(facts in prop::collection::vec(any_fact(), 1..12)) {
+    fn the_state_of_a_box_never_moves_back(facts in prop::collection::vec(any_fact(), 1..12)) {
         let mut table = BoxTable::default();
         let id = BoxId::from("e1");
         let mut last = (0, BoxState::Live);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_lagging_list_does_not_bring_a_leaving_box_back() {
+fn an_outdated_list_does_not_make_a_leaving_box_live_again() {
     let mut table = BoxTable::default();
     table.fold(&fact(1, BoxState::Live, 0));
     table.fold(&fact(1, BoxState::Leaving, 100));
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -1,4 +1,5 @@
-//! How many requests a second upstreams get that name a limit.
+//! Rate limits that upstreams name: parsing, permits, and how daemons exchange limits and
+//! agree on the issuer of permits.
 
 use {
     crate::cluster_support::*,
@@ -20,14 +21,14 @@
     NamedLimit::Rate(rate(per_s))
 }
 
-/// A book in which an upstream `u` has just named a limit.
-fn book_of(per_s: f64) -> LimitTable {
+/// A table in which an upstream `u` has just named a limit.
+fn table_with_limit(per_s: f64) -> LimitTable {
     let mut limit_table = LimitTable::default();
     assert!(limit_table.record_answer(&u("u"), named(per_s), 0, 0));
     limit_table
 }
 
-fn told(per_s: Option<f64>, version: u64) -> KnownLimit {
+fn announcement(per_s: Option<f64>, version: u64) -> KnownLimit {
     KnownLimit {
         upstream: u("u"),
         rate: per_s.map(rate),
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn of_several_values_the_lowest_counts_and_junk_beside_it_does_not() {
+fn of_several_values_the_lowest_valid_one_counts() {
     let read = |values: &[&str]| NamedLimit::read(values.iter().map(|v| v.as_bytes()));
     assert_eq!(read(&[]), NamedLimit::Absent);
     assert_eq!(read(&["x"]), NamedLimit::Unreadable);
@@ -72,15 +73,15 @@
     assert_eq!(read(&["x", "3"]), named(3.0));
 }
 
-/// Takes whatever permits there are, many times a second.
-fn take_all(limit_table: &mut LimitTable, from_ms: u64, to_ms: u64) -> Vec<u64> {
+/// Takes all available permits, polling every 5 ms.
+fn take_all_permits(limit_table: &mut LimitTable, from_ms: u64, to_ms: u64) -> Vec<u64> {
     let times = (from_ms..to_ms).step_by(5);
     times
         .filter(|at| limit_table.take(&u("u"), PermitShare::ALL, *at).is_ok())
         .collect()
 }
 
-fn most_in_4_s(times: &[u64]) -> usize {
+fn max_in_4_s(times: &[u64]) -> usize {
     let in_span = |from: u64| {
         times
             .iter()
@@ -91,13 +92,13 @@
 }
 
 #[test]
-fn a_limit_is_used_up_and_not_exceeded() {
+fn a_limit_is_fully_used_and_not_exceeded() {
     for per_s in [0.25, 0.5, 1.0, 3.7, 20.0, 150.0] {
-        let mut limit_table = book_of(per_s);
-        // Nobody asks for a while: some permits are kept, not all.
-        let times = take_all(&mut limit_table, 30_000, 130_000);
-        let most = most_in_4_s(&times) as f64;
-        assert!(most <= 4.0 * per_s * 1.07 + 1.0, "{per_s}: {most}");
+        let mut limit_table = table_with_limit(per_s);
+        // Nobody takes permits for a while: only a burst of them is kept.
+        let times = take_all_permits(&mut limit_table, 30_000, 130_000);
+        let max = max_in_4_s(&times) as f64;
+        assert!(max <= 4.0 * per_s * 1.07 + 1.0, "{per_s}: {max}");
         assert!(
             times.len() as f64 >= 0.97 * 100.0 * per_s,
             "{per_s}: {}",
@@ -106,34 +107,36 @@
     }
 }
 
-/// Many daemons ask one that issues permits, each again when it was told to.
+/// Many daemons query one issuer of permits, and each retries at the time that a refusal
+/// names.
 #[test]
-fn a_limit_is_used_up_wherever_the_load_comes_in() {
+fn a_limit_is_fully_used_wherever_the_load_arrives() {
     for (daemons, seed) in [(1, 1), (2, 2), (8, 3), (45, 4)] {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut issuer = book_of(5.0);
-        let mut asking: Vec<LimitTable> = (0..daemons).map(|_| book_of(5.0)).collect();
-        let (mut times, mut asked) = (Vec::new(), 0);
+        let mut issuer = table_with_limit(5.0);
+        let mut clients: Vec<LimitTable> = (0..daemons).map(|_| table_with_limit(5.0)).collect();
+        let (mut times, mut queries) = (Vec::new(), 0);
         for now_ms in (1_000..61_000).step_by(2) {
-            let limit_table = &mut asking[rng.random_range(0..daemons)];
+            let limit_table = &mut clients[rng.random_range(0..daemons)];
             if limit_table.is_used_up(&u("u"), now_ms) {
                 continue;
             }
-            asked += 1;
+            queries += 1;
             match issuer.take(&u("u"), PermitShare::ALL, now_ms) {
                 Ok(()) => times.push(now_ms),
                 Err(wait_ms) => limit_table.record_used_up(&u("u"), wait_ms, now_ms),
             }
         }
-        let used = times.len();
+        let issued = times.len();
         assert!(
-            (285..=303).contains(&used),
-            "{daemons} daemons: {used} of 300"
+            (285..=303).contains(&issued),
+            "{daemons} daemons: {issued} of 300"
         );
-        assert!(most_in_4_s(&times) <= 23, "{daemons} daemons");
-        // Each asks about as often as there are permits, not each time that it places.
-        let most = 60 * 5 * 2 + daemons * 60 * 2;
-        assert!(asked <= most, "{daemons} daemons: asked {asked} times");
+        assert!(max_in_4_s(&times) <= 23, "{daemons} daemons");
+        // Each daemon queries about as often as permits become available, not for each
+        // placement.
+        let max = 60 * 5 * 2 + daemons * 60 * 2;
+        assert!(queries <= max, "{daemons} daemons: {queries} queries");
     }
 }
 
@@ -143,17 +146,17 @@
     assert_eq!(
         limit_table.take(&u("u"), PermitShare::ALL, 60_000),
         Ok(()),
-        "it names none"
+        "the upstream names no limit"
     );
     limit_table.record_answer(&u("u"), named(2.0), 59_900, 60_000);
     assert_eq!(
         limit_table.take(&u("u"), PermitShare::ALL, 60_000),
         Err(500)
     );
-    // It is raised, and lowered again.
+    // The limit is raised, and lowered again.
     limit_table.record_answer(&u("u"), named(100.0), 60_100, 60_200);
     limit_table.record_answer(&u("u"), named(1.0), 70_100, 70_200);
-    let times = take_all(&mut limit_table, 70_200, 74_200);
+    let times = take_all_permits(&mut limit_table, 70_200, 74_200);
     assert!(
         times.len() <= 29,
         "{}: a quarter of a second's worth and 4",
@@ -162,10 +165,11 @@
 }
 
 #[test]
-fn an_answer_that_names_none_lifts_only_what_was_named_before_its_request() {
-    let mut limit_table = book_of(1.0);
+fn an_answer_without_a_limit_lifts_only_a_limit_named_before_its_request() {
+    let mut limit_table = table_with_limit(1.0);
     limit_table.record_answer(&u("u"), named(1.0), 900, 1_000);
-    // Its request was sent before the limit was named last: the answer may have begun then.
+    // The request was sent before the limit was last named, so the answer may have begun
+    // before that.
     assert!(!limit_table.record_answer(&u("u"), NamedLimit::Absent, 950, 1_100));
     assert_eq!(limit_table.rate(&u("u")), Some(rate(1.0)));
     assert!(!limit_table.record_answer(&u("u"), NamedLimit::Unreadable, 1_200, 1_300));
@@ -173,7 +177,7 @@
     assert!(limit_table.record_answer(&u("u"), NamedLimit::Absent, 1_200, 1_300));
     assert_eq!(limit_table.rate(&u("u")), None);
     assert_eq!(limit_table.take(&u("u"), PermitShare::ALL, 1_300), Ok(()));
-    // And it may name one again.
+    // The upstream may name a limit again.
     assert!(limit_table.record_answer(&u("u"), named(0.5), 1_400, 1_500));
     assert_eq!(
         limit_table.take(&u("u"), PermitShare::ALL, 1_500),
@@ -182,117 +186,120 @@
 }
 
 #[test]
-fn one_that_takes_nothing_is_asked_now_and_then_whether_that_has_changed() {
-    let mut limit_table = book_of(0.0);
-    let times = take_all(&mut limit_table, 0, 60_000);
+fn an_upstream_with_a_limit_of_zero_is_still_probed() {
+    let mut limit_table = table_with_limit(0.0);
+    let times = take_all_permits(&mut limit_table, 0, 60_000);
     assert!((13..=16).contains(&times.len()), "{}", times.len());
 }
 
 #[test]
-fn of_what_daemons_tell_the_newest_counts() {
+fn of_several_announcements_the_newest_version_counts() {
     let mut limit_table = LimitTable::default();
     assert!(
-        !limit_table.apply(&told(None, 4), None, 5_000),
-        "nothing was known of any"
+        !limit_table.apply(&announcement(None, 4), None, 5_000),
+        "no limit was known"
     );
-    assert!(limit_table.apply(&told(Some(2.0), 5), None, 5_000));
+    assert!(limit_table.apply(&announcement(Some(2.0), 5), None, 5_000));
     assert!(
-        !limit_table.apply(&told(Some(1.0), 4), None, 5_000),
+        !limit_table.apply(&announcement(Some(1.0), 4), None, 5_000),
         "older"
     );
     assert_eq!(limit_table.rate(&u("u")), Some(rate(2.0)));
-    assert!(limit_table.apply(&told(None, 6), None, 5_000));
+    assert!(limit_table.apply(&announcement(None, 6), None, 5_000));
     assert!(
-        !limit_table.apply(&told(Some(2.0), 5), None, 5_000),
-        "told again"
+        !limit_table.apply(&announcement(Some(2.0), 5), None, 5_000),
+        "announced again"
     );
     assert_eq!(limit_table.rate(&u("u")), None);
     assert!(
-        limit_table.apply(&told(Some(3.0), 6), None, 5_000),
-        "both at once: the lower"
+        limit_table.apply(&announcement(Some(3.0), 6), None, 5_000),
+        "of equal versions the lower limit counts"
     );
-    assert!(!limit_table.apply(&told(Some(4.0), 6), None, 5_000));
-    // The next answer counts, whatever it says.
+    assert!(!limit_table.apply(&announcement(Some(4.0), 6), None, 5_000));
+    // The next answer counts, whatever limit it names.
     assert!(limit_table.record_answer(&u("u"), named(9.0), 5_000, 5_100));
     assert_eq!(limit_table.known(&u("u"), 5_100).unwrap().version, 7);
 }
 
-/// A word of an earlier answer is on its way for long, and comes back by others: it looks
-/// as young as it was when it was sent off last.
+/// An outdated announcement is relayed by several daemons and arrives late. Its age is too
+/// low, because each relay sends it as if it had just been received.
 #[test]
-fn a_word_that_was_long_on_its_way_is_no_news() {
-    let mut limit_table = book_of(1.0);
-    let word = limit_table.known(&u("u"), 0).unwrap();
+fn an_outdated_announcement_does_not_restore_a_lifted_limit() {
+    let mut limit_table = table_with_limit(1.0);
+    let outdated = limit_table.known(&u("u"), 0).unwrap();
     assert!(limit_table.record_answer(&u("u"), NamedLimit::Absent, 50, 100));
-    assert!(!limit_table.apply(&word, Some(true), 5_000));
+    assert!(!limit_table.apply(&outdated, Some(true), 5_000));
     assert_eq!(limit_table.rate(&u("u")), None);
 }
 
 #[test]
-fn who_hears_something_older_tells_what_is_newer() {
+fn an_outdated_announcement_is_answered_with_the_newer_limit() {
     let mut limit_table = LimitTable::default();
-    limit_table.apply(&told(Some(2.0), 5), None, 5_000);
+    limit_table.apply(&announcement(Some(2.0), 5), None, 5_000);
     assert!(
         limit_table.to_announce(9, 5_000).hubs.is_empty(),
-        "it passes nothing on"
+        "it does not relay announcements"
     );
-    limit_table.apply(&told(Some(2.0), 4), None, 5_000);
+    limit_table.apply(&announcement(Some(2.0), 4), None, 5_000);
     assert!(
         limit_table.to_announce(9, 5_000).hubs.is_empty(),
-        "they say the same"
+        "both name the same limit"
+    );
+    limit_table.apply(&announcement(Some(7.0), 4), None, 5_000);
+    assert_eq!(
+        limit_table.to_announce(9, 5_000).hubs,
+        [announcement(Some(2.0), 5)]
     );
-    limit_table.apply(&told(Some(7.0), 4), None, 5_000);
-    assert_eq!(limit_table.to_announce(9, 5_000).hubs, [told(Some(2.0), 5)]);
 }
 
 #[test]
-fn news_are_told_some_times_and_passed_on_as_far_as_they_have_to() {
-    let mut limit_table = book_of(1.0);
-    let announcements_left = (0..9).filter(|_| !limit_table.to_announce(9, 0).hubs.is_empty());
-    assert_eq!(announcements_left.count(), 4);
+fn a_change_is_announced_four_times_and_relayed_only_as_far_as_needed() {
+    let mut limit_table = table_with_limit(1.0);
+    let announced = (0..9).filter(|_| !limit_table.to_announce(9, 0).hubs.is_empty());
+    assert_eq!(announced.count(), 4);
     let mut hub = LimitTable::default();
-    hub.apply(&told(Some(1.0), 1), Some(false), 0);
-    let news = hub.to_announce(9, 0);
-    assert_eq!((news.hubs.len(), news.members.len()), (0, 1));
+    hub.apply(&announcement(Some(1.0), 1), Some(false), 0);
+    let changes = hub.to_announce(9, 0);
+    assert_eq!((changes.hubs.len(), changes.members.len()), (0, 1));
 }
 
 #[test]
-fn what_is_over_is_forgotten() {
-    let mut limit_table = book_of(1.0);
+fn lapsed_limits_and_removed_upstreams_are_removed() {
+    let mut limit_table = table_with_limit(1.0);
     limit_table.tick(3_600_000);
     assert_eq!(
         limit_table.in_force(3_600_000).len(),
         1,
-        "for as long as it says so"
+        "no answer has lifted it"
     );
     limit_table.record_answer(&u("u"), NamedLimit::Absent, 3_600_000, 3_600_100);
     assert!(limit_table.in_force(3_600_100).is_empty());
     limit_table.tick(3_661_000);
     assert!(limit_table.is_empty());
-    let mut limit_table = book_of(1.0);
+    let mut limit_table = table_with_limit(1.0);
     limit_table.retain(|id| *id != u("u"));
-    assert!(limit_table.is_empty(), "an upstream that is gone");
+    assert!(limit_table.is_empty(), "the upstream was removed");
 }
 
-/// Datagrams get lost, come twice and in any order: once no answer comes any more, all
-/// daemons know what the last one said.
+/// Datagrams are lost, duplicated and reordered. Some time after the last answer, all daemons
+/// must still agree on the limit.
 #[test]
-fn daemons_come_to_know_the_same() {
+fn lost_and_reordered_announcements_do_not_leave_daemons_in_disagreement() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut books = vec![LimitTable::default(); 6];
-        let mut on_the_way: Vec<(usize, KnownLimit, u64)> = Vec::new();
+        let mut tables = vec![LimitTable::default(); 6];
+        let mut in_flight: Vec<(usize, KnownLimit, u64)> = Vec::new();
         let mut last = None;
         for now_ms in (0..20_000).step_by(100) {
             if now_ms < 12_000 && rng.random_bool(0.2) {
-                // An answer to a request that was sent just before, at any daemon.
+                // An answer to a request that was sent just before, at a random daemon.
                 let named_now =
                     [named(1.0), named(2.0), NamedLimit::Absent][rng.random_range(0..3)];
-                let at = rng.random_range(0..books.len());
-                books[at].record_answer(&u("u"), named_now, now_ms, now_ms);
-                last = Some(books[at].rate(&u("u")));
+                let at = rng.random_range(0..tables.len());
+                tables[at].record_answer(&u("u"), named_now, now_ms, now_ms);
+                last = Some(tables[at].rate(&u("u")));
             }
-            for (from, limit_table) in books.iter_mut().enumerate() {
+            for (from, limit_table) in tables.iter_mut().enumerate() {
                 for known in limit_table
                     .to_announce(9, now_ms)
                     .hubs
@@ -302,17 +309,17 @@
                     let to = rng.random_range(0..6);
                     if to != from && rng.random_bool(0.8) {
                         let delay_ms = rng.random_range(0..400);
-                        on_the_way.push((to, known, now_ms + delay_ms));
+                        in_flight.push((to, known, now_ms + delay_ms));
                     }
                 }
             }
-            on_the_way.shuffle(&mut rng);
-            // Their ages have grown on the way; daemons don't know by how much.
-            for (to, known, _) in on_the_way.extract_if(.., |(.., due)| *due <= now_ms) {
-                books[to].apply(&known, Some(true), now_ms);
+            in_flight.shuffle(&mut rng);
+            // The ages don't include the time in flight, which daemons don't know.
+            for (to, known, _) in in_flight.extract_if(.., |(.., due)| *due <= now_ms) {
+                tables[to].apply(&known, Some(true), now_ms);
             }
         }
-        let rates: HashSet<_> = books
+        let rates: HashSet<_> = tables
             .iter()
             .map(|b| format!("{:?}", b.rate(&u("u"))))
             .collect();
@@ -320,12 +327,12 @@
     }
 }
 
-/// Daemons of builds that know of no limits send what they like: of what is left, others
-/// take no more, and ask now and then whether the limit still stands.
+/// Daemons of builds that know no limits send requests without permits. The others share what
+/// remains of the limit, and go on probing if the limit still exists.
 #[test]
-fn room_is_left_for_what_others_send_without_permits() {
+fn requests_without_permits_are_subtracted_from_the_limit() {
     for (others, own) in [(0.0, 300), (3.0, 120), (4.9, 15), (50.0, 15)] {
-        let mut limit_table = book_of(5.0);
+        let mut limit_table = table_with_limit(5.0);
         let share = PermitShare {
             part: 1.0,
             unaware_per_s: others,
@@ -340,16 +347,16 @@
     }
 }
 
-/// Where nobody is known who issues permits, each of six daemons takes an even part.
+/// Where no issuer of permits is known, each of six daemons takes an equal share.
 #[test]
-fn even_parts_add_up_to_the_whole() {
+fn equal_shares_add_up_to_the_limit() {
     let share = PermitShare {
         part: 1.0 / 6.0,
         ..PermitShare::ALL
     };
     let mut taken = 0;
     for _ in 0..6 {
-        let mut limit_table = book_of(3.0);
+        let mut limit_table = table_with_limit(3.0);
         let times = (0..60_000).step_by(5);
         taken += times
             .filter(|at| limit_table.take(&u("u"), share, *at).is_ok())
@@ -374,7 +381,7 @@
 }
 
 #[test]
-fn all_hubs_find_the_same_issuer_and_it_stands_beside_the_upstream() {
+fn all_hubs_choose_the_same_issuer_in_the_failure_domain_of_the_upstream() {
     let hubs = [
         ("a1", "a", 1),
         ("a2", "a", 1),
@@ -408,16 +415,20 @@
             )
         })
         .collect();
-    assert_eq!(spread.len(), 2, "both issue");
-    let alone = table("a1", "a", &[("b3", "b", 0)]);
-    assert_eq!(alone.permit_issuer(1, "b", true), PermitIssuer::Own);
-    assert_eq!(alone.permit_issuer(1, "b", false), PermitIssuer::Nobody);
+    assert_eq!(spread.len(), 2, "both aware hubs issue permits");
+    let only_unaware = table("a1", "a", &[("b3", "b", 0)]);
+    assert_eq!(only_unaware.permit_issuer(1, "b", true), PermitIssuer::Own);
+    assert_eq!(
+        only_unaware.permit_issuer(1, "b", false),
+        PermitIssuer::Nobody
+    );
 }
 
-/// A hub that has just started says everything in both versions, and a full digest has no
-/// room for what stands behind it: nobody issued permits then, by turns.
+/// A hub that has just started sends everything in both formats, so that a full digest has no
+/// room for the extension that holds the hub's level. If its level were reset by such a
+/// digest, there would be no issuer of permits at times.
 #[test]
-fn a_digest_that_does_not_tell_takes_nothing_back() {
+fn a_digest_without_a_level_does_not_remove_the_issuer() {
     let mut table = table("a1", "a", &[("a2", "a", 1)]);
     table.record_level("a2", 0);
     assert_eq!(
@@ -426,9 +437,9 @@
     );
 }
 
-/// One that starts again may be of another build: what it knows is told anew.
+/// A daemon that restarts may run another build, so its level must be announced again.
 #[test]
-fn a_daemon_that_starts_again_issues_nothing_until_it_says_that_it_can() {
+fn a_restarted_daemon_issues_no_permits_until_it_announces_that_it_can() {
     let mut table = table("a1", "a", &[("a2", "a", 1)]);
     assert_eq!(
         table.permit_issuer(1, "a", false),
--- a/tests/decisions/reclaim.rs
+++ b/tests/decisions/reclaim.rs
@@ -1,4 +1,4 @@
-//! How streams leave an upstream that will be taken.
+//! How streams move away from an upstream that is about to be reclaimed.
 
 use {
     crate::support::{ask, upstream},
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_most_tokens_at_risk_go_first() {
+fn streams_with_the_most_tokens_at_risk_go_first() {
     let streams = [
         stream(1, 10, 1_000),
         stream(2, 9_000, 1_000),
@@ -37,11 +37,14 @@
     let moves = plan_moves(&streams, &[target("t", 16)], 2, 1_000.0);
     assert_eq!(moves[0].0, streams[1].request);
     let exported = moves.iter().filter(|(_, m)| *m != Move::Resume).count();
-    assert_eq!(exported, 2, "only what ends within the notice is exported");
+    assert_eq!(
+        exported, 2,
+        "only transfers that complete within the notice"
+    );
 }
 
 #[test]
-fn targets_are_not_swamped() {
+fn targets_get_no_more_streams_than_they_have_slots() {
     let streams: Vec<_> = (0..40).map(|n| stream(n, 100, 1)).collect();
     let targets = [target("a", 8), target("b", 8), target("c", 8)];
     let moves = plan_moves(&streams, &targets, 10_000, 1_000.0);
@@ -56,7 +59,7 @@
 
 proptest! {
     #[test]
-    fn every_stream_leaves_once_and_transfers_end_in_time(
+    fn every_stream_moves_once_and_transfers_complete_within_the_notice(
         sizes in prop::collection::vec((1..5_000u32, 1..100_000u64), 0..50),
         notice in 0..200u64,
     ) {
--- a/tests/decisions/sources.rs
+++ b/tests/decisions/sources.rs
@@ -1,4 +1,5 @@
-//! Who reads the shared source, and what lapses while it is away.
+//! Which daemons read the shared source, and which entries count as lapsed after it was
+//! unavailable.
 
 use saddlepulley::policy::*;
 
@@ -25,39 +26,39 @@
 }
 
 #[test]
-fn two_daemons_of_a_zone_read_and_all_others_follow_just_these() {
-    let zone: Vec<_> = (0..29).map(daemon).collect();
-    let readers = readers(&zone);
+fn two_daemons_of_a_domain_read_and_all_others_follow_them() {
+    let domain: Vec<_> = (0..29).map(daemon).collect();
+    let readers = readers(&domain);
     assert_eq!(readers.len(), READERS);
     let mut first_choices = [0; 29];
     for own in (0..29).filter(|n| !readers.contains(n)) {
-        match source_role(zone[own].rank, &others(&zone, own), READERS) {
+        match source_role(domain[own].rank, &others(&domain, own), READERS) {
             SourceRole::Follows {
                 daemons: followed, ..
             } => {
                 assert!(followed.iter().all(|d| readers.contains(d)));
                 first_choices[followed[0]] += 1;
             }
-            SourceRole::Reads => unreachable!("it is no reader"),
+            SourceRole::Reads => unreachable!("it is not among the readers"),
         }
     }
     assert!(readers.iter().all(|d| first_choices[*d] >= 6));
 }
 
 #[test]
-fn a_reader_that_is_cut_off_or_gone_is_replaced() {
-    let mut zone: Vec<_> = (0..8).map(daemon).collect();
-    let before = readers(&zone);
-    zone[before[0]].cut_from_source = true;
-    let with_cut = readers(&zone);
-    assert!(with_cut.contains(&before[0]), "it goes on trying");
+fn a_reader_that_is_cut_off_or_removed_is_replaced() {
+    let mut domain: Vec<_> = (0..8).map(daemon).collect();
+    let before = readers(&domain);
+    domain[before[0]].cut_from_source = true;
+    let with_cut = readers(&domain);
+    assert!(with_cut.contains(&before[0]), "it keeps trying");
     assert_eq!(with_cut.len(), READERS + 1);
-    zone.remove(before[0]);
-    assert_eq!(readers(&zone).len(), READERS);
+    domain.remove(before[0]);
+    assert_eq!(readers(&domain).len(), READERS);
 }
 
 #[test]
-fn where_one_reads_the_others_follow_it_and_know_a_second_one_to_ask() {
+fn with_one_reader_the_others_follow_it_first() {
     let domain: Vec<_> = (0..9).map(daemon).collect();
     let reads =
         |d: &usize| source_role(domain[*d].rank, &others(&domain, *d), 1) == SourceRole::Reads;
@@ -66,13 +67,13 @@
     for own in (0..9).filter(|d| !readers.contains(d)) {
         match source_role(domain[own].rank, &others(&domain, own), 1) {
             SourceRole::Follows { daemons, .. } => assert_eq!(daemons[0], readers[0]),
-            SourceRole::Reads => unreachable!("it is no reader"),
+            SourceRole::Reads => unreachable!("it is not among the readers"),
         }
     }
 }
 
 #[test]
-fn while_the_source_is_away_only_a_few_of_many_followers_try_it_themselves() {
+fn during_an_outage_of_the_source_only_a_few_followers_call_it() {
     let domain: Vec<_> = (0..60).map(daemon).collect();
     let reads_after = |tries: SourceTries| {
         let next =
@@ -83,10 +84,10 @@
         stale,
         ..SourceTries::default()
     };
-    assert_eq!(reads_after(stale(0)), 1, "the reader");
-    assert_eq!(reads_after(stale(2)), 3, "and those next to it");
+    assert_eq!(reads_after(stale(0)), 1, "only the reader");
+    assert_eq!(reads_after(stale(2)), 3, "the reader and the two standbys");
     assert_eq!(reads_after(stale(50)), 3);
-    // Who is not answered at all has nobody else.
+    // A daemon that gets no answer from the others has only the source.
     let unreachable = SourceTries {
         unreachable: 2,
         stale: 0,
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn one_whose_readers_have_old_news_asks_others_that_have_some() {
+fn a_follower_of_stale_readers_queries_other_daemons() {
     let domain: Vec<_> = (0..60).map(daemon).collect();
     let role = |d: usize| source_role(domain[d].rank, &others(&domain, d), 1);
     let last = (0..60).min_by_key(|d| domain[*d].rank).unwrap();
@@ -106,13 +107,13 @@
     assert_eq!(role(last).next(tries, &[77]), Some(77));
 }
 
-/// How many of some daemons that start one after the other take themselves for
-/// readers, each by those that are there already.
+/// Returns how many of some daemons consider themselves readers when they start one after the
+/// other, each knowing only those that started before it.
 fn readers_while_starting(names: &[String]) -> usize {
     let ranks: Vec<DaemonRank> = names.iter().map(|n| DaemonRank::new(n, 1.0)).collect();
-    let there = |count: usize| -> Vec<DomainDaemon<usize>> {
-        let there = ranks[..count].iter().enumerate();
-        there
+    let started = |count: usize| -> Vec<DomainDaemon<usize>> {
+        let started = ranks[..count].iter().enumerate();
+        started
             .map(|(address, rank)| DomainDaemon {
                 rank: *rank,
                 address,
@@ -120,12 +121,12 @@
             })
             .collect()
     };
-    let reads = |n: &usize| source_role(ranks[*n], &there(*n), READERS) == SourceRole::Reads;
+    let reads = |n: &usize| source_role(ranks[*n], &started(*n), READERS) == SourceRole::Reads;
     (0..names.len()).filter(reads).count()
 }
 
 #[test]
-fn how_many_read_while_daemons_start_depends_on_their_order() {
+fn the_number_of_readers_during_a_start_depends_on_the_order() {
     let mut names: Vec<String> = (1..=12).map(|n| format!("n{n}")).collect();
     assert_eq!(
         readers_while_starting(&names),
@@ -133,13 +134,17 @@
         "in the order of their numbers"
     );
     names.sort_by_key(|n| DaemonRank::new(n, 1.0));
-    assert_eq!(readers_while_starting(&names), 12, "the last one first");
+    assert_eq!(
+        readers_while_starting(&names),
+        12,
+        "in ascending order of rank"
+    );
     names.reverse();
     assert_eq!(readers_while_starting(&names), 2);
 }
 
 #[test]
-fn the_source_is_read_as_seldom_as_the_bound_allows() {
+fn the_source_is_read_as_rarely_as_the_bound_allows() {
     let tight = SourceReadSchedule::for_bound(2_000);
     assert_eq!(
         (tight.readers, tight.hold_ms, tight.pause_ms),
@@ -147,11 +152,14 @@
     );
     let wide = SourceReadSchedule::for_bound(4_000);
     assert_eq!(wide.readers, 1);
-    assert!(wide.stale_ms() + 300 < 4_000, "time for another to read");
+    assert!(
+        wide.stale_ms() + 300 < 4_000,
+        "leaves time for another daemon to read"
+    );
 }
 
 #[test]
-fn one_that_hears_of_nobody_reads() {
+fn a_daemon_that_knows_no_others_reads() {
     assert_eq!(
         source_role::<usize>(DaemonRank::new("n1", 1.0), &[], READERS),
         SourceRole::Reads
@@ -159,29 +167,30 @@
 }
 
 #[test]
-fn what_is_missing_right_after_an_outage_may_have_lapsed() {
+fn entries_missing_right_after_an_outage_may_have_lapsed() {
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
     assert_eq!(contact.lapsed_until_ms(1_000), None, "no outage yet");
     contact.record_failure(1_500);
     contact.record_answer(2_000);
-    assert_eq!(contact.lapsed_until_ms(2_000), None, "one lost call");
+    assert_eq!(contact.lapsed_until_ms(2_000), None, "only one call failed");
     contact.record_failure(3_000);
     contact.record_failure(5_000);
     assert!(contact.is_cut(5_000));
     contact.record_answer(6_000);
     assert!(contact.lapsed_until_ms(6_500).is_some());
-    assert_eq!(contact.lapsed_until_ms(8_500), None, "long back");
+    assert_eq!(contact.lapsed_until_ms(8_500), None, "it returned long ago");
 }
 
-/// What goes after its return is gone: the source was there all the time.
+/// Entries that are missing after its return were removed: the source was available to others
+/// all the time.
 #[test]
-fn a_daemon_that_alone_was_cut_off_takes_removals_for_lapses() {
+fn a_daemon_that_alone_was_cut_off_does_not_take_removals_for_lapses() {
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
     contact.record_failure(1_500);
     for now_ms in (2_000..13_000).step_by(700) {
-        // Others go on hearing it, and say so a while later.
+        // Others keep getting answers, and report so a while later.
         contact.record_relayed(now_ms - 600, now_ms);
     }
     assert!(contact.is_cut(13_000));
@@ -189,9 +198,10 @@
     assert_eq!(contact.lapsed_until_ms(13_200), None);
 }
 
-/// Another one that hears it first may tell so before its own calls are answered.
+/// Another daemon may reach the source first and report so before this daemon's own calls are
+/// answered.
 #[test]
-fn what_lapsed_while_the_source_was_away_for_all_is_gone_at_once_where_another_heard_it_first() {
+fn an_outage_for_all_is_detected_if_another_daemon_reached_the_source_first() {
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
     contact.record_failure(1_500);
@@ -201,9 +211,9 @@
     assert!(contact.lapsed_until_ms(13_400).is_some());
 }
 
-/// One that slept heard nothing either, and the source was there.
+/// A suspended daemon had no answers either, but the source was available.
 #[test]
-fn a_daemon_that_was_frozen_takes_removals_for_lapses() {
+fn a_suspended_daemon_does_not_take_removals_for_lapses() {
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
     contact.record_answer(9_000);
