--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -8,7 +8,7 @@
 /// in milliseconds.
 const LAPSE_GRACE_MS: u64 = 2_200;
 
-/// One daemon's contact with the shared source, from which it tells lapsed entries from
+/// One daemon's contact with the shared source, from which it distinguishes lapsed entries from
 /// removed ones. Times are milliseconds of its monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SourceContact {
--- a/tests/decisions/fleet.rs
+++ b/tests/decisions/fleet.rs
@@ -196,13 +196,13 @@
 
 #[test]
 fn the_loss_of_two_domains_is_covered_only_if_that_is_cheap() {
-    let dearer = FleetBounds {
+    let expensive = FleetBounds {
         reclaimable_price: Some(0.5),
         ..WIDE_BOUNDS
     };
     let (_, reclaimable) = totals(&plan_fleet(
         &evenly(3, 0, 0),
-        dearer,
+        expensive,
         demand(10),
         &FleetPolicy::default(),
     ));
