--- a/src/policy/sources/source_health.rs
+++ b/src/policy/sources/source_health.rs
@@ -9,7 +9,7 @@
 pub struct SourceHealth {
     silent_since_ms: Option<u64>,
     last_call_ms: u64,
-    returns: u64,
+    recoveries: u64,
 }
 
 impl SourceHealth {
@@ -27,7 +27,7 @@
     /// if this answer ends one.
     pub fn record_answer(&mut self, now_ms: u64) -> Option<u64> {
         let since_ms = self.silent_since_ms.take()?;
-        self.returns += 1;
+        self.recoveries += 1;
         Some(now_ms.saturating_sub(since_ms))
     }
 
@@ -37,8 +37,8 @@
     }
 
     /// Returns the number of outages after which the source has answered again.
-    pub fn returns(&self) -> u64 {
-        self.returns
+    pub fn recoveries(&self) -> u64 {
+        self.recoveries
     }
 
     /// Returns the time until the next call that probes the source, in milliseconds, or
--- a/src/provider/source_monitor.rs
+++ b/src/provider/source_monitor.rs
@@ -91,7 +91,7 @@
         F: Future<Output = Result<T, E>>,
     {
         let mut changes = self.silence.subscribe();
-        let mut returns = changes.borrow_and_update().returns();
+        let mut recoveries = changes.borrow_and_update().recoveries();
         let hold = match changes.borrow().is_silent() {
             true => Duration::ZERO,
             false => hold,
@@ -113,8 +113,8 @@
                 },
                 // The sender lives as long as this watch.
                 _ = changes.changed() => {
-                    let before = std::mem::replace(&mut returns, changes.borrow().returns());
-                    returns > before
+                    let before = std::mem::replace(&mut recoveries, changes.borrow().recoveries());
+                    recoveries > before
                 }
                 () = &mut overdue, if !is_overdue => {
                     is_overdue = true;
@@ -143,8 +143,8 @@
     /// Pauses after a call that failed, at most until the source answers another one.
     pub async fn pause(&self, pause: Duration) {
         let mut changes = self.silence.subscribe();
-        let returns = changes.borrow().returns();
-        let is_back = changes.wait_for(|silence| silence.returns() > returns);
+        let recoveries = changes.borrow().recoveries();
+        let is_back = changes.wait_for(|silence| silence.recoveries() > recoveries);
         // In vain: the pause is over.
         let _ = clock::timeout(pause, is_back).await;
     }
--- a/tests/decisions/source_silence.rs
+++ b/tests/decisions/source_silence.rs
@@ -21,13 +21,13 @@
     assert_eq!(health.probe_in_ms(2_300), Some(800));
     health.record_failure(2_300);
     assert_eq!(health.record_answer(4_000), Some(3_000));
-    assert_eq!((health.is_silent(), health.returns()), (false, 1));
+    assert_eq!((health.is_silent(), health.recoveries()), (false, 1));
     assert_eq!(
         health.record_answer(5_000),
         None,
         "the source was not silent before"
     );
-    assert_eq!((health.probe_in_ms(9_000), health.returns()), (None, 1));
+    assert_eq!((health.probe_in_ms(9_000), health.recoveries()), (None, 1));
 }
 
 /// Two calls by other parts of the daemon: the first gets no answer, the second does.
