--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -191,7 +191,7 @@
             };
             let (on_demand, reclaimable) = (ordered(false), ordered(true));
             domain.on_demand = domain.on_demand.max(on_demand);
-            domain.coming = reclaimable.saturating_sub(domain.reclaimable);
+            domain.pending = reclaimable.saturating_sub(domain.reclaimable);
         }
     }
 
@@ -265,7 +265,7 @@
             price: scaling.domain_prices.get(&domain).copied().unwrap_or(1.0),
             on_demand: count(false),
             reclaimable: count(true),
-            coming: 0,
+            pending: 0,
             domain,
         }
     });
--- a/src/policy/engines/mod.rs
+++ b/src/policy/engines/mod.rs
@@ -1,9 +1,12 @@
-//! What is learned of engines: how fast they read, how long requests stay, what they keep.
+//! What a daemon learns about model engines: how fast they read prompts, how long requests
+//! stay, and which prompt parts they have cached.
 
-mod cache_memory;
 mod engine_model;
 mod engine_times;
 mod first_event;
+mod prefix_cache_tracker;
 mod reading_speed;
 
-pub use {cache_memory::*, engine_model::*, engine_times::*, first_event::*, reading_speed::*};
+pub use {
+    engine_model::*, engine_times::*, first_event::*, prefix_cache_tracker::*, reading_speed::*,
+};
