--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_buffered.rs
@@ -17,7 +17,7 @@
 const MIN_PATIENCE: Duration = Duration::from_millis(150);
 
 /// Forwards a request whose answer is passed on once it is whole.
-pub async fn forward_whole(
+pub async fn forward_buffered(
     gateway: &Arc<Gateway>,
     context: &RequestContext,
 ) -> Response<AnswerBody> {
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -1,5 +1,5 @@
 use {
-    super::{attempts::Attempts, forward_whole::speaks_for_itself, send::*, *},
+    super::{attempts::Attempts, forward_buffered::speaks_for_itself, send::*, *},
     crate::{
         clock::{BootInstant, timeout, timeout_at},
         policy::StallLimits,
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        forward_stream::forward_stream, forward_whole::forward_whole, open_request::OpenRequest, *,
+        forward_stream::forward_stream, forward_buffered::forward_buffered, open_request::OpenRequest, *,
     },
     crate::{
         clock::{BootInstant, timeout},
@@ -77,7 +77,7 @@
     gateway.earn_retry(&context.service);
     match context.route.kind {
         RouteKind::Streaming => forward_stream(gateway, context).await,
-        RouteKind::Idempotent | RouteKind::NonIdempotent => forward_whole(gateway, &context).await,
+        RouteKind::Idempotent | RouteKind::NonIdempotent => forward_buffered(gateway, &context).await,
     }
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -14,7 +14,7 @@
 mod event_splitter;
 mod follow_file;
 mod forward_stream;
-mod forward_whole;
+mod forward_buffered;
 mod gateway_phase;
 mod gateway_state;
 mod header_names;
