--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         cluster::{ConfigAnswer, ConfigQuery, FeedError, MAX_ASK_BYTES, decode, encode},
-        gateway::{AnswerBody, Gateway, local_response, pieces_body},
+        gateway::{AnswerBody, Gateway, local_response, chunked_body},
         routing::{RoutingConfig, pack_config},
     },
     bytes::Bytes,
@@ -107,6 +107,6 @@
         answer: &ConfigAnswer,
         permit: Option<OwnedSemaphorePermit>,
     ) -> Result<Response<AnswerBody>, FeedError> {
-        Ok(Response::new(pieces_body(encode(answer)?, permit)))
+        Ok(Response::new(chunked_body(encode(answer)?, permit)))
     }
 }
--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -52,7 +52,7 @@
 
 /// Makes a body of known bytes that goes out piece by piece. It keeps `held`
 /// until the connection has taken the last one.
-pub fn pieces_body(bytes: Bytes, held: impl Send + 'static) -> AnswerBody {
+pub fn chunked_body(bytes: Bytes, held: impl Send + 'static) -> AnswerBody {
     let pieces = (0..bytes.len()).step_by(PIECE_BYTES);
     let pieces = pieces.map(move |at| bytes.slice(at..bytes.len().min(at + PIECE_BYTES)));
     let frames = stream::iter(pieces).map(move |piece| {
