--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -37,12 +37,12 @@
 
 /// A request that is answered on a connection.
 #[derive(Debug)]
-pub struct BusyConnection {
+pub struct RequestActivityGuard {
     gateway: Arc<Gateway>,
     activity: Arc<Mutex<ClientActivity>>,
 }
 
-impl Drop for BusyConnection {
+impl Drop for RequestActivityGuard {
     fn drop(&mut self) {
         let now_ms = self.gateway.steady_ms();
         self.activity.lock().finish_request(now_ms);
@@ -112,7 +112,7 @@
         request: Request<Incoming>,
     ) -> Result<http::Response<AnswerBody>, Infallible> {
         self.activity.lock().begin_request();
-        let busy = BusyConnection {
+        let busy = RequestActivityGuard {
             gateway: self.gateway.clone(),
             activity: self.activity,
         };
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -36,7 +36,7 @@
 pub async fn answer_client(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
-    busy: BusyConnection,
+    busy: RequestActivityGuard,
 ) -> Response<AnswerBody> {
     let id = request.headers().get(&gateway.names.attempt_id).cloned();
     let open = OpenRequest::start(&gateway, id, busy);
--- a/src/gateway/open_request.rs
+++ b/src/gateway/open_request.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AnswerBody, BusyConnection, Gateway},
+    super::{AnswerBody, RequestActivityGuard, Gateway},
     crate::clock::BootInstant,
     bytes::Bytes,
     http::{HeaderValue, Response},
@@ -21,12 +21,12 @@
     /// When it came.
     pub started: BootInstant,
     has_ended: bool,
-    _busy: BusyConnection,
+    _busy: RequestActivityGuard,
 }
 
 impl OpenRequest {
     /// Begins with a request that has just come.
-    pub fn start(gateway: &Arc<Gateway>, id: Option<HeaderValue>, busy: BusyConnection) -> Self {
+    pub fn start(gateway: &Arc<Gateway>, id: Option<HeaderValue>, busy: RequestActivityGuard) -> Self {
         gateway.open_requests.fetch_add(1, Ordering::Relaxed);
         Self {
             gateway: gateway.clone(),
