--- a/src/gateway/forward_buffered.rs
+++ b/src/gateway/forward_buffered.rs
@@ -79,7 +79,7 @@
     let whole = async {
         let mut sent = send(gateway, context, placement, None).await?;
         let body = sent.answer.read_all(MAX_WHOLE_ANSWER).await?;
-        sent.active.ended_whole();
+        sent.active.record_completed();
         Ok((sent.answer.head.clone(), body))
     };
     let last = attempts.sends + 1 >= context.route.max_attempts;
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -255,7 +255,7 @@
                         self.attempts.sends + 1,
                         self.last_id
                     );
-                    sent.active.ended_whole();
+                    sent.active.record_completed();
                     self.gateway
                         .record_complete_answer(&self.context, sent.answer.head.status);
                     let time_ms = sent.active.age_ms();
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -72,7 +72,7 @@
     }
 
     /// Notes that the request ended whole.
-    pub fn ended_whole(&self) {
+    pub fn record_completed(&self) {
         let service = &self.upstream.service;
         self.gateway.record_stay(service, self.age_ms());
     }
