--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -34,7 +34,7 @@
 mod request_context;
 mod rollout_state;
 mod send;
-mod send_notes;
+mod send_outcomes;
 mod source_state;
 mod upstream_signals;
 
