--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -20,7 +20,7 @@
 mod header_names;
 mod hub_state;
 mod intake;
-mod left_upstream;
+mod leaving_upstream;
 mod limit_state;
 mod listen;
 mod metrics_page;
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, left_upstream::watch_for_end},
+    super::{Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, leaving_upstream::watch_for_end},
     crate::{names::UpstreamId, policy::RetryAfter, upstreams::Upstream},
     http::{HeaderMap, StatusCode, header, response::Parts},
     std::sync::Arc,
