--- a/src/gateway/leaving_upstream.rs
+++ b/src/gateway/leaving_upstream.rs
@@ -13,7 +13,7 @@
 /// Waits until an upstream has ended that said that it leaves, and lets what comes in its
 /// place have work again. A file names no lives: without this, each rolling restart of
 /// upstreams under their ids would leave none to use.
-pub(super) async fn watch_for_end(gateway: Arc<Gateway>, id: UpstreamId) {
+pub(super) async fn watch_for_exit(gateway: Arc<Gateway>, id: UpstreamId) {
     while let Some(address) = address_of_left(&gateway, &id) {
         match connect(address).await {
             Some(connection) => until_closed(connection).await,
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, leaving_upstream::watch_for_end},
+    super::{Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, leaving_upstream::watch_for_exit},
     crate::{names::UpstreamId, policy::RetryAfter, upstreams::Upstream},
     http::{HeaderMap, StatusCode, header, response::Parts},
     std::sync::Arc,
@@ -53,7 +53,7 @@
                 .record(id.clone(), announces_to_hubs);
         }
         if self.directory.read().is_left_until_its_end(id) {
-            tokio::spawn(watch_for_end(self.clone(), id.clone()));
+            tokio::spawn(watch_for_exit(self.clone(), id.clone()));
         }
     }
 
