--- a/benches/placing.rs
+++ b/benches/placing.rs
@@ -10,7 +10,7 @@
 use {
     saddlepulley::{
         conf::GatewaySettings,
-        gateway::{Gateway, HeaderNames, PlaceRequest, Prompt, PromptPart},
+        gateway::{Gateway, HeaderNames, PlacementRequest, Prompt, PromptPart},
         names::{FailureDomain, ServiceName, UpstreamId},
         upstreams::Upstream,
     },
@@ -57,12 +57,12 @@
     gateway
 }
 
-fn request(n: u64) -> PlaceRequest {
+fn request(n: u64) -> PlacementRequest {
     let part = |chain: u64| PromptPart {
         chain,
         tokens: 2_000,
     };
-    PlaceRequest {
+    PlacementRequest {
         service: ServiceName::from("s"),
         target_ms: 1_000.0,
         prompt: Prompt {
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -215,7 +215,7 @@
         let typed = |names: &[String]| -> Vec<UpstreamId> {
             names.iter().map(|n| UpstreamId::from(n.as_str())).collect()
         };
-        let request = super::PlaceRequest {
+        let request = super::PlacementRequest {
             service,
             target_ms: query.place.target_ms as f64,
             prompt: super::Prompt::from_ask(&query.place),
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -19,7 +19,7 @@
 
 /// What has to be known of a request to place it.
 #[derive(Clone, Debug)]
-pub struct PlaceRequest {
+pub struct PlacementRequest {
     /// The service.
     pub service: ServiceName,
     /// Within how long an answer is wanted, in milliseconds.
@@ -167,7 +167,7 @@
                 return placement;
             }
         }
-        let request = PlaceRequest {
+        let request = PlacementRequest {
             service: context.service.clone(),
             target_ms: context.route.target_latency_ms as f64,
             prompt: context.prompt.clone(),
@@ -181,14 +181,14 @@
     }
 
     /// Chooses an upstream by what this daemon knows.
-    pub fn choose(&self, request: &PlaceRequest, id: &str) -> Option<Placement> {
+    pub fn choose(&self, request: &PlacementRequest, id: &str) -> Option<Placement> {
         self.choose_after(request, id, 0)
     }
 
     /// Chooses an upstream after a permit was denied for some.
     pub(super) fn choose_after(
         &self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         id: &str,
         denials: usize,
     ) -> Option<Placement> {
@@ -240,7 +240,7 @@
     }
 
     /// Returns which ready upstreams a request must not go to; nothing, if it may go to any.
-    fn barred(&self, request: &PlaceRequest, ready: &ReadyUpstreams, denials: usize) -> Vec<bool> {
+    fn barred(&self, request: &PlacementRequest, ready: &ReadyUpstreams, denials: usize) -> Vec<bool> {
         let mut barred = self.barred_by_rollout(request, ready).unwrap_or_default();
         let limited = self.barred_by_limits(denials);
         for id in limited.iter().chain(&request.in_cooldown) {
@@ -256,7 +256,7 @@
     /// something is known of: these are filled in one by one.
     fn candidates(
         &self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ready: &ReadyUpstreams,
         home: Option<usize>,
     ) -> Vec<Candidate> {
@@ -336,7 +336,7 @@
     /// as its load allows; returns its index.
     fn home_of(
         &self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ready: &ReadyUpstreams,
         barred: &[bool],
     ) -> Option<usize> {
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Gateway, PlaceRequest, ROLLOUT_ANSWERS, RequestContext},
+    super::{Gateway, PlacementRequest, ROLLOUT_ANSWERS, RequestContext},
     crate::{
         policy::name_hash,
         rollouts::{AllowedVersions, Rollout, RolloutOrder},
@@ -49,7 +49,7 @@
     /// roll-out; none, if it may go to any.
     pub(super) fn barred_by_rollout(
         &self,
-        request: &PlaceRequest,
+        request: &PlacementRequest,
         ready: &ReadyUpstreams,
     ) -> Option<Vec<bool>> {
         let service = request.service.as_str();
