--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -296,7 +296,7 @@
     account: Option<&AccountTerms>,
     max_wait: Duration,
 ) -> Result<(), Box<Response<AnswerBody>>> {
-    let admitted = gateway.let_in(context, account, max_wait).await;
+    let admitted = gateway.admit_and_place(context, account, max_wait).await;
     admitted.map_err(|wait| {
         if gateway.is_hub()
             && let Some(account) = account
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// Returns after how long it would be let in.
-    pub async fn let_in(
+    pub async fn admit_and_place(
         &self,
         context: &RequestContext,
         account: Option<&AccountTerms>,
