--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -138,7 +138,7 @@
     let answer = OpenAnswer::open(&gateway.pool, &upstream.id, connection, request).await?;
     active.progress();
     check_owner(gateway, context, &answer)?;
-    gateway.note_words(context, upstream, &answer.head);
+    gateway.record_signals(context, upstream, &answer.head);
     gateway.record_named_limit(upstream, &answer.head.headers, sent_ms);
     check_run(gateway, &answer)?;
     Ok(Sent {
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -11,7 +11,7 @@
 /// What upstreams say of themselves in their answers, beside how much they take.
 impl Gateway {
     /// Notes what the head of an answer says of its upstream.
-    pub(super) fn note_words(
+    pub(super) fn record_signals(
         self: &Arc<Self>,
         context: &RequestContext,
         upstream: &Upstream,
