--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -11,7 +11,7 @@
     pub waiting_tokens: u64,
     /// Whether it is a try after one that failed: what broke that one may have
     /// broken resting connections, too.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Whether it has a permit, where the upstream names a limit.
     pub has_permit: bool,
 }
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -126,7 +126,7 @@
 
     /// Returns the placement that a hub decided on, if its upstream is known and
     /// ready here, too, and takes requests from this daemon.
-    fn asked_placement(&self, heard: &ReceivedDecision, is_repeat: bool) -> Option<Placement> {
+    fn asked_placement(&self, heard: &ReceivedDecision, is_retry: bool) -> Option<Placement> {
         let HubDecision::Placed {
             upstream,
             unread_tokens,
@@ -146,7 +146,7 @@
             upstream,
             unread_tokens: *unread_tokens,
             waiting_tokens: *waiting_tokens,
-            is_repeat,
+            is_retry,
             has_permit: heard.has_permit,
         })
     }
@@ -161,8 +161,8 @@
             let place = self.asked_place(context, tried);
             let answer = self.hub_client.query(self, context.id_text(), None, place);
             let heard = answer.await;
-            let is_repeat = !tried.is_empty();
-            let placement = heard.and_then(|h| self.asked_placement(&h, is_repeat));
+            let is_retry = !tried.is_empty();
+            let placement = heard.and_then(|h| self.asked_placement(&h, is_retry));
             if placement.is_some() {
                 return placement;
             }
@@ -203,8 +203,8 @@
         let mut rng = self.rng.lock();
         let chosen = choose_upstream(&candidates, &times, request.target_ms, &mut *rng);
         drop(rng);
-        let is_repeat = !request.tried.is_empty();
-        if !is_repeat && denials == 0 {
+        let is_retry = !request.tried.is_empty();
+        if !is_retry && denials == 0 {
             // What finds no upstream is demand, too.
             let unread = chosen.map(|index| candidates[index].unread_tokens);
             let all_tokens = request.prompt.tokens();
@@ -234,7 +234,7 @@
             upstream,
             unread_tokens,
             waiting_tokens,
-            is_repeat,
+            is_retry,
             has_permit: false,
         })
     }
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -40,7 +40,7 @@
             upstream: placement.upstream.clone(),
             waiting_tokens: unread_tokens,
             unread_tokens,
-            is_alone: placement.waiting_tokens == 0 && !placement.is_repeat,
+            is_alone: placement.waiting_tokens == 0 && !placement.is_retry,
             started: BootInstant::now(),
         }
     }
@@ -155,7 +155,7 @@
 ) -> Result<UpstreamConnection, SendFailure> {
     let upstream = &placement.upstream;
     let max_idle = match context.route.is_repeatable() {
-        _ if placement.is_repeat => Duration::ZERO,
+        _ if placement.is_retry => Duration::ZERO,
         true => ANY_REST,
         false => FRESH,
     };
