--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -157,7 +157,7 @@
         last_event_id: number(&head.headers, &gateway.names.last_event_id),
         headers: forwarded_headers(head.headers, &gateway.names),
         body,
-        known_by: std::sync::OnceLock::new(),
+        cached_fingerprint: std::sync::OnceLock::new(),
         prompt,
         started,
         give_up_at: started + Duration::from_millis(wait_ms),
--- a/src/gateway/request_context.rs
+++ b/src/gateway/request_context.rs
@@ -36,7 +36,7 @@
     /// The whole body.
     pub body: Bytes,
     /// What it is known by, once that was asked for.
-    pub known_by: OnceLock<RequestFingerprint>,
+    pub cached_fingerprint: OnceLock<RequestFingerprint>,
     /// Its prompt.
     pub prompt: Prompt,
     /// The last event that the client has.
@@ -54,7 +54,7 @@
 impl RequestContext {
     /// Returns what the request is known by when it comes again.
     pub fn fingerprint(&self) -> RequestFingerprint {
-        *self.known_by.get_or_init(|| {
+        *self.cached_fingerprint.get_or_init(|| {
             let method = self.method.as_str();
             let target = self.target.to_string();
             RequestFingerprint::of(self.account.as_ref(), method, &target, &self.body)
