--- a/src/gateway/forward_buffered.rs
+++ b/src/gateway/forward_buffered.rs
@@ -23,7 +23,7 @@
 ) -> Response<AnswerBody> {
     let mut attempts = Attempts::default();
     let forward = try_upstreams(gateway, context, &mut attempts);
-    let answer = timeout_at(context.give_up_at, forward).await;
+    let answer = timeout_at(context.deadline, forward).await;
     match answer {
         Ok(Some((head, body))) => relayed(head, full_body(body)),
         Ok(None) => gateway.give_up(context, &attempts, false),
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -22,8 +22,8 @@
     context: RequestContext,
 ) -> Response<AnswerBody> {
     let mut relay = StreamRelay::new(gateway.clone(), context);
-    let give_up_at = relay.context.give_up_at;
-    let first = timeout_at(give_up_at, relay.first()).await;
+    let deadline = relay.context.deadline;
+    let first = timeout_at(deadline, relay.first()).await;
     match first {
         Ok(Some((head, bytes))) => relayed(head, relay.into_body(bytes)),
         Ok(None) => gateway.give_up(&relay.context, &relay.attempts, false),
@@ -186,17 +186,17 @@
         let waiting_since = self.gateway.steady_ms();
         loop {
             let can_move = self.can_move();
-            let give_up_at = self.context.give_up_at;
+            let deadline = self.context.deadline;
             let Some(sent) = &mut self.current else {
                 return Err(SendFailure::NotSent("not sent".into()));
             };
             let wake_at = match can_move {
-                true => (BootInstant::now() + STALL_CHECK).min(give_up_at),
-                false => give_up_at,
+                true => (BootInstant::now() + STALL_CHECK).min(deadline),
+                false => deadline,
             };
             let next = timeout_at(wake_at, sent.answer.next_piece()).await;
             let Ok(piece) = next else {
-                if BootInstant::now() >= give_up_at {
+                if BootInstant::now() >= deadline {
                     return Err(SendFailure::MayHaveRun("the time is up".into()));
                 }
                 let upstream = sent.upstream.clone();
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -160,7 +160,7 @@
         cached_fingerprint: std::sync::OnceLock::new(),
         prompt,
         started,
-        give_up_at: started + Duration::from_millis(wait_ms),
+        deadline: started + Duration::from_millis(wait_ms),
         route,
     };
     if let Some(hold) = gateway.held_for(&context) {
--- a/src/gateway/request_context.rs
+++ b/src/gateway/request_context.rs
@@ -48,7 +48,7 @@
     /// When its head arrived.
     pub started: BootInstant,
     /// When it is given up: the client's deadline or the route's timeout.
-    pub give_up_at: BootInstant,
+    pub deadline: BootInstant,
 }
 
 impl RequestContext {
@@ -63,7 +63,7 @@
 
     /// Returns the time left.
     pub fn time_left(&self) -> Duration {
-        self.give_up_at.left()
+        self.deadline.left()
     }
 
     /// Returns the attempt's id as text, for logs.
