--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -25,7 +25,7 @@
     }
 
     /// Notes a failure and decides whether the request may be sent elsewhere.
-    pub fn may_go_on(
+    pub fn may_retry_after(
         &mut self,
         gateway: &Gateway,
         context: &RequestContext,
--- a/src/gateway/forward_buffered.rs
+++ b/src/gateway/forward_buffered.rs
@@ -48,7 +48,7 @@
                 gateway.record_answer(context, upstream, (!failed).then_some(time_ms));
                 let retry = failed && context.route.is_repeatable();
                 let failure = SendFailure::MayHaveRun(head.status.to_string());
-                if retry && attempts.may_go_on(gateway, context, &upstream.id, failure) {
+                if retry && attempts.may_retry_after(gateway, context, &upstream.id, failure) {
                     continue;
                 }
                 if !speaks_for_itself(head.status) {
@@ -62,7 +62,7 @@
             Err(failure) => failure,
         };
         gateway.record_send_failure(context, upstream, &failure);
-        if !attempts.may_go_on(gateway, context, &upstream.id, failure) {
+        if !attempts.may_retry_after(gateway, context, &upstream.id, failure) {
             return None;
         }
     }
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -308,7 +308,7 @@
             .record_send_failure(&self.context, upstream, &failure);
         let goes_on = self
             .attempts
-            .may_go_on(&self.gateway, &self.context, &upstream.id, failure);
+            .may_retry_after(&self.gateway, &self.context, &upstream.id, failure);
         goes_on.then_some(())
     }
 
