--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -2,7 +2,7 @@
     super::{PackedUpdates, messages::*},
     crate::{
         cluster::{CONFIG_PATH, ConfigServer, ControlKind},
-        gateway::{AnswerBody, Gateway, full_body, local_response, serve_plain},
+        gateway::{AnswerBody, Gateway, full_body, local_response, serve_local},
         routing::RoutingConfig,
         upstreams::DirectoryCursor,
     },
@@ -27,7 +27,7 @@
         gateway,
         packed: Mutex::default(),
     });
-    serve_plain(listener, move |request| {
+    serve_local(listener, move |request| {
         let (configs, news) = (configs.clone(), news.clone());
         async move {
             match request.uri().path() {
--- a/src/gateway/listen.rs
+++ b/src/gateway/listen.rs
@@ -83,7 +83,7 @@
 
 /// Answers the balancer's question whether this daemon takes new clients.
 pub async fn serve_readiness(listener: TcpListener, gateway: Arc<Gateway>) {
-    serve_plain(listener, move |request| {
+    serve_local(listener, move |request| {
         let is_get = request.method() == Method::GET;
         ready(match gateway.is_ready() {
             _ if !is_get => local_response(StatusCode::METHOD_NOT_ALLOWED, "expected GET"),
@@ -95,7 +95,7 @@
 }
 
 /// Serves answers of our own, each request's in its turn on its connection.
-pub async fn serve_plain<F>(
+pub async fn serve_local<F>(
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> F + Send + Sync + 'static,
 ) where
--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -1,5 +1,5 @@
 use {
-    super::{full_body, local_response, serve_plain},
+    super::{full_body, local_response, serve_local},
     http::{Response, StatusCode},
     metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle},
     std::{future::ready, sync::LazyLock, time::Duration},
@@ -89,7 +89,7 @@
 
 /// Starts recording, and serves the figures as text where an address is given.
 pub async fn serve_metrics(listener: TcpListener) {
-    serve_plain(listener, |request| {
+    serve_local(listener, |request| {
         ready(match request.uri().path() {
             PAGE_PATH => page(),
             _ => local_response(StatusCode::NOT_FOUND, "no such path"),
