--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -17,7 +17,7 @@
 
 /// Whole events that stand in a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EventRun {
+pub struct EventBatch {
     /// Their bytes, unchanged.
     pub bytes: Bytes,
     /// The id of the first one that has one.
@@ -28,13 +28,13 @@
 
 impl EventSplitter {
     /// Takes in bytes and returns the events that are whole now.
-    pub fn push(&mut self, bytes: &[u8]) -> Option<EventRun> {
+    pub fn push(&mut self, bytes: &[u8]) -> Option<EventBatch> {
         self.rest.extend_from_slice(bytes);
         let end = memmem::rfind(&self.rest, b"\n\n")? + 2;
         let whole = self.rest.split_to(end).freeze();
         let first_id = ids(&whole).next();
         let last_id = ids(&whole).last();
-        Some(EventRun {
+        Some(EventBatch {
             bytes: whole,
             first_id,
             last_id,
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -49,7 +49,7 @@
 
 /// What an upstream sent next.
 enum Step {
-    Events(EventRun),
+    Events(EventBatch),
     Raw(Bytes),
     End,
 }
@@ -228,7 +228,7 @@
     }
 
     /// Checks that events go on where the last ones ended.
-    fn check_order(&self, run: EventRun) -> Result<EventRun, SendFailure> {
+    fn check_order(&self, run: EventBatch) -> Result<EventBatch, SendFailure> {
         match (self.last_id, run.first_id) {
             (Some(last), Some(first)) if first <= last => Err(SendFailure::MayHaveRun(
                 "events don't go on in order".into(),
