--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes what is left over.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 }
