--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -218,7 +218,7 @@
         let request = super::PlacementRequest {
             service,
             target_ms: query.place.target_ms as f64,
-            prompt: super::Prompt::from_ask(&query.place),
+            prompt: super::Prompt::from_query(&query.place),
             tried: typed(&query.place.tried),
             avoided: typed(&query.place.avoided),
             in_cooldown: Vec::new(),
--- a/src/gateway/prompt.rs
+++ b/src/gateway/prompt.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes over what another daemon says of its request.
-    pub fn from_ask(place: &PlacementQuery) -> Self {
+    pub fn from_query(place: &PlacementQuery) -> Self {
         let parts = place.parts.iter();
         Self {
             parts: parts
