--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -28,7 +28,7 @@
 mod open_request;
 mod phase_state;
 mod placement;
-mod placing;
+mod request_placement;
 mod process;
 mod prompt;
 mod request_context;
@@ -41,6 +41,6 @@
 pub use {
     answer::*, client_connection::*, client_socket::*, event_splitter::*, follow_file::*,
     gateway_phase::*, gateway_state::*, header_names::*, hub_state::*, intake::*, listen::*,
-    metrics_page::*, open_connections::*, placement::*, placing::*, process::*, prompt::*,
+    metrics_page::*, open_connections::*, placement::*, request_placement::*, process::*, prompt::*,
     request_context::*,
 };
