--- a/src/gateway/forward_buffered.rs
+++ b/src/gateway/forward_buffered.rs
@@ -51,7 +51,7 @@
                 if retry && attempts.may_retry_after(gateway, context, &upstream.id, failure) {
                     continue;
                 }
-                if !speaks_for_itself(head.status) {
+                if !may_relay_status(head.status) {
                     attempts.may_have_run = true;
                     return None;
                 }
@@ -93,7 +93,7 @@
 
 /// Returns whether a status can be passed on as it is: these promise that a
 /// request has not run, which only the upstream's own header may say.
-pub(super) fn speaks_for_itself(status: StatusCode) -> bool {
+pub(super) fn may_relay_status(status: StatusCode) -> bool {
     !matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -1,5 +1,5 @@
 use {
-    super::{attempts::Attempts, forward_buffered::speaks_for_itself, send::*, *},
+    super::{attempts::Attempts, forward_buffered::may_relay_status, send::*, *},
     crate::{
         clock::{BootInstant, timeout, timeout_at},
         policy::StallLimits,
@@ -148,7 +148,7 @@
                     let is_success = status.is_success();
                     let retry = status.is_server_error() && self.can_move();
                     let unfit = self.began && !is_success;
-                    if unfit || retry || !speaks_for_itself(status) {
+                    if unfit || retry || !may_relay_status(status) {
                         drop(sent);
                         let failure = SendFailure::MayHaveRun(status.to_string());
                         self.fail_at(upstream, failure)?;
