--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -1,5 +1,5 @@
 use {
-    super::{intake::say_close, open_connections::until_closing, *},
+    super::{intake::set_connection_close, open_connections::until_closing, *},
     crate::{
         policy::{ClientActivity, CloseReason, CloseStep},
         upstreams::set_socket_options,
@@ -118,7 +118,7 @@
         };
         let mut answer = answer_client(self.gateway.clone(), request, busy).await;
         if self.gateway.is_stopping() {
-            say_close(&mut answer);
+            set_connection_close(&mut answer);
         }
         Ok(answer)
     }
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -220,7 +220,7 @@
 /// may not have sent the whole request.
 fn last(status: StatusCode, detail: &str) -> Box<Response<AnswerBody>> {
     let mut answer = own(status, detail);
-    say_close(&mut answer);
+    set_connection_close(&mut answer);
     answer
 }
 
@@ -263,13 +263,13 @@
 ) -> Box<Response<AnswerBody>> {
     let is_too_large = body.size_hint().lower() > limits.max_body_bytes as u64;
     if is_too_large || head.headers.contains_key(header::EXPECT) {
-        say_close(&mut answer);
+        set_connection_close(&mut answer);
     }
     answer
 }
 
 /// Says in an answer that its connection is closed after it.
-pub(super) fn say_close(answer: &mut Response<AnswerBody>) {
+pub(super) fn set_connection_close(answer: &mut Response<AnswerBody>) {
     let close = HeaderValue::from_static("close");
     answer.headers_mut().insert(header::CONNECTION, close);
 }
