--- a/tests/gateway/planned_soak.rs
+++ b/tests/gateway/planned_soak.rs
@@ -251,7 +251,7 @@
 /// A request and how it ended.
 struct Asked {
     request: RawRequest,
-    ending: Ending,
+    ending: RequestOutcome,
     /// Whether it was sent at a time at which it had to be answered.
     is_owed: bool,
     kept: bool,
@@ -327,7 +327,7 @@
         if keeps
             && matches!(
                 &ending,
-                Ending::Answered {
+                RequestOutcome::Answered {
                     says_close: false,
                     ..
                 }
@@ -354,7 +354,7 @@
 
 /// Says what is wrong with how a request ended, if anything is.
 fn fault(asked: &Asked, was_run: bool) -> Option<&'static str> {
-    let Ending::Answered { status, body, .. } = &asked.ending else {
+    let RequestOutcome::Answered { status, body, .. } = &asked.ending else {
         return match (was_run, asked.is_owed) {
             (true, _) => Some("was run, and ended without a whole answer"),
             (false, true) => Some("ended without a whole answer"),
@@ -448,7 +448,7 @@
                     .map_or("-".to_string(), |ms| ms.to_string()),
                 asked.lasted_ms,
                 match &asked.ending {
-                    Ending::Answered { status, .. } => format!("status {status}"),
+                    RequestOutcome::Answered { status, .. } => format!("status {status}"),
                     other => format!("{other:?}"),
                 }
             ))
--- a/tests/gateway/raw_client.rs
+++ b/tests/gateway/raw_client.rs
@@ -51,7 +51,7 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// With a whole answer.
     Answered {
         status: u16,
@@ -67,7 +67,7 @@
     Silent,
 }
 
-impl Ending {
+impl RequestOutcome {
     pub fn status(&self) -> Option<u16> {
         match self {
             Self::Answered { status, .. } => Some(*status),
@@ -119,19 +119,19 @@
     }
 
     /// Reads the answer to what was sent.
-    pub async fn answer(&mut self) -> Ending {
+    pub async fn answer(&mut self) -> RequestOutcome {
         let read = tokio::time::timeout(ANSWER_TIMEOUT, self.read_answer());
-        read.await.unwrap_or(Ending::Silent)
+        read.await.unwrap_or(RequestOutcome::Silent)
     }
 
     /// Sends a request and reads its answer, whatever becomes of the sending.
-    pub async fn ask(&mut self, request: &RawRequest) -> Ending {
+    pub async fn ask(&mut self, request: &RawRequest) -> RequestOutcome {
         // An answer may be there although the request could not be sent whole.
         let _ = self.send(request).await;
         self.answer().await
     }
 
-    async fn read_answer(&mut self) -> Ending {
+    async fn read_answer(&mut self) -> RequestOutcome {
         loop {
             if let Some((ending, used)) = parse(&self.unread) {
                 self.unread.drain(..used);
@@ -139,16 +139,16 @@
             }
             let got = self.unread.len();
             match self.stream.read_buf(&mut self.unread).await {
-                Ok(0) => return Ending::Closed { got },
+                Ok(0) => return RequestOutcome::Closed { got },
                 Ok(_) => {}
-                Err(_) => return Ending::Reset { got },
+                Err(_) => return RequestOutcome::Reset { got },
             }
         }
     }
 }
 
 /// Parses an answer that is there whole; returns it with its length.
-fn parse(bytes: &[u8]) -> Option<(Ending, usize)> {
+fn parse(bytes: &[u8]) -> Option<(RequestOutcome, usize)> {
     let head_end = bytes.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let head = std::str::from_utf8(&bytes[..head_end]).expect("a head is text");
     let header = |name: &str| {
@@ -163,7 +163,7 @@
         }
         None => chunks(bytes, head_end)?,
     };
-    let ending = Ending::Answered {
+    let ending = RequestOutcome::Answered {
         status: head.split(' ').nth(1)?.parse().expect("a status"),
         body,
         says_close: header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close")),
