--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -16,7 +16,7 @@
 mod mixed_builds;
 mod planned_soak;
 mod raw_client;
-mod repeats;
+mod retries;
 mod restart_soak;
 mod rollouts;
 mod silent_store;
