--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -7,14 +7,14 @@
     std::{convert::Infallible, io, time::Duration},
 };
 
-/// The body of an answer to a client.
+/// The body of a response to a client.
 pub type AnswerBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// How large the pieces of a body are that goes out piece by piece, in bytes:
-/// some packets, little beside what a connection buffers.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Size of the chunks in which `chunked_body` hands out a body, in bytes: a few packets, and
+/// small compared to the send buffer of a connection.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to a single connection.
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -26,7 +26,7 @@
     "expect",
 ];
 
-/// Removes the headers that concern one connection only.
+/// Removes the hop-by-hop headers, including those that `Connection` names.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -43,33 +43,33 @@
     }
 }
 
-/// Makes a body of known bytes.
+/// Builds a body from complete bytes.
 pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-/// Makes a body of known bytes that goes out piece by piece. It keeps `held`
-/// until the connection has taken the last one.
+/// Builds a body that hands out `bytes` in chunks. It keeps `held` until the connection has
+/// taken the last chunk.
 pub fn chunked_body(bytes: Bytes, held: impl Send + 'static) -> AnswerBody {
-    let pieces = (0..bytes.len()).step_by(PIECE_BYTES);
-    let pieces = pieces.map(move |at| bytes.slice(at..bytes.len().min(at + PIECE_BYTES)));
-    let frames = stream::iter(pieces).map(move |piece| {
+    let chunks = (0..bytes.len()).step_by(CHUNK_BYTES);
+    let chunks = chunks.map(move |at| bytes.slice(at..bytes.len().min(at + CHUNK_BYTES)));
+    let frames = stream::iter(chunks).map(move |chunk| {
         let _ = &held;
-        Ok(Frame::data(piece))
+        Ok(Frame::data(chunk))
     });
     StreamBody::new(frames).boxed_unsync()
 }
 
-/// Makes an answer of our own.
+/// Builds a response that this daemon makes itself.
 pub fn local_response(status: StatusCode, detail: &str) -> Response<AnswerBody> {
     let mut answer = Response::new(full_body(format!("{detail}\n")));
     *answer.status_mut() = status;
     answer
 }
 
-/// Makes a refusal: the request has not run and never will.
+/// Builds a refusal: a promise to the client that the request has not run and never will.
 pub fn refusal(status: StatusCode, detail: &str, retry_after: Duration) -> Response<AnswerBody> {
     let mut answer = local_response(status, detail);
     let seconds = format!("{:.2}", retry_after.as_secs_f64());
@@ -79,7 +79,7 @@
     answer
 }
 
-/// Makes an answer with an upstream's head.
+/// Builds the response to the client from the head of an upstream's response.
 pub fn relayed(mut head: Parts, body: AnswerBody) -> Response<AnswerBody> {
     strip_connection_headers(&mut head.headers);
     head.version = http::Version::HTTP_11;
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -3,28 +3,28 @@
     crate::{names::UpstreamId, policy::*, upstreams::*},
 };
 
-/// What has been tried for one request.
+/// The attempts to send one request.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// The upstreams that it was sent to or that could not be reached.
+    /// Upstreams that the request was sent to, and upstreams that could not be reached.
     pub tried: Vec<UpstreamId>,
-    /// How many upstreams it reached that it was meant for.
+    /// Number of upstreams that the request reached and that were its intended receivers.
     pub sends: u32,
-    /// How many it reached at all.
+    /// Number of servers that the request reached, including those at a reused address.
     pub arrivals: u32,
-    /// Whether it may have run somewhere.
+    /// The request may have run on some upstream.
     pub may_have_run: bool,
-    /// How the last try failed.
+    /// Failure of the last attempt.
     pub last_failure: Option<SendFailure>,
 }
 
 impl Attempts {
-    /// Chooses where to send the request next.
+    /// Chooses the upstream of the next attempt.
     pub async fn place(&self, gateway: &Gateway, context: &RequestContext) -> Option<Placement> {
         gateway.place(context, &self.tried).await
     }
 
-    /// Notes a failure and decides whether the request may be sent elsewhere.
+    /// Records a failed attempt and returns whether the request may be sent to another upstream.
     pub fn may_retry_after(
         &mut self,
         gateway: &Gateway,
@@ -35,7 +35,7 @@
         self.tried.push(upstream.clone());
         match &failure {
             SendFailure::NotSent(_) => {}
-            // It was sent to none of the service's upstreams.
+            // The receiver has taken over an old address; it is not one of the service's upstreams.
             SendFailure::Misdirected => self.arrivals += 1,
             SendFailure::Refused(_) | SendFailure::MayHaveRun(_) | SendFailure::CutOff(_) => {
                 self.arrivals += 1;
@@ -51,10 +51,10 @@
             tried: self.tried.len(),
             time_left_ms: context.time_left().as_millis() as u64,
         };
-        let draws_on_budget = self.arrivals > 0;
+        let needs_retry_budget = self.arrivals > 0;
         self.last_failure = Some(failure);
         situation.allows_another()
             && gateway.held_for(context).is_none()
-            && (!draws_on_budget || gateway.spend_retry(context))
+            && (!needs_retry_budget || gateway.spend_retry(context))
     }
 }
--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -12,20 +12,20 @@
     tokio::{io::AsyncWriteExt, net::TcpStream, sync::watch, time::Instant},
 };
 
-/// The least rest that a connection is allowed between requests.
+/// Lower bound of the idle timeout of client connections.
 const MIN_IDLE: Duration = Duration::from_secs(10);
-/// How often a connection that is to be closed is looked at: short beside what a
-/// request takes, long beside what a look costs.
+/// Interval at which a connection that is to be closed is checked: short compared to the
+/// duration of a request, long compared to the cost of a check.
 const CLOSE_POLL: Duration = Duration::from_millis(20);
-/// How long what a client still sends is read after the last answer, so that no
-/// reset takes that answer away: some round trips, and a packet sent again.
+/// How long input of the client is still read after the last response, so that no reset
+/// discards that response: a few round trips and one retransmission.
 const LINGER: Duration = Duration::from_secs(1);
-/// The least size of the buffer that requests are read into, in bytes.
+/// Minimum size of the buffer that requests are read into, in bytes.
 const MIN_HEAD_BYTES: usize = 16 * 1024;
-/// What is read beyond a head of the largest size, in bytes.
-const BUFFER_BESIDE_HEAD: usize = 8 * 1024;
+/// Size of the read buffer beyond the largest request head, in bytes.
+const EXTRA_BUFFER_BYTES: usize = 8 * 1024;
 
-/// A client's connection that is served.
+/// State shared by the tasks that serve one client connection.
 #[derive(Clone, Debug)]
 struct ClientConnection {
     gateway: Arc<Gateway>,
@@ -35,7 +35,7 @@
     closing: watch::Receiver<bool>,
 }
 
-/// A request that is answered on a connection.
+/// Marks a request as active on its connection until it is dropped.
 #[derive(Debug)]
 pub struct RequestActivityGuard {
     gateway: Arc<Gateway>,
@@ -55,11 +55,11 @@
     gateway: Arc<Gateway>,
     closing: watch::Receiver<bool>,
 ) {
-    // As long as it may rest, a client may also read nothing, or be cut off: one that
-    // pauses must not lose its answer.
+    // A client may also stop reading, or lose its network, for as long as it may be idle:
+    // a client that pauses must not lose its response.
     let dead_after = idle_limit(&gateway);
     if let Err(e) = set_socket_options(&stream, dead_after) {
-        log::info!(target: "client", "not served: the connection is broken. error=\"{e}\"");
+        log::info!(target: "client", "connection not served: socket options failed. error=\"{e}\"");
         return;
     }
     let activity = ClientActivity::new(gateway.steady_ms());
@@ -73,7 +73,7 @@
     client.serve().await;
 }
 
-/// Returns for how long connections may rest, by the configuration in force.
+/// Returns the idle timeout of client connections in the current configuration.
 fn idle_limit(gateway: &Gateway) -> Duration {
     Duration::from_millis(gateway.client_limits().idle_timeout_ms).max(MIN_IDLE)
 }
@@ -81,22 +81,23 @@
 impl ClientConnection {
     async fn serve(mut self) {
         let max_head = self.gateway.client_limits().max_header_bytes;
-        let answering = self.clone();
-        let service = service_fn(move |request| answering.clone().answer(request));
+        let handler = self.clone();
+        let service = service_fn(move |request| handler.clone().answer(request));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            // How long a client may rest is decided here, by what is in force then.
+            // `wait_until_closable` applies the idle timeout, which the configuration may change
+            // while the connection is open.
             .header_read_timeout(None)
-            .max_buf_size(max_head.max(MIN_HEAD_BYTES) + BUFFER_BESIDE_HEAD)
+            .max_buf_size(max_head.max(MIN_HEAD_BYTES) + EXTRA_BUFFER_BYTES)
             .serve_connection(TokioIo::new(self.socket.clone()), service);
         tokio::pin!(connection);
         let end = tokio::select! {
-            // A request that is there goes before a close.
+            // A request that has arrived is served before the connection is closed.
             biased;
             end = connection.as_mut() => end,
-            () = self.time_to_close() => {
+            () = self.wait_until_closable() => {
                 if self.activity.lock().requests() == 0 {
-                    // It would wait for a first request.
+                    // hyper would keep waiting for a first request.
                     return self.record_end(None);
                 }
                 connection.as_mut().graceful_shutdown();
@@ -112,30 +113,30 @@
         request: Request<Incoming>,
     ) -> Result<http::Response<AnswerBody>, Infallible> {
         self.activity.lock().begin_request();
-        let busy = RequestActivityGuard {
+        let guard = RequestActivityGuard {
             gateway: self.gateway.clone(),
             activity: self.activity,
         };
-        let mut answer = answer_client(self.gateway.clone(), request, busy).await;
+        let mut answer = answer_client(self.gateway.clone(), request, guard).await;
         if self.gateway.is_stopping() {
             set_connection_close(&mut answer);
         }
         Ok(answer)
     }
 
-    /// Waits until the connection is to be closed and no request is on it or in
+    /// Waits until the connection is to be closed and no request is active on it or unread in
     /// its socket.
-    async fn time_to_close(&mut self) {
+    async fn wait_until_closable(&mut self) {
         loop {
-            let reason = self.close_wished().await;
-            let wished_ms = self.gateway.steady_ms();
+            let reason = self.wait_for_close_reason().await;
+            let requested_ms = self.gateway.steady_ms();
             loop {
-                // What has come is known once the event loop has looked.
+                // Bytes that have arrived become visible after the event loop has polled the socket.
                 tokio::task::yield_now().await;
                 let has_unread = self.socket.unread() == Unread::Bytes;
                 let now_ms = self.gateway.steady_ms();
                 let activity = self.activity.lock().clone();
-                match activity.close_step(reason, has_unread, wished_ms, now_ms) {
+                match activity.close_step(reason, has_unread, requested_ms, now_ms) {
                     CloseStep::Close => return,
                     CloseStep::Stay => break,
                     CloseStep::Wait => tokio::time::sleep(CLOSE_POLL).await,
@@ -144,32 +145,34 @@
         }
     }
 
-    async fn close_wished(&mut self) -> CloseReason {
-        let idle = rested_for_long(self.gateway.clone(), self.activity.clone());
+    async fn wait_for_close_reason(&mut self) -> CloseReason {
+        let idle = wait_until_idle_timeout(self.gateway.clone(), self.activity.clone());
         tokio::select! {
             () = until_closing(&mut self.closing) => CloseReason::Stop,
             () = idle => CloseReason::Idle,
         }
     }
 
-    /// Reads on after the last answer until the client closes its side, too: bytes
-    /// that stand unread when a socket is closed reset the connection, and a reset
-    /// takes away what the client has not read. It is told the end first: else a client
-    /// saw that its stream broke off, and came again, only after all of this time.
+    /// Keeps reading after the last response until the client closes its side as well.
+    ///
+    /// Closing a socket that holds unread bytes resets the connection, and a reset discards
+    /// the data that the client has not read yet. The sending side is shut down first, since
+    /// otherwise the client of a broken stream would see its end, and retry, only after
+    /// `LINGER`.
     async fn linger(mut self) {
         if self.socket.unread() == Unread::End {
             return;
         }
-        // One that fails has no other side any more.
+        // The shutdown fails if the client has already gone.
         let _ = self.socket.shutdown().await;
         let mut sink = tokio::io::sink();
-        let rest = tokio::io::copy(&mut self.socket, &mut sink);
-        // In vain: a client that goes on sending sees a reset.
-        let _ = tokio::time::timeout(LINGER, rest).await;
+        let unread_input = tokio::io::copy(&mut self.socket, &mut sink);
+        // After the timeout, a client that is still sending sees a reset.
+        let _ = tokio::time::timeout(LINGER, unread_input).await;
     }
 
-    /// Tells of a connection that ends while bytes of its client stand unread, or
-    /// by an error.
+    /// Logs and counts a connection that ends by an error, or while input of its client is
+    /// unread.
     fn record_end(&self, error: Option<hyper::Error>) {
         let unread = self.socket.unread();
         if error.is_none() && unread != Unread::Bytes {
@@ -183,16 +186,16 @@
         metrics::counter!(CUT_CONNECTIONS, "by" => by).increment(1);
         log::info!(
             target: "client",
-            "connection cut. by={by} requests={} unread={unread:?} error=\"{}\"",
+            "connection closed with an error or unread input. by={by} requests={} unread={unread:?} error=\"{}\"",
             self.activity.lock().requests(),
             error.map_or_else(|| "-".to_string(), |e| e.to_string())
         );
     }
 }
 
-/// Waits until a connection has rested for as long as the configuration that is in
-/// force by then allows.
-async fn rested_for_long(gateway: Arc<Gateway>, activity: Arc<Mutex<ClientActivity>>) {
+/// Waits until a connection has been idle for the timeout of the configuration that is
+/// current at that time.
+async fn wait_until_idle_timeout(gateway: Arc<Gateway>, activity: Arc<Mutex<ClientActivity>>) {
     loop {
         let limit_ms = idle_limit(&gateway).as_millis() as u64;
         let now_ms = gateway.steady_ms();
--- a/src/gateway/client_socket.rs
+++ b/src/gateway/client_socket.rs
@@ -16,29 +16,29 @@
     },
 };
 
-/// What stands in a socket that nobody has read.
+/// Unread input of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing: the client rests, or what it sent is on its way.
+    /// No input: the client is idle, or its data is still in transit.
     Nothing,
-    /// Bytes. To close the socket now would reset the connection: the client's
-    /// kernel then throws away the answers that it has not read.
+    /// Bytes. Closing the socket now would reset the connection, and the client's kernel
+    /// would discard the responses that the client has not read yet.
     Bytes,
-    /// The end: the client has closed its side, or the connection is broken.
+    /// End of input: the client has closed its side, or the connection is broken.
     End,
 }
 
-/// A client's socket. It is shared by what serves requests on it and by what
-/// decides when it is closed.
+/// A client's socket, shared by the task that serves its requests and the code that decides
+/// when to close it.
 #[derive(Clone, Debug)]
 pub struct ClientSocket {
     stream: Arc<TcpStream>,
-    /// Is told when bytes were read.
+    /// Records when bytes were read.
     activity: Arc<Mutex<ClientActivity>>,
 }
 
 impl ClientSocket {
-    /// Takes over an accepted connection.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream, activity: Arc<Mutex<ClientActivity>>) -> Self {
         Self {
             stream: Arc::new(stream),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Looks at what stands in the socket, without reading it.
+    /// Peeks at the unread input of the socket.
     pub fn unread(&self) -> Unread {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&*self.stream).peek(&mut byte) {
@@ -112,9 +112,9 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let ended = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
-        // One that the client has reset needs no end.
-        Poll::Ready(ended.or_else(|e| match e.kind() {
+        let result = SockRef::from(&*self.stream).shutdown(Shutdown::Write);
+        // A connection that the client has reset needs no shutdown.
+        Poll::Ready(result.or_else(|e| match e.kind() {
             io::ErrorKind::NotConnected => Ok(()),
             _ => Err(e),
         }))
--- a/src/gateway/cut_offs.rs
+++ b/src/gateway/cut_offs.rs
@@ -11,38 +11,39 @@
     },
 };
 
-/// How long an upstream has to take a connection that ended one: as long as a send
-/// gives it.
+/// Timeout for the connection that checks whether an upstream is alive: the same as for
+/// sending a request.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a connection has to stay open that an upstream took: one that ends may close
-/// the connections that it has some moments before the socket on which it takes new ones.
-const SETTLE: Duration = Duration::from_millis(50);
-/// How many connections it may close at once and still count as alive: one that has as
-/// many as it takes does that.
-const CHECKS: usize = 3;
-/// How many requests are kept that were cut off at one upstream: more ran beside each
-/// other on none that was seen.
+/// How long an accepted connection has to stay open to show that the upstream is alive: a
+/// process that ends may close its connections shortly before its listening socket.
+const MIN_OPEN_TIME: Duration = Duration::from_millis(50);
+/// Number of connections that are tried. An upstream that accepts and closes all of them
+/// counts as alive, since an upstream at its connection limit does that.
+const MAX_CHECKS: usize = 3;
+/// Maximum number of interrupted requests kept for one upstream: more than any observed
+/// upstream has run concurrently.
 const MAX_REQUESTS: usize = 256;
 
-/// Requests that were cut off, by the upstream they were at, until it is known whether it
-/// ended.
+/// Requests whose connection was closed while they ran, by upstream, until it is known
+/// whether that upstream crashed.
 pub(super) type CutOffs = HashMap<UpstreamId, BTreeMap<RequestFingerprint, CutOff>>;
 
-/// When a request was cut off. To find out whether its upstream ended takes up to some
-/// hundred milliseconds more, in which the request has long been sent on.
+/// When a request was cut off. The time is recorded at once, since the check whether the
+/// upstream crashed takes up to some hundred milliseconds, and the request is sent to another
+/// upstream before that.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CutOff {
-    /// In milliseconds of the daemon's clock.
+    /// Time of the interruption, in milliseconds of the daemon's steady clock.
     pub at_ms: u64,
-    /// For how long it had been there, in milliseconds.
+    /// How long the request had been at the upstream, in milliseconds.
     pub ran_ms: u64,
 }
 
-/// Whether upstreams end under requests.
+/// Detects upstreams that crash while they run requests.
 impl Gateway {
-    /// Notes that an upstream ended the connection that a request ran on, and finds out
-    /// whether the upstream has ended: one connection is opened for all requests that
-    /// were cut off there. One that comes up is used for the next request.
+    /// Records that an upstream closed the connection of a running request, and checks in the
+    /// background whether the upstream has crashed. One check serves all requests that were
+    /// cut off at the upstream; its connection is pooled if it stays open.
     pub(super) fn record_cut_off(
         self: &Arc<Self>,
         fingerprint: RequestFingerprint,
@@ -57,47 +58,48 @@
             ran_ms: ran.as_millis() as u64,
         };
         if requests.len() < MAX_REQUESTS {
-            // Of tries of one request that were there together, the first one counts.
+            // Of concurrent attempts of one request, the time of the first one counts.
             let known = requests.entry(fingerprint).or_insert(cut_off);
             known.ran_ms = known.ran_ms.max(cut_off.ran_ms);
         }
         drop(cut_offs);
         if is_first {
-            tokio::spawn(check_upstream(self.clone(), upstream.clone()));
+            tokio::spawn(check_for_crash(self.clone(), upstream.clone()));
         }
     }
 }
 
-async fn check_upstream(gateway: Arc<Gateway>, upstream: Arc<Upstream>) {
-    let end = find_end(&gateway, &upstream).await;
+async fn check_for_crash(gateway: Arc<Gateway>, upstream: Arc<Upstream>) {
+    let end = find_failure(&gateway, &upstream).await;
     let requests = gateway.cut_offs.lock().remove(&upstream.id);
     let (Some(cause), Some(requests)) = (end, requests) else {
         return;
     };
-    // One that leaves ends as it said, whatever runs there: a stream that three waves of
-    // reclaims moved on would be held back.
+    // An upstream that has announced that it leaves ends regardless of its requests. If it
+    // counted, a stream that moves through three waves of reclaims would be held back.
     if !gateway.directory.read().is_ready(&upstream.id) {
         return;
     }
     metrics::counter!(ENDED_UPSTREAMS).increment(1);
     log::warn!(
         target: "crash",
-        "an upstream ended under requests. upstream={} domain={} requests={} fingerprints={} cause=\"{cause}\"",
+        "upstream crashed while running requests. upstream={} domain={} requests={} fingerprints={} cause=\"{cause}\"",
         upstream.id,
         upstream.domain,
         requests.len(),
-        listed(&requests)
+        comma_separated(&requests)
     );
     gateway.record_upstream_crash(&upstream.id, requests.into_iter());
 }
 
-/// Finds out whether an upstream takes connections and keeps them; returns how it fails to.
-async fn find_end(gateway: &Gateway, upstream: &Upstream) -> Option<SendFailure> {
-    for _ in 0..CHECKS {
+/// Checks whether an upstream accepts connections and keeps them open. Returns the failure if it
+/// does not.
+async fn find_failure(gateway: &Gateway, upstream: &Upstream) -> Option<SendFailure> {
+    for _ in 0..MAX_CHECKS {
         match UpstreamPool::connect(upstream.address, CHECK_TIMEOUT).await {
             Err(failure) => return Some(failure),
             Ok(connection) => {
-                tokio::time::sleep(SETTLE).await;
+                tokio::time::sleep(MIN_OPEN_TIME).await;
                 if connection.is_open() {
                     gateway.pool.put(&upstream.id, connection, None);
                     return None;
@@ -108,7 +110,7 @@
     None
 }
 
-fn listed(requests: &BTreeMap<RequestFingerprint, CutOff>) -> String {
+fn comma_separated(requests: &BTreeMap<RequestFingerprint, CutOff>) -> String {
     let texts: Vec<String> = requests.keys().map(ToString::to_string).collect();
     texts.join(",")
 }
--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -3,61 +3,61 @@
     memchr::memmem,
 };
 
-/// The most that one event may hold, in bytes.
+/// Maximum size of one event, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// An event stream's bytes, cut at the ends of events.
+/// Splits the bytes of a server-sent event stream at event boundaries.
 ///
-/// Only whole events leave it, so that a stream that breaks off is known up to
-/// an event, from which another upstream can go on.
+/// Only complete events are passed on, so that a stream that breaks off ends after a known
+/// event, from which another upstream can continue.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    partial: BytesMut,
 }
 
-/// Whole events that stand in a row.
+/// Consecutive complete events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventBatch {
-    /// Their bytes, unchanged.
+    /// Bytes of the events, unchanged.
     pub bytes: Bytes,
-    /// The id of the first one that has one.
+    /// The id of the first event that has an id.
     pub first_id: Option<u64>,
-    /// The id of the last one that has one.
+    /// The id of the last event that has an id.
     pub last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the events that are whole now.
+    /// Appends bytes and returns the events that are complete now.
     pub fn push(&mut self, bytes: &[u8]) -> Option<EventBatch> {
-        self.rest.extend_from_slice(bytes);
-        let end = memmem::rfind(&self.rest, b"\n\n")? + 2;
-        let whole = self.rest.split_to(end).freeze();
-        let first_id = ids(&whole).next();
-        let last_id = ids(&whole).last();
+        self.partial.extend_from_slice(bytes);
+        let end = memmem::rfind(&self.partial, b"\n\n")? + 2;
+        let complete = self.partial.split_to(end).freeze();
+        let first_id = ids(&complete).next();
+        let last_id = ids(&complete).last();
         Some(EventBatch {
-            bytes: whole,
+            bytes: complete,
             first_id,
             last_id,
         })
     }
 
-    /// Returns whether part of an event is left over.
+    /// Returns whether the buffer ends inside an event.
     pub fn is_inside_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial.is_empty()
     }
 
-    /// Returns whether an event is larger than is accepted.
+    /// Returns whether the incomplete event exceeds `MAX_EVENT_BYTES`.
     pub fn is_too_large(&self) -> bool {
-        self.rest.len() > MAX_EVENT_BYTES
+        self.partial.len() > MAX_EVENT_BYTES
     }
 
-    /// Takes what is left over.
+    /// Takes the bytes of the incomplete event.
     pub fn take_partial(&mut self) -> Bytes {
-        self.rest.split().freeze()
+        self.partial.split().freeze()
     }
 }
 
-/// Returns the events' ids in order.
+/// Returns the ids of the events in order.
 fn ids(events: &[u8]) -> impl Iterator<Item = u64> {
     events.split(|b| *b == b'\n').filter_map(|line| {
         let value = line.strip_prefix(b"id:")?;
