--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         cluster::{ConfigAnswer, ConfigQuery, FeedError, MAX_ASK_BYTES, decode, encode},
-        gateway::{AnswerBody, Gateway, local_response, chunked_body},
+        gateway::{AnswerBody, Gateway, chunked_body, local_response},
         routing::{RoutingConfig, pack_config},
     },
     bytes::Bytes,
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Gateway, LIMITED_ANSWERS, PERMITS, PlacementRequest, Placement},
+    super::{Gateway, LIMITED_ANSWERS, PERMITS, Placement, PlacementRequest},
     crate::{
         cluster::{AnnouncedLimit, PermitIssuer},
         names::{ServiceName, UpstreamId},
@@ -81,7 +81,11 @@
     /// Chooses an upstream by what this daemon knows, and takes a permit where it names a
     /// limit. Without permits, an upstream in need looks idle and gets its whole part of the
     /// load.
-    pub async fn choose_permitted(&self, request: &PlacementRequest, id: &str) -> Option<Placement> {
+    pub async fn choose_permitted(
+        &self,
+        request: &PlacementRequest,
+        id: &str,
+    ) -> Option<Placement> {
         let mut denials = 0;
         loop {
             let mut placement = self.choose_after(request, id, denials)?;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -13,8 +13,8 @@
 mod engines;
 mod event_splitter;
 mod follow_file;
-mod forward_stream;
 mod forward_buffered;
+mod forward_stream;
 mod gateway_phase;
 mod gateway_state;
 mod header_names;
@@ -28,10 +28,10 @@
 mod open_request;
 mod phase_state;
 mod placement;
-mod request_placement;
 mod process;
 mod prompt;
 mod request_context;
+mod request_placement;
 mod rollout_state;
 mod send;
 mod send_outcomes;
@@ -41,6 +41,6 @@
 pub use {
     answer::*, client_connection::*, client_socket::*, event_splitter::*, follow_file::*,
     gateway_phase::*, gateway_state::*, header_names::*, hub_state::*, intake::*, listen::*,
-    metrics_page::*, open_connections::*, placement::*, request_placement::*, process::*, prompt::*,
-    request_context::*,
+    metrics_page::*, open_connections::*, placement::*, process::*, prompt::*, request_context::*,
+    request_placement::*,
 };
