--- a/src/gateway/forward_buffered.rs
+++ b/src/gateway/forward_buffered.rs
@@ -9,14 +9,15 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// The largest answer that is read whole before it is passed on, in bytes.
-const MAX_WHOLE_ANSWER: usize = 16 * 1024 * 1024;
-/// After how many times the wanted latency a repeatable request that has no
-/// answer is sent elsewhere.
-const SLOW_FACTOR: u32 = 2;
-const MIN_PATIENCE: Duration = Duration::from_millis(150);
+/// Maximum size of a response that is buffered completely before it is relayed, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Multiple of the target latency after which an unanswered repeatable request is sent to
+/// another upstream.
+const TIMEOUT_FACTOR: u32 = 2;
+/// Lower bound of that timeout.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Forwards a request whose answer is passed on once it is whole.
+/// Forwards a request whose response is relayed once it is complete.
 pub async fn forward_buffered(
     gateway: &Arc<Gateway>,
     context: &RequestContext,
@@ -40,7 +41,7 @@
         let placement = attempts.place(gateway, context).await?;
         let upstream = &placement.upstream;
         let sent = BootInstant::now();
-        let failure = match send_in_time(gateway, context, &placement, attempts).await {
+        let failure = match send_with_timeout(gateway, context, &placement, attempts).await {
             Ok((head, body)) => {
                 let failed = head.status.is_server_error();
                 gateway.record_outcome(&upstream.id, failed);
@@ -68,31 +69,35 @@
     }
 }
 
-/// Sends a request and reads its whole answer. One that may be repeated is
-/// taken back when it is slow, if it could go elsewhere.
-async fn send_in_time(
+/// Sends a request and reads its complete response. A repeatable request is cancelled after
+/// a timeout if another attempt is allowed.
+async fn send_with_timeout(
     gateway: &Arc<Gateway>,
     context: &RequestContext,
     placement: &Placement,
     attempts: &Attempts,
 ) -> Result<(Parts, Bytes), SendFailure> {
-    let whole = async {
+    let exchange = async {
         let mut sent = send(gateway, context, placement, None).await?;
-        let body = sent.answer.read_all(MAX_WHOLE_ANSWER).await?;
+        let body = sent.answer.read_all(MAX_ANSWER_BYTES).await?;
         sent.active.record_completed();
         Ok((sent.answer.head.clone(), body))
     };
     let last = attempts.sends + 1 >= context.route.max_attempts;
     if last || !context.route.is_repeatable() {
-        return whole.await;
+        return exchange.await;
     }
-    let max_wait = (context.target_latency() * SLOW_FACTOR).max(MIN_PATIENCE);
-    let answer = timeout(max_wait, whole).await;
-    answer.unwrap_or_else(|_| Err(SendFailure::MayHaveRun("no answer in time".into())))
+    let max_wait = (context.target_latency() * TIMEOUT_FACTOR).max(MIN_ATTEMPT_TIMEOUT);
+    let answer = timeout(max_wait, exchange).await;
+    answer.unwrap_or_else(|_| {
+        Err(SendFailure::MayHaveRun(
+            "no response within the attempt timeout".into(),
+        ))
+    })
 }
 
-/// Returns whether a status can be passed on as it is: these promise that a
-/// request has not run, which only the upstream's own header may say.
+/// Returns whether an upstream's status may be relayed to the client. The other statuses
+/// promise that the request has not run, which only the upstream's `not_run` header may state.
 pub(super) fn may_relay_status(status: StatusCode) -> bool {
     !matches!(
         status,
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -13,10 +13,10 @@
     std::{io, sync::Arc, time::Duration},
 };
 
-/// How often a silent upstream is looked at.
+/// Interval at which a silent upstream is checked for a stall.
 const STALL_CHECK: Duration = Duration::from_millis(200);
 
-/// Forwards a request whose answer is a series of events.
+/// Forwards a request whose response is a stream of events.
 pub async fn forward_stream(
     gateway: &Arc<Gateway>,
     context: RequestContext,
@@ -31,23 +31,25 @@
     }
 }
 
-/// An answer on its way from one upstream after the other to its client.
-/// Dropping it cancels the request.
+/// Relays a response to the client, from one upstream after another if a stream breaks off.
+/// Dropping the relay cancels the request.
 struct StreamRelay {
     gateway: Arc<Gateway>,
     context: RequestContext,
     attempts: Attempts,
     current: Option<Sent>,
-    border: EventSplitter,
-    /// The last event that was passed on, or that the client had before.
+    splitter: EventSplitter,
+    /// Id of the last event that was relayed, or that the client already had.
     last_id: Option<u64>,
-    /// Whether the current answer is a series of events.
+    /// The current response is a stream of events.
     is_events: bool,
-    began: bool,
+    /// The first bytes of a response have been taken for the client.
+    has_started: bool,
+    /// The response has ended, completely or with an error.
     done: bool,
 }
 
-/// What an upstream sent next.
+/// The next part of an upstream's response.
 enum Step {
     Events(EventBatch),
     Raw(Bytes),
@@ -62,14 +64,14 @@
             context,
             attempts: Attempts::default(),
             current: None,
-            border: EventSplitter::default(),
+            splitter: EventSplitter::default(),
             is_events: true,
-            began: false,
+            has_started: false,
             done: false,
         }
     }
 
-    /// Waits for the answer's head and first bytes.
+    /// Waits for the head and the first bytes of the response.
     async fn first(&mut self) -> Option<(Parts, Bytes)> {
         loop {
             self.open().await?;
@@ -85,50 +87,50 @@
                         self.gateway
                             .record_answer(&self.context, &sent.upstream, Some(time_ms));
                     }
-                    self.began = true;
-                    return Some((head, self.pass_on(step)));
+                    self.has_started = true;
+                    return Some((head, self.take_bytes(step)));
                 }
                 Err(failure) => self.fail(failure)?,
             }
         }
     }
 
-    /// Returns the next bytes for the client; none at the end.
+    /// Returns the next bytes for the client, or `None` at the end.
     ///
     /// # Errors
     ///
-    /// Returns an error if the answer breaks off for good.
+    /// Returns an error if the response breaks off and no other upstream may continue it.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             if self.done {
                 return None;
             }
             if self.current.is_none() && self.open().await.is_none() {
-                return self.break_off();
+                return self.abort();
             }
             match self.step().await {
                 Ok(step) => {
-                    let bytes = self.pass_on(step);
+                    let bytes = self.take_bytes(step);
                     if !bytes.is_empty() {
                         return Some(Ok(bytes));
                     }
                 }
                 Err(failure) => {
                     if self.fail(failure).is_none() {
-                        return self.break_off();
+                        return self.abort();
                     }
                 }
             }
         }
     }
 
-    fn break_off(&mut self) -> Option<io::Result<Bytes>> {
+    fn abort(&mut self) -> Option<io::Result<Bytes>> {
         self.done = true;
         self.current = None;
         metrics::counter!(BROKEN_STREAMS).increment(1);
         log::warn!(
             target: "gateway",
-            "stream broken off. request={} sends={} last_event={:?} cause=\"{:?}\"",
+            "stream aborted. request={} sends={} last_event={:?} cause=\"{:?}\"",
             self.context.id_text(),
             self.attempts.sends,
             self.last_id,
@@ -137,25 +139,25 @@
         Some(Err(io::ErrorKind::ConnectionAborted.into()))
     }
 
-    /// Sends the request to an upstream, and on to others as long as it may.
+    /// Sends the request to an upstream, and to others as long as retries are allowed.
     async fn open(&mut self) -> Option<()> {
         loop {
             let placement = self.attempts.place(&self.gateway, &self.context).await?;
             let upstream = &placement.upstream;
-            match self.send_patiently(&placement).await {
+            match self.send_unless_stalled(&placement).await {
                 Ok(sent) => {
                     let status = sent.answer.head.status;
                     let is_success = status.is_success();
-                    let retry = status.is_server_error() && self.can_move();
-                    let unfit = self.began && !is_success;
-                    if unfit || retry || !may_relay_status(status) {
+                    let retry = status.is_server_error() && self.can_retry();
+                    let is_unusable = self.has_started && !is_success;
+                    if is_unusable || retry || !may_relay_status(status) {
                         drop(sent);
                         let failure = SendFailure::MayHaveRun(status.to_string());
                         self.fail_at(upstream, failure)?;
                         continue;
                     }
                     self.is_events = is_success && is_event_stream(&sent.answer.head);
-                    self.border = EventSplitter::default();
+                    self.splitter = EventSplitter::default();
                     self.current = Some(sent);
                     return Some(());
                 }
@@ -164,11 +166,11 @@
         }
     }
 
-    /// Sends the request; while it could still go elsewhere, not longer than a
-    /// silent upstream is waited for.
-    async fn send_patiently(&self, placement: &Placement) -> Result<Sent, SendFailure> {
+    /// Sends the request. If another attempt is allowed, it fails as soon as the upstream
+    /// counts as stalled.
+    async fn send_unless_stalled(&self, placement: &Placement) -> Result<Sent, SendFailure> {
         let send = send(&self.gateway, &self.context, placement, self.last_id);
-        if !self.can_move() {
+        if !self.can_retry() {
             return send.await;
         }
         let started_ms = self.gateway.steady_ms();
@@ -181,67 +183,73 @@
         }
     }
 
-    /// Waits for what the upstream sends next.
+    /// Waits for the next part of the upstream's response.
     async fn step(&mut self) -> Result<Step, SendFailure> {
         let waiting_since = self.gateway.steady_ms();
         loop {
-            let can_move = self.can_move();
+            let can_retry = self.can_retry();
             let deadline = self.context.deadline;
             let Some(sent) = &mut self.current else {
                 return Err(SendFailure::NotSent("not sent".into()));
             };
-            let wake_at = match can_move {
+            let wake_at = match can_retry {
                 true => (BootInstant::now() + STALL_CHECK).min(deadline),
                 false => deadline,
             };
             let next = timeout_at(wake_at, sent.answer.next_piece()).await;
-            let Ok(piece) = next else {
+            let Ok(chunk) = next else {
                 if BootInstant::now() >= deadline {
-                    return Err(SendFailure::MayHaveRun("the time is up".into()));
+                    return Err(SendFailure::MayHaveRun(
+                        "the request's deadline has passed".into(),
+                    ));
                 }
                 let upstream = sent.upstream.clone();
                 self.check_stall(&upstream, waiting_since)?;
                 continue;
             };
-            let Some(piece) = piece else {
+            let Some(chunk) = chunk else {
                 return self.end();
             };
-            let piece = piece?;
+            let chunk = chunk?;
             sent.active.progress();
             if !self.is_events {
-                return Ok(Step::Raw(piece));
+                return Ok(Step::Raw(chunk));
             }
-            if let Some(run) = self.border.push(&piece) {
-                return self.check_order(run).map(Step::Events);
+            if let Some(batch) = self.splitter.push(&chunk) {
+                return self.check_order(batch).map(Step::Events);
             }
-            if self.border.is_too_large() {
-                return Err(SendFailure::MayHaveRun("an event is too large".into()));
+            if self.splitter.is_too_large() {
+                return Err(SendFailure::MayHaveRun(
+                    "an event exceeds the size limit".into(),
+                ));
             }
         }
     }
 
     fn end(&mut self) -> Result<Step, SendFailure> {
-        if self.is_events && self.border.is_inside_event() {
-            return Err(SendFailure::MayHaveRun("ended inside an event".into()));
+        if self.is_events && self.splitter.is_inside_event() {
+            return Err(SendFailure::MayHaveRun(
+                "the stream ended inside an event".into(),
+            ));
         }
         Ok(Step::End)
     }
 
-    /// Checks that events go on where the last ones ended.
-    fn check_order(&self, run: EventBatch) -> Result<EventBatch, SendFailure> {
-        match (self.last_id, run.first_id) {
-            (Some(last), Some(first)) if first <= last => Err(SendFailure::MayHaveRun(
-                "events don't go on in order".into(),
-            )),
-            _ => Ok(run),
+    /// Checks that event ids continue after the last relayed event.
+    fn check_order(&self, batch: EventBatch) -> Result<EventBatch, SendFailure> {
+        match (self.last_id, batch.first_id) {
+            (Some(last), Some(first)) if first <= last => {
+                Err(SendFailure::MayHaveRun("event ids are out of order".into()))
+            }
+            _ => Ok(batch),
         }
     }
 
-    fn pass_on(&mut self, step: Step) -> Bytes {
+    fn take_bytes(&mut self, step: Step) -> Bytes {
         match step {
-            Step::Events(run) => {
-                self.last_id = run.last_id.or(self.last_id);
-                run.bytes
+            Step::Events(batch) => {
+                self.last_id = batch.last_id.or(self.last_id);
+                batch.bytes
             }
             Step::Raw(bytes) => bytes,
             Step::End => {
@@ -249,7 +257,7 @@
                 if let Some(sent) = self.current.take() {
                     log::info!(
                         target: "stream",
-                        "ended whole. request={} upstream={} sends={} last_event={:?}",
+                        "stream completed. request={} upstream={} sends={} last_event={:?}",
                         self.context.id_text(),
                         sent.upstream.id,
                         self.attempts.sends + 1,
@@ -269,19 +277,19 @@
         }
     }
 
-    fn can_move(&self) -> bool {
+    fn can_retry(&self) -> bool {
         self.context.route.is_repeatable()
             && self.attempts.sends + 1 < self.context.route.max_attempts
     }
 
-    /// Gives an upstream up that has been silent for too long.
+    /// Returns an error if the upstream has been silent for too long.
     fn check_stall(&self, upstream: &Upstream, waiting_since_ms: u64) -> Result<(), SendFailure> {
         let now_ms = self.gateway.steady_ms();
         let last_ms = {
             let loads = self.gateway.loads.lock();
             loads.get(&upstream.id).map_or(0, |l| l.last_progress_ms)
         };
-        let limits = StallLimits::of(&self.context.route, self.began);
+        let limits = StallLimits::of(&self.context.route, self.has_started);
         let waited_ms = now_ms.saturating_sub(waiting_since_ms);
         let silent_ms = now_ms.saturating_sub(last_ms.max(waiting_since_ms));
         if !limits.is_stalled(waited_ms, silent_ms) {
@@ -292,11 +300,11 @@
             .lock()
             .entry(&upstream.id)
             .record_unreachable(now_ms);
-        Err(SendFailure::MayHaveRun("the upstream is silent".into()))
+        Err(SendFailure::MayHaveRun("the upstream is stalled".into()))
     }
 
     fn fail(&mut self, failure: SendFailure) -> Option<()> {
-        // The old run is cancelled before a new one starts.
+        // Dropping it cancels the old run before a new one starts.
         let sent = self.current.take()?;
         let upstream = sent.upstream.clone();
         drop(sent);
@@ -306,13 +314,13 @@
     fn fail_at(&mut self, upstream: &Arc<Upstream>, failure: SendFailure) -> Option<()> {
         self.gateway
             .record_send_failure(&self.context, upstream, &failure);
-        let goes_on = self
-            .attempts
-            .may_retry_after(&self.gateway, &self.context, &upstream.id, failure);
-        goes_on.then_some(())
+        let may_retry =
+            self.attempts
+                .may_retry_after(&self.gateway, &self.context, &upstream.id, failure);
+        may_retry.then_some(())
     }
 
-    /// Turns the relay into a body that begins with the given bytes.
+    /// Turns the relay into a body that starts with the given bytes.
     fn into_body(self, first: Bytes) -> AnswerBody {
         let events = stream::unfold((self, Some(first)), |(mut relay, first)| async move {
             let next = match first {
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        forward_stream::forward_stream, forward_buffered::forward_buffered, open_request::OpenRequest, *,
+        forward_buffered::forward_buffered, forward_stream::forward_stream,
+        open_request::OpenRequest, *,
     },
     crate::{
         clock::{BootInstant, timeout},
@@ -18,18 +19,17 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// The wait that is told while a daemon has no configuration.
+/// `Retry-After` of a daemon that has no configuration yet.
 const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// The wait that is told by a daemon that stops: others take the request at once.
+/// `Retry-After` of a daemon that stops: other daemons accept the request at once.
 const STOPPING_RETRY_AFTER: Duration = Duration::ZERO;
-/// How long a request is held at the start until a configuration is there: its
-/// first read takes some milliseconds unless the source is in trouble.
-const CONFIG_PATIENCE: Duration = Duration::from_millis(100);
-/// How many times what an answer takes on average must be left of the wanted
-/// latency when a request's hold for its quota ends: its answer is then in time
-/// more likely than not.
-const TIMES_LEFT: f64 = 2.0;
-/// The longest wait that is told to a client account beyond its quota.
+/// How long a request waits for the first configuration after the start of the daemon. The
+/// first read takes a few milliseconds unless the source has a fault.
+const CONFIG_MAX_WAIT: Duration = Duration::from_millis(100);
+/// Multiple of the average response time that must be left of the target latency when a
+/// request stops waiting for its quota. The response is then more likely than not in time.
+const RESPONSE_TIME_FACTOR: f64 = 2.0;
+/// Maximum `Retry-After` for a client account that has used up its quota.
 const MAX_QUOTA_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Answers a client's request.
@@ -41,7 +41,7 @@
     let id = request.headers().get(&gateway.names.attempt_id).cloned();
     let open = OpenRequest::start(&gateway, id, busy);
     let started = open.started;
-    let (kind, answer) = match take_in(&gateway, request, started).await {
+    let (kind, answer) = match receive_request(&gateway, request, started).await {
         Ok(context) => (
             context.route.kind.as_str(),
             forward(&gateway, context).await,
@@ -50,11 +50,11 @@
     };
     record_answer(kind, answer.status(), started.elapsed());
     log_answer(&gateway, &open, &answer);
-    open.until_end_of(answer)
+    open.attach_to(answer)
 }
 
-/// Logs the head of an answer: who gave it, after how long, by which
-/// configuration.
+/// Logs the head of a response: whether this daemon made it itself, after how long, and with
+/// which configuration.
 fn log_answer(gateway: &Gateway, open: &OpenRequest, answer: &Response<AnswerBody>) {
     let status = answer.status();
     let level = match status.is_success() {
@@ -65,7 +65,7 @@
     log::log!(
         target: "answer",
         level,
-        "answered. request={} status={} own={is_own} after_ms={} config={}",
+        "request answered. request={} status={} own={is_own} after_ms={} config={}",
         open.id_text(),
         status.as_u16(),
         open.started.elapsed().as_millis(),
@@ -77,18 +77,20 @@
     gateway.earn_retry(&context.service);
     match context.route.kind {
         RouteKind::Streaming => forward_stream(gateway, context).await,
-        RouteKind::Idempotent | RouteKind::NonIdempotent => forward_buffered(gateway, &context).await,
+        RouteKind::Idempotent | RouteKind::NonIdempotent => {
+            forward_buffered(gateway, &context).await
+        }
     }
 }
 
-/// What was found out about a request from its head.
+/// The result of checking a request head.
 struct Checked {
     route: Arc<Route>,
     terms: Option<Arc<AccountTerms>>,
     service: ServiceName,
 }
 
-/// Checks a request by its head.
+/// Finds the route, the client account and the service of a request from its head.
 async fn check_head(gateway: &Gateway, head: &Parts) -> Result<Checked, Box<Response<AnswerBody>>> {
     let Some(table) = first_table(gateway).await else {
         let detail = "no configuration yet";
@@ -98,7 +100,10 @@
     let route = find_route(&table, head)?;
     let terms = find_account(gateway, &table, &route, &head.headers)?;
     let Some(service) = route.pick_service(gateway.draw()).cloned() else {
-        return Err(own(StatusCode::NOT_FOUND, "the route leads nowhere"));
+        return Err(boxed_response(
+            StatusCode::NOT_FOUND,
+            "the route leads nowhere",
+        ));
     };
     Ok(Checked {
         route,
@@ -107,8 +112,8 @@
     })
 }
 
-/// Checks a request and reads it whole.
-async fn take_in(
+/// Checks a request, reads its body and admits it.
+async fn receive_request(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
     started: BootInstant,
@@ -123,14 +128,14 @@
     let body = RequestBody::new(body, body_limits, expects_continue);
     let checked = match check_head(gateway, &head).await {
         Ok(checked) => checked,
-        Err(answer) => return Err(refuse_unread(answer, &head, &body, &limits)),
+        Err(answer) => return Err(close_if_unread(answer, &head, &body, &limits)),
     };
     let Checked {
         route,
         terms,
         service,
     } = checked;
-    // The first configuration may have come meanwhile.
+    // The first configuration may have arrived while `check_head` waited.
     let limits = gateway.client_limits();
     let body = read_body(&limits, body).await?;
     let prompt = Prompt::from_headers(&head.headers, &gateway.names);
@@ -146,7 +151,7 @@
     }
     let max_wait = max_wait(gateway, &service, &route);
     let context = RequestContext {
-        placed: parking_lot::Mutex::default(),
+        first_placement: parking_lot::Mutex::default(),
         sent_at: parking_lot::Mutex::default(),
         attempt_id: head.headers.get(&gateway.names.attempt_id).cloned(),
         priority: priority_of(&route, terms.as_deref()),
@@ -170,13 +175,13 @@
     Ok(context)
 }
 
-/// Refuses a request under which upstreams ended: it has not run this time. Its caller is
-/// told the truth of when it may come back, since asking sooner is of no use to it.
+/// Refuses a quarantined request, under which upstreams have crashed. It has not run this
+/// time. `Retry-After` names the full remaining hold, since an earlier retry is refused again.
 fn refuse_held(context: &RequestContext, hold: Duration) -> Box<Response<AnswerBody>> {
     metrics::counter!(HELD_REFUSALS).increment(1);
     log::warn!(
         target: "crash",
-        "refused: upstreams ended under this request. request={} fingerprint={} held_s={}",
+        "request refused: upstreams crashed while running it. request={} fingerprint={} held_s={}",
         context.id_text(),
         context.fingerprint(),
         hold.as_secs()
@@ -185,19 +190,19 @@
     Box::new(refusal(StatusCode::SERVICE_UNAVAILABLE, detail, hold))
 }
 
-/// Returns for how long a request may be held so that its answer is still likely
-/// to be in time, by how long answers of its service take.
+/// Returns how long a request may wait for its quota so that its response is still likely to
+/// be in time, given the average response time of its service.
 fn max_wait(gateway: &Gateway, service: &ServiceName, route: &Route) -> Duration {
     let times = gateway.engine_times(service);
     let answer_ms = match route.kind {
         RouteKind::Streaming => times.first_event_ms,
         RouteKind::Idempotent | RouteKind::NonIdempotent => times.stay_ms,
     };
-    let left_ms = route.target_latency_ms as f64 - answer_ms * TIMES_LEFT;
+    let left_ms = route.target_latency_ms as f64 - answer_ms * RESPONSE_TIME_FACTOR;
     Duration::from_secs_f64(left_ms.max(0.0) / 1_000.0)
 }
 
-/// Returns the routes in force; waits a little for the first ones.
+/// Returns the current route table; after the start, waits up to `CONFIG_MAX_WAIT` for it.
 async fn first_table(gateway: &Gateway) -> Option<Arc<RouteTable>> {
     if let Some(table) = gateway.table() {
         return Some(table);
@@ -205,21 +210,21 @@
     if !gateway.settings.mechanisms.held_requests {
         return None;
     }
-    let mut news = gateway.news.subscribe();
-    let known = news.wait_for(|_| gateway.table().is_some());
-    // In vain: the caller answers without a configuration.
-    let _ = timeout(CONFIG_PATIENCE, known).await;
+    let mut changes = gateway.news.subscribe();
+    let arrival = changes.wait_for(|_| gateway.table().is_some());
+    // On a timeout, the caller refuses the request for lack of a configuration.
+    let _ = timeout(CONFIG_MAX_WAIT, arrival).await;
     gateway.table()
 }
 
-fn own(status: StatusCode, detail: &str) -> Box<Response<AnswerBody>> {
+fn boxed_response(status: StatusCode, detail: &str) -> Box<Response<AnswerBody>> {
     Box::new(local_response(status, detail))
 }
 
-/// Makes an answer of our own after which the connection is closed: its client
-/// may not have sent the whole request.
-fn last(status: StatusCode, detail: &str) -> Box<Response<AnswerBody>> {
-    let mut answer = own(status, detail);
+/// Builds a local response after which the connection is closed, since the client may not
+/// have sent its complete request.
+fn closing_response(status: StatusCode, detail: &str) -> Box<Response<AnswerBody>> {
+    let mut answer = boxed_response(status, detail);
     set_connection_close(&mut answer);
     answer
 }
@@ -230,7 +235,7 @@
     let route = table.find_route(host, head.uri.path());
     route
         .cloned()
-        .ok_or_else(|| own(StatusCode::NOT_FOUND, "no route"))
+        .ok_or_else(|| boxed_response(StatusCode::NOT_FOUND, "no route"))
 }
 
 fn find_account(
@@ -244,7 +249,7 @@
         .and_then(|v| v.to_str().ok())
         .and_then(|key| table.find_account(key));
     if terms.is_none() && table.needs_keys() && !route.public {
-        return Err(own(
+        return Err(boxed_response(
             StatusCode::UNAUTHORIZED,
             "no client account has this key",
         ));
@@ -252,10 +257,9 @@
     Ok(terms.cloned())
 }
 
-/// Says that the connection is closed after a refusal whose request has a body that
-/// is not read to its end: one that is too large, or that the client sends only
-/// once it is told to.
-fn refuse_unread(
+/// Adds `Connection: close` to a refusal whose request body is not read to its end: a body
+/// that is too large, or that the client sends only after `100 Continue`.
+fn close_if_unread(
     mut answer: Box<Response<AnswerBody>>,
     head: &Parts,
     body: &RequestBody,
@@ -268,7 +272,7 @@
     answer
 }
 
-/// Says in an answer that its connection is closed after it.
+/// Adds `Connection: close` to a response.
 pub(super) fn set_connection_close(answer: &mut Response<AnswerBody>) {
     let close = HeaderValue::from_static("close");
     answer.headers_mut().insert(header::CONNECTION, close);
@@ -282,11 +286,18 @@
     let limited = Limited::new(body, limits.max_body_bytes).collect();
     match timeout(max_wait, limited).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => {
-            Err(last(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"))
-        }
-        Ok(Err(_)) => Err(last(StatusCode::BAD_REQUEST, "the body was cut off")),
-        Err(_) => Err(last(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(closing_response(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is too large",
+        )),
+        Ok(Err(_)) => Err(closing_response(
+            StatusCode::BAD_REQUEST,
+            "the body was cut off",
+        )),
+        Err(_) => Err(closing_response(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body took too long",
+        )),
     }
 }
 
@@ -327,14 +338,14 @@
     target.map_or_else(|| uri.clone(), Uri::from)
 }
 
-/// Leaves out what concerns the client's connection, and what only the system
-/// may say.
+/// Returns the request headers without hop-by-hop headers and without those that only the
+/// system sets.
 fn forwarded_headers(mut headers: HeaderMap, names: &HeaderNames) -> HeaderMap {
     strip_connection_headers(&mut headers);
     for name in names.set_by_system() {
         headers.remove(name);
     }
-    // The body goes out whole, with its own length.
+    // The body is sent complete, and hyper sets its length.
     headers.remove(header::CONTENT_LENGTH);
     headers
 }
--- a/src/gateway/leaving_upstream.rs
+++ b/src/gateway/leaving_upstream.rs
@@ -5,20 +5,22 @@
     tokio::{io::AsyncReadExt, net::TcpStream},
 };
 
-/// How long a connection may take to come up: an upstream that takes none has ended.
+/// Timeout for opening a connection; an upstream that accepts none within it has ended.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The least time between two connections, where the upstream closes them by itself.
+/// Minimum time between two connections, for upstreams that close idle connections.
 const CONNECT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Waits until an upstream has ended that said that it leaves, and lets what comes in its
-/// place have work again. A file names no lives: without this, each rolling restart of
-/// upstreams under their ids would leave none to use.
+/// Waits until an upstream that announced that it leaves has ended, and lets its successor
+/// receive requests again.
+///
+/// A configuration file names no incarnations: without this, a rolling restart of upstreams
+/// that keep their ids would leave no usable upstream.
 pub(super) async fn watch_for_exit(gateway: Arc<Gateway>, id: UpstreamId) {
-    while let Some(address) = address_of_left(&gateway, &id) {
+    while let Some(address) = leaving_address(&gateway, &id) {
         match connect(address).await {
             Some(connection) => until_closed(connection).await,
             None => {
-                log::info!(target: "upstreams", "one that left has ended. upstream={id}");
+                log::info!(target: "upstreams", "leaving upstream has ended. upstream={id}");
                 gateway.change_directory(|directory, _| directory.mark_ended(&id));
             }
         }
@@ -26,12 +28,12 @@
     }
 }
 
-fn address_of_left(gateway: &Gateway, id: &UpstreamId) -> Option<SocketAddr> {
+fn leaving_address(gateway: &Gateway, id: &UpstreamId) -> Option<SocketAddr> {
     let directory = gateway.directory.read();
-    let is_left = directory.is_left_until_its_end(id);
+    let is_leaving = directory.is_left_until_its_end(id);
     directory
         .get(id)
-        .filter(|_| is_left)
+        .filter(|_| is_leaving)
         .map(|upstream| upstream.address)
 }
 
@@ -40,7 +42,7 @@
     connection.await.ok()?.ok()
 }
 
-/// Waits until the other side closes a connection on which nothing is asked.
+/// Waits until the upstream closes a connection on which no request is sent.
 async fn until_closed(mut connection: TcpStream) {
     let mut buf = [0; 64];
     while connection.read(&mut buf).await.is_ok_and(|read| read > 0) {}
--- a/src/gateway/listen.rs
+++ b/src/gateway/listen.rs
@@ -9,15 +9,15 @@
     tokio::net::{TcpListener, TcpStream},
 };
 
-/// How long to wait after a failed accept: descriptors may be short.
+/// Pause after a failed accept, which may be caused by a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How much of an answer of our own is taken before its client reads it, in
-/// bytes: some pieces of a large body.
-const PLAIN_BUFFER: usize = 64 * 1024;
-/// The longest rest of a connection between requests to us.
+/// Maximum size of the connection buffer for local responses, in bytes: a few chunks of a
+/// large body.
+const LOCAL_BUFFER_BYTES: usize = 64 * 1024;
+/// Idle timeout of connections to `serve_local`.
 const MAX_IDLE: Duration = Duration::from_secs(10);
 
-/// Serves clients until idle connections are closed; then no more are accepted.
+/// Serves clients until idle connections are to be closed; then stops accepting connections.
 pub async fn serve_clients(
     listener: TcpListener,
     gateway: Arc<Gateway>,
@@ -33,7 +33,7 @@
                 }
             }
             () = until_closing(&mut closing) => {
-                return serve_waiting(&listener, &gateway, &connections).await;
+                return serve_backlog(&listener, &gateway, &connections).await;
             }
         }
     }
@@ -54,16 +54,18 @@
     Ok(())
 }
 
-/// Serves the connections that wait to be accepted: the kernel resets them, with the
-/// requests on them, when the listener is closed (12 of 12 that had come while the
-/// daemon got no processor time).
-async fn serve_waiting(
+/// Serves the connections in the accept backlog.
+///
+/// Otherwise the kernel resets them, with the requests on them, when the listener is closed:
+/// 12 of 12 connections that had arrived while the daemon got no processor time were lost.
+async fn serve_backlog(
     listener: &TcpListener,
     gateway: &Arc<Gateway>,
     connections: &Arc<ClientConnections>,
 ) {
     loop {
-        // What has come is known once the event loop has looked.
+        // Connections that have arrived become visible after the event loop has polled the
+        // listener.
         tokio::task::yield_now().await;
         let mut is_last = true;
         while let Some(accepted) = listener.accept().now_or_never() {
@@ -81,7 +83,8 @@
     }
 }
 
-/// Answers the balancer's question whether this daemon takes new clients.
+/// Serves the readiness endpoint, by which a load balancer learns whether this daemon accepts
+/// new clients.
 pub async fn serve_readiness(listener: TcpListener, gateway: Arc<Gateway>) {
     serve_local(listener, move |request| {
         let is_get = request.method() == Method::GET;
@@ -94,7 +97,7 @@
     .await;
 }
 
-/// Serves answers of our own, each request's in its turn on its connection.
+/// Serves local responses, in the order of the requests of each connection.
 pub async fn serve_local<F>(
     listener: TcpListener,
     answer: impl Fn(Request<Incoming>) -> F + Send + Sync + 'static,
@@ -119,9 +122,9 @@
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(MAX_IDLE)
-                .max_buf_size(PLAIN_BUFFER)
+                .max_buf_size(LOCAL_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(stream), service);
-            // A client that goes away is no matter.
+            // An error only means that the client has gone.
             let _ = connection.await;
         });
     }
--- a/src/gateway/open_connections.rs
+++ b/src/gateway/open_connections.rs
@@ -6,7 +6,7 @@
     tokio::sync::watch,
 };
 
-/// The connections of clients.
+/// The open client connections.
 #[derive(Debug)]
 pub struct ClientConnections {
     open: AtomicUsize,
@@ -24,28 +24,28 @@
 }
 
 impl ClientConnections {
-    /// Closes connections once they are idle.
+    /// Requests that each connection be closed once it is idle.
     pub fn close_idle(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Returns what tells when idle connections are to be closed.
+    /// Returns a receiver that becomes true when idle connections are to be closed.
     pub(super) fn closing(&self) -> watch::Receiver<bool> {
         self.closing.subscribe()
     }
 
-    /// Returns how many are open.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 }
 
-/// Counts a connection from the moment at which it was accepted: a stop waits for
-/// those, too, of which nothing was read yet.
+/// Counts an accepted connection until it is dropped. A stopping daemon also waits for
+/// connections on which nothing has been read yet.
 pub(super) struct OpenConnection(Arc<ClientConnections>);
 
 impl OpenConnection {
-    /// Begins with one that was just accepted.
+    /// Counts a connection that was just accepted.
     pub(super) fn new(connections: &Arc<ClientConnections>) -> Self {
         connections.open.fetch_add(1, Ordering::Relaxed);
         Self(connections.clone())
@@ -60,6 +60,6 @@
 
 /// Waits until idle connections are to be closed.
 pub(super) async fn until_closing(closing: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the daemon: its end is a stop, too.
+    // The sender lives as long as the daemon, so an error also means that the daemon stops.
     let _ = closing.wait_for(|closing| *closing).await;
 }
--- a/src/gateway/open_request.rs
+++ b/src/gateway/open_request.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AnswerBody, RequestActivityGuard, Gateway},
+    super::{AnswerBody, Gateway, RequestActivityGuard},
     crate::clock::BootInstant,
     bytes::Bytes,
     http::{HeaderValue, Response},
@@ -13,39 +13,43 @@
     },
 };
 
-/// Counts a request for as long as it is in flight, and tells of one whose
-/// connection ended first.
+/// Counts a request as in flight until it is dropped, and logs requests whose connection
+/// closed before the response was complete.
 pub(super) struct OpenRequest {
     gateway: Arc<Gateway>,
     id: Option<HeaderValue>,
-    /// When it came.
+    /// When the request head arrived.
     pub started: BootInstant,
     has_ended: bool,
-    _busy: RequestActivityGuard,
+    _activity: RequestActivityGuard,
 }
 
 impl OpenRequest {
-    /// Begins with a request that has just come.
-    pub fn start(gateway: &Arc<Gateway>, id: Option<HeaderValue>, busy: RequestActivityGuard) -> Self {
+    /// Counts a request whose head has just arrived.
+    pub fn start(
+        gateway: &Arc<Gateway>,
+        id: Option<HeaderValue>,
+        busy: RequestActivityGuard,
+    ) -> Self {
         gateway.open_requests.fetch_add(1, Ordering::Relaxed);
         Self {
             gateway: gateway.clone(),
             id,
             started: BootInstant::now(),
             has_ended: false,
-            _busy: busy,
+            _activity: busy,
         }
     }
 
-    /// Returns its id for the log.
+    /// Returns the id of the attempt for the log, or `-`.
     pub fn id_text(&self) -> &str {
         let id = self.id.as_ref().and_then(|v| v.to_str().ok());
         id.unwrap_or("-")
     }
 
-    /// Ties the request to its answer's body, until its last frame was taken.
-    pub fn until_end_of(mut self, answer: Response<AnswerBody>) -> Response<AnswerBody> {
-        // An empty body is not asked for frames.
+    /// Ties the request to the body of its response, until the last frame has been taken.
+    pub fn attach_to(mut self, answer: Response<AnswerBody>) -> Response<AnswerBody> {
+        // hyper does not poll an empty body.
         self.has_ended = answer.body().is_end_stream();
         answer.map(|body| OpenBody { body, open: self }.boxed_unsync())
     }
@@ -57,7 +61,7 @@
         if !self.has_ended {
             log::info!(
                 target: "client",
-                "no whole answer: the connection ended. request={} after_ms={} stopping={}",
+                "connection closed before the response was complete. request={} after_ms={} stopping={}",
                 self.id_text(),
                 self.started.elapsed().as_millis(),
                 self.gateway.is_stopping()
@@ -66,7 +70,7 @@
     }
 }
 
-/// The body of a request's answer.
+/// The body of a response, which keeps its request in flight.
 struct OpenBody {
     body: AnswerBody,
     open: OpenRequest,
--- a/src/gateway/request_context.rs
+++ b/src/gateway/request_context.rs
@@ -14,45 +14,46 @@
     },
 };
 
-/// A request that was let in.
+/// An admitted request.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// The id of the client's attempt.
+    /// The id of the client's attempt, if the client sent one.
     pub attempt_id: Option<HeaderValue>,
-    /// The route that it takes.
+    /// The route that the request matched.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service that the route picked for the request.
     pub service: ServiceName,
-    /// Whose it is; none on public routes.
+    /// The client account of the request's key; `None` if no account is required and none matched.
     pub account: Option<ClientAccount>,
-    /// Its rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query, unchanged.
     pub target: Uri,
-    /// The headers that travel along.
+    /// The headers that are forwarded to the upstream.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What it is known by, once that was asked for.
+    /// The fingerprint, once `fingerprint` has computed it.
     pub cached_fingerprint: OnceLock<RequestFingerprint>,
-    /// Its prompt.
+    /// Prompt and response sizes from the request headers.
     pub prompt: Prompt,
-    /// The last event that the client has.
+    /// Id of the last event that the client already has.
     pub last_event_id: Option<u64>,
-    /// Where it is to go first, if a hub has said so.
-    pub placed: Mutex<Option<Placement>>,
-    /// When it was sent to an upstream last.
+    /// The placement of the first attempt, if a hub decided on it with the admission.
+    pub first_placement: Mutex<Option<Placement>>,
+    /// When the request was last sent to an upstream.
     pub sent_at: Mutex<Option<BootInstant>>,
-    /// When its head arrived.
+    /// When the request head arrived.
     pub started: BootInstant,
-    /// When it is given up: the client's deadline or the route's timeout.
+    /// When the request is given up: the client's deadline or the route's timeout, whichever is
+    /// earlier.
     pub deadline: BootInstant,
 }
 
 impl RequestContext {
-    /// Returns what the request is known by when it comes again.
+    /// Returns the fingerprint, which is the same when the client retries the request.
     pub fn fingerprint(&self) -> RequestFingerprint {
         *self.cached_fingerprint.get_or_init(|| {
             let method = self.method.as_str();
@@ -61,18 +62,18 @@
         })
     }
 
-    /// Returns the time left.
+    /// Returns the time left until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline.left()
     }
 
-    /// Returns the attempt's id as text, for logs.
+    /// Returns the id of the attempt for the log, or `-`.
     pub fn id_text(&self) -> &str {
         let id = self.attempt_id.as_ref();
         id.and_then(|v| v.to_str().ok()).unwrap_or("-")
     }
 
-    /// Returns the time within which an answer is wanted.
+    /// Returns the target latency of the route.
     pub fn target_latency(&self) -> Duration {
         Duration::from_millis(self.route.target_latency_ms)
     }
--- a/src/gateway/request_placement.rs
+++ b/src/gateway/request_placement.rs
@@ -84,7 +84,7 @@
                 if let Some(account) = limited {
                     self.standalone_quotas.lock().record_decided(&account.name);
                 }
-                *context.placed.lock() = heard.and_then(|h| self.asked_placement(&h, false));
+                *context.first_placement.lock() = heard.and_then(|h| self.asked_placement(&h, false));
                 Ok(())
             }
         }
@@ -154,7 +154,7 @@
     /// Finds where to send a request next: by a hub, or by itself where this
     /// daemon is one or none answers. `tried` upstreams are left out.
     pub async fn place(&self, context: &RequestContext, tried: &[UpstreamId]) -> Option<Placement> {
-        if let Some(placement) = context.placed.lock().take() {
+        if let Some(placement) = context.first_placement.lock().take() {
             return Some(placement);
         }
         if !self.is_hub() {
@@ -240,7 +240,12 @@
     }
 
     /// Returns which ready upstreams a request must not go to; nothing, if it may go to any.
-    fn barred(&self, request: &PlacementRequest, ready: &ReadyUpstreams, denials: usize) -> Vec<bool> {
+    fn barred(
+        &self,
+        request: &PlacementRequest,
+        ready: &ReadyUpstreams,
+        denials: usize,
+    ) -> Vec<bool> {
         let mut barred = self.barred_by_rollout(request, ready).unwrap_or_default();
         let limited = self.barred_by_limits(denials);
         for id in limited.iter().chain(&request.in_cooldown) {
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -6,23 +6,25 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How long opening a connection to an upstream may take.
+/// Timeout for opening a connection to an upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A request that may run once only goes out on a connection that has rested
-/// less than this: one that rested longer may just be closing.
-const FRESH: Duration = Duration::from_secs(2);
-const ANY_REST: Duration = Duration::from_secs(60);
+/// Maximum idle time of a pooled connection for a request that may run only once. The
+/// upstream may be closing a connection that has been idle for longer.
+const MAX_IDLE_RUN_ONCE: Duration = Duration::from_secs(2);
+/// Maximum idle time of a pooled connection for a repeatable request.
+const MAX_IDLE_REPEATABLE: Duration = Duration::from_secs(60);
 
-/// Counts a request at an upstream for as long as it is there.
+/// Counts a request in the load of an upstream until it is dropped.
 #[derive(Debug)]
 pub struct ActiveSend {
     gateway: Arc<Gateway>,
     upstream: Arc<Upstream>,
+    /// Prompt tokens that still count as waiting; 0 once the upstream has begun to respond.
     waiting_tokens: u64,
-    /// The prompt tokens that it reads for this request.
+    /// Prompt tokens that the upstream has to prefill for this request.
     unread_tokens: u64,
-    /// Whether nothing else is known to wait there, and this is the first try.
-    is_alone: bool,
+    /// This is the first attempt, and no other request was known to wait at the upstream.
+    is_unqueued: bool,
     started: BootInstant,
 }
 
@@ -40,12 +42,12 @@
             upstream: placement.upstream.clone(),
             waiting_tokens: unread_tokens,
             unread_tokens,
-            is_alone: placement.waiting_tokens == 0 && !placement.is_retry,
+            is_unqueued: placement.waiting_tokens == 0 && !placement.is_retry,
             started: BootInstant::now(),
         }
     }
 
-    /// Notes that the upstream sent something.
+    /// Records that the upstream sent part of the response.
     pub fn progress(&mut self) {
         let now_ms = self.gateway.steady_ms();
         let mut loads = self.gateway.loads.lock();
@@ -58,9 +60,9 @@
         }
     }
 
-    /// Notes that the upstream sent the request's first event.
+    /// Records the first event of the response, unless other requests may have delayed it.
     pub fn first_event(&self) {
-        if !self.is_alone {
+        if !self.is_unqueued {
             return;
         }
         let event = FirstEvent {
@@ -71,13 +73,13 @@
             .record_first_event(&self.upstream.service, event);
     }
 
-    /// Notes that the request ended whole.
+    /// Records that the request was answered completely.
     pub fn record_completed(&self) {
         let service = &self.upstream.service;
         self.gateway.record_stay(service, self.age_ms());
     }
 
-    /// Returns how long ago the request was sent, in milliseconds.
+    /// Returns the time since the start of the attempt, in milliseconds.
     pub fn age_ms(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1_000.0
     }
@@ -94,22 +96,22 @@
     }
 }
 
-/// A request that is out at an upstream.
+/// A request that an upstream has started to answer.
 #[derive(Debug)]
 pub struct Sent {
-    /// The upstream.
+    /// The upstream that answers.
     pub upstream: Arc<Upstream>,
-    /// The answer, its body still to be read.
+    /// The response, whose body is still to be read.
     pub answer: OpenAnswer,
-    /// Counts the request at the upstream.
+    /// Counts the request in the load of the upstream.
     pub active: ActiveSend,
 }
 
-/// Sends a request to an upstream and waits for the answer's head.
+/// Sends a request to an upstream and waits for the head of the response.
 ///
 /// # Errors
 ///
-/// Returns what is known of the request's run.
+/// Returns how the send failed, and with it whether the request may have run.
 pub async fn send(
     gateway: &Arc<Gateway>,
     context: &RequestContext,
@@ -117,19 +119,19 @@
     last_event_id: Option<u64>,
 ) -> Result<Sent, SendFailure> {
     let upstream = &placement.upstream;
-    // Where an earlier build placed it, which knows of no limits.
+    // A hub of an earlier build, which does not know limits, places without a permit.
     if !placement.has_permit && gateway.take_permit(&upstream.id, false).await.is_err() {
-        let cause = "the upstream's limit is used up";
+        let cause = "the upstream's rate limit is used up";
         return Err(SendFailure::NotSent(cause.into()));
     }
     let mut active = ActiveSend::start(gateway, placement);
     let connection = connect(gateway, context, placement).await?;
-    // What is true now counts, not what was when the upstream was chosen.
+    // The state of the upstream may have changed since it was chosen.
     if !gateway.directory.read().is_ready(&upstream.id) {
         return Err(SendFailure::NotSent("the upstream is leaving".into()));
     }
     if gateway.is_in_cooldown(&upstream.id) {
-        return Err(SendFailure::NotSent("the upstream rests".into()));
+        return Err(SendFailure::NotSent("the upstream is in cooldown".into()));
     }
     *context.sent_at.lock() = Some(BootInstant::now());
     gateway.record_cached(&context.prompt, upstream);
@@ -156,8 +158,8 @@
     let upstream = &placement.upstream;
     let max_idle = match context.route.is_repeatable() {
         _ if placement.is_retry => Duration::ZERO,
-        true => ANY_REST,
-        false => FRESH,
+        true => MAX_IDLE_REPEATABLE,
+        false => MAX_IDLE_RUN_ONCE,
     };
     if let Some(connection) = gateway.pool.take(&upstream.id, max_idle) {
         return Ok(connection);
@@ -201,20 +203,20 @@
     request
 }
 
-/// Checks that an answer belongs to the request, and is of the upstream it was meant for.
+/// Checks that a response belongs to the request and comes from the intended upstream.
 fn check_owner(
     gateway: &Gateway,
     context: &RequestContext,
     answer: &OpenAnswer,
 ) -> Result<(), SendFailure> {
     let headers = &answer.head.headers;
-    let other = context.attempt_id.is_some()
+    let is_foreign = context.attempt_id.is_some()
         && headers
             .get(&gateway.names.attempt_id)
             .is_some_and(|id| Some(id) != context.attempt_id.as_ref());
-    if other {
+    if is_foreign {
         return Err(SendFailure::MayHaveRun(
-            "an answer of another request".into(),
+            "the response belongs to another request".into(),
         ));
     }
     match answer.head.status {
@@ -223,7 +225,7 @@
     }
 }
 
-/// Checks that the upstream ran the request.
+/// Checks that the upstream did not refuse the request without running it.
 fn check_run(gateway: &Gateway, answer: &OpenAnswer) -> Result<(), SendFailure> {
     match answer.head.headers.contains_key(&gateway.names.not_run) {
         true => Err(SendFailure::Refused(answer.head.status.as_u16())),
--- a/src/gateway/send_outcomes.rs
+++ b/src/gateway/send_outcomes.rs
@@ -4,16 +4,16 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// What is learned of upstreams from how requests fare there.
+/// Records the outcomes of sends, from which upstreams are rated.
 impl Gateway {
-    /// Notes that an upstream reads a request's prompt.
+    /// Records that an upstream will have a request's prompt in its prefix cache.
     pub fn record_cached(&self, prompt: &Prompt, upstream: &Upstream) {
         let parts = prompt.parts.iter().map(|p| p.chain);
         let now_ms = self.steady_ms();
         self.caches.lock().record(&upstream.id, parts, now_ms);
     }
 
-    /// Notes whether a connection to an upstream came up.
+    /// Records whether a connection to an upstream could be opened.
     pub fn record_reach(&self, upstream: &Upstream, reached: bool) {
         let now_ms = self.steady_ms();
         if reached {
@@ -31,8 +31,9 @@
             .record_unreachable(&upstream.domain, &upstream.id, now_ms);
     }
 
-    /// Notes how a request ended at an upstream. One that asked for rest said itself until
-    /// when it takes none: as a failure, that would keep it out for far longer.
+    /// Records whether a request failed at an upstream. Failures of an upstream in cooldown
+    /// don't count: it has named itself the time until which it takes no requests, and the
+    /// failure rate would exclude it for far longer.
     pub fn record_outcome(&self, upstream: &UpstreamId, failed: bool) {
         if failed && self.is_in_cooldown(upstream) {
             return;
@@ -48,7 +49,7 @@
         });
     }
 
-    /// Notes that another upstream has the address of one.
+    /// Records that another server answers at an upstream's address.
     fn record_misdirected(&self, upstream: &UpstreamId) {
         let now_ms = self.steady_ms();
         self.loads.lock().entry(upstream).record_misdirected(now_ms);
@@ -57,7 +58,7 @@
         });
     }
 
-    /// Notes that a send failed.
+    /// Records that a send failed.
     pub fn record_send_failure(
         self: &Arc<Self>,
         context: &RequestContext,
@@ -68,7 +69,7 @@
             let fingerprint = context.fingerprint();
             log::info!(
                 target: "crash",
-                "cut off. request={} fingerprint={fingerprint} upstream={}",
+                "connection closed by the upstream while the request ran. request={} fingerprint={fingerprint} upstream={}",
                 context.id_text(),
                 upstream.id
             );
@@ -89,7 +90,7 @@
         }
         log::warn!(
             target: "send",
-            "failed. request={} upstream={} domain={} cause=\"{failure}\"",
+            "send failed. request={} upstream={} domain={} cause=\"{failure}\"",
             context.id_text(),
             upstream.id,
             upstream.domain
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,5 +1,7 @@
 use {
-    super::{Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, leaving_upstream::watch_for_exit},
+    super::{
+        Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, leaving_upstream::watch_for_exit,
+    },
     crate::{names::UpstreamId, policy::RetryAfter, upstreams::Upstream},
     http::{HeaderMap, StatusCode, header, response::Parts},
     std::sync::Arc,
--- a/tests/gateway/logs.rs
+++ b/tests/gateway/logs.rs
@@ -129,7 +129,7 @@
     client.ask_and_leave("a1", "/stream/resume/x").await;
     let text = || std::fs::read_to_string(&path).unwrap();
     eventually("told", async || {
-        text().contains("no whole answer: the connection ended. request=a1")
+        text().contains("connection closed before the response was complete. request=a1")
     })
     .await;
     daemon.signal(Signal::SIGTERM);
