--- a/src/gateway/engines.rs
+++ b/src/gateway/engines.rs
@@ -3,9 +3,9 @@
     crate::{cluster::MemberEvent, names::ServiceName, policy::*},
 };
 
-/// What is learned of the engines behind a service, and how busy they are.
+/// Speed and load of the engines of a service.
 impl Gateway {
-    /// Returns what this daemon learned of how fast engines read, by service.
+    /// Returns the prefill speeds that this daemon has measured, by service.
     pub fn own_reading_speeds(&self) -> Vec<(ServiceName, ReadingSpeed)> {
         let engines = self.engines.lock();
         let speeds = engines.iter();
@@ -14,7 +14,7 @@
             .collect()
     }
 
-    /// Returns how fast a service's engines read, by what all daemons learned.
+    /// Returns the prefill speed of a service's engines, merged from all daemons' measurements.
     pub fn reading_speed(&self, service: &ServiceName) -> Option<ReadingSpeed> {
         if !self.settings.mechanisms.learned_speed {
             return Some(ReadingSpeed {
@@ -25,11 +25,11 @@
         let engines = self.engines.lock();
         let own = engines.get(service).and_then(EngineModel::reading_speed);
         drop(engines);
-        let told = self.peers.lock().reading_speeds(service.as_str());
-        ReadingSpeed::merged(own.into_iter().chain(told))
+        let others = self.peers.lock().reading_speeds(service.as_str());
+        ReadingSpeed::merged(own.into_iter().chain(others))
     }
 
-    /// Returns the times to reckon with at a service's upstreams.
+    /// Returns the expected times at a service's upstreams: measured, or else configured guesses.
     pub fn engine_times(&self, service: &ServiceName) -> EngineTimes {
         let speed = self.reading_speed(service);
         let guess = &self.settings.first_guess;
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Notes the first event of an answer that nothing waited before.
+    /// Records the time to the first event of a response that waited for no other request, and
+    /// reports it to other daemons.
     pub(super) fn record_first_event(&self, service: &ServiceName, event: FirstEvent) {
         self.learn_first_event(service, event);
         self.record_event(|| MemberEvent::FirstEvent {
@@ -54,14 +55,15 @@
         });
     }
 
-    /// Learns from the first event of an answer, here or at another daemon.
+    /// Updates the model of a service with a first event observed here or at another daemon.
     pub fn learn_first_event(&self, service: &ServiceName, event: FirstEvent) {
         let mut engines = self.engines.lock();
         let model = engines.entry(service.clone()).or_default();
         model.record_first_event(event);
     }
 
-    /// Notes how long a request stayed that ended whole, in milliseconds.
+    /// Records how long a completed request took at its upstream, in milliseconds, and reports
+    /// it to other daemons.
     pub(super) fn record_stay(&self, service: &ServiceName, stay_ms: f64) {
         self.learn_stay(service, stay_ms);
         self.record_event(|| MemberEvent::Stayed {
@@ -70,14 +72,15 @@
         });
     }
 
-    /// Learns from how long a request stayed, here or at another daemon.
+    /// Updates the model of a service with the duration of a request, observed here or at
+    /// another daemon.
     pub fn learn_stay(&self, service: &ServiceName, stay_ms: f64) {
         let mut engines = self.engines.lock();
         let model = engines.entry(service.clone()).or_default();
         model.record_stay(stay_ms);
     }
 
-    /// Returns how many requests all daemons have at a service's upstreams.
+    /// Returns how many requests of all daemons run at a service's upstreams.
     pub fn running_at(&self, service: &ServiceName) -> u32 {
         let loads = self.all_loads();
         let directory = self.directory.read();
--- a/src/gateway/header_names.rs
+++ b/src/gateway/header_names.rs
@@ -1,53 +1,53 @@
 use http::HeaderName;
 
-/// The names of the headers by which clients, daemons and upstreams tell each
-/// other about a request. The product has its own; an adapter may bring others.
+/// The names of the headers by which clients, daemons and upstreams exchange information about
+/// a request. The product has defaults; an adapter may supply other names.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
     /// The id of a client's attempt.
     pub attempt_id: HeaderName,
-    /// The milliseconds that the sender will wait.
+    /// How long the sender will wait for the response, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// The client's key.
+    /// The client's API key.
     pub api_key: HeaderName,
-    /// The client account that the key belongs to; set for upstreams.
+    /// The client account that the API key belongs to; set for upstreams.
     pub account: HeaderName,
-    /// The prompt's parts in order, as `id:tokens` joined by commas.
+    /// The prompt's parts in order, as a comma-separated list of `id:tokens`.
     pub prompt_parts: HeaderName,
-    /// The prompt's tokens and the most tokens of the answer.
+    /// The number of prompt tokens and the maximum number of output tokens, separated by a comma.
     pub token_count: HeaderName,
-    /// The last event that the receiver has.
+    /// The id of the last event that the sender of the header already has.
     pub last_event_id: HeaderName,
     /// Set by an upstream that did not run the request.
     pub not_run: HeaderName,
-    /// The life of an upstream that shall run the request.
+    /// The id of the upstream incarnation that is meant to run the request.
     pub expected_upstream: HeaderName,
-    /// The rank of the request at an upstream; 0 is first.
+    /// The priority of the request at an upstream; 0 is the most urgent.
     pub priority: HeaderName,
-    /// The upstream's signature of its answer.
+    /// The upstream's signature of its response.
     pub signature: HeaderName,
-    /// The weights that an upstream shall have that runs the request.
+    /// The model weights that the upstream must have loaded to run the request.
     pub expected_weights: HeaderName,
-    /// For how long an upstream keeps a request's memory after its run.
+    /// How long an upstream keeps a request's KV cache after its run.
     pub keep_memory: HeaderName,
-    /// A reservation of room at an upstream that the request uses.
+    /// The reservation of capacity at an upstream that the request uses.
     pub reservation: HeaderName,
-    /// Another upstream that a run's memory is copied to as it grows.
+    /// Another upstream to which the KV cache of a run is copied as it grows.
     pub backup_to: HeaderName,
-    /// The copy of a run's memory that a request goes on from.
+    /// The copy of a run's KV cache from which the request continues.
     pub continue_from: HeaderName,
-    /// Another upstream that a prompt's memory is fetched from.
+    /// Another upstream from which the KV cache of the prompt is fetched.
     pub fetch_from: HeaderName,
-    /// How many requests a second an upstream takes from all daemons together, named in
-    /// its answers for as long as that is so.
+    /// The upstream's rate limit, in requests per second from all daemons together. An upstream
+    /// sends it in its responses for as long as the limit holds.
     pub upstream_limit: HeaderName,
-    /// Set by an upstream that leaves, in each of its answers.
+    /// Set by a leaving upstream in each of its responses.
     pub leaving: HeaderName,
 }
 
 impl HeaderNames {
-    /// Returns the headers that only the system sets: one that a client sent
-    /// never reaches an upstream.
+    /// Returns the headers that only the system sets. They are removed from client requests
+    /// and never reach an upstream.
     pub fn set_by_system(&self) -> [&HeaderName; 11] {
         [
             &self.api_key,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -1,17 +1,17 @@
 use {crate::upstreams::Upstream, std::sync::Arc};
 
-/// Where a request is sent.
+/// The upstream chosen for an attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// The upstream.
+    /// The chosen upstream.
     pub upstream: Arc<Upstream>,
-    /// The prompt tokens that it is expected to read.
+    /// Prompt tokens that the upstream is expected to prefill for the request.
     pub unread_tokens: u64,
-    /// The prompt tokens of other requests that it is known to read first.
+    /// Prompt tokens of other requests that are known to be prefilled first.
     pub waiting_tokens: u64,
-    /// Whether it is a try after one that failed: what broke that one may have
-    /// broken resting connections, too.
+    /// The attempt follows a failed one. It uses a new connection, since the fault may have
+    /// broken pooled connections as well.
     pub is_retry: bool,
-    /// Whether it has a permit, where the upstream names a limit.
+    /// A permit has been granted, or none is needed because the upstream names no limit.
     pub has_permit: bool,
 }
--- a/src/gateway/prompt.rs
+++ b/src/gateway/prompt.rs
@@ -3,28 +3,28 @@
     rapidhash::v3::rapidhash_v3,
 };
 
-/// A part of a prompt that other prompts may share.
+/// A part of a prompt that other prompts may start with as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The hash of this part and all before it.
+    /// The hash of this part and all parts before it.
     pub chain: u64,
-    /// Its tokens.
+    /// Number of tokens in this part.
     pub tokens: u64,
 }
 
-/// What a request says of its prompt and answer.
+/// Sizes and parts of a request's prompt and response, as the request's headers name them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The parts in order; the last one is the request's own.
+    /// The parts in order; the last one belongs to this request alone.
     pub parts: Vec<PromptPart>,
-    /// The prompt's tokens; none, if the request names none.
+    /// Number of prompt tokens, if the request names it.
     pub tokens_in: Option<u64>,
-    /// The most tokens of the answer.
+    /// Maximum number of output tokens.
     pub tokens_out: u64,
 }
 
 impl Prompt {
-    /// Reads the headers of a request; what can't be read counts as not said.
+    /// Reads the headers of a request. Invalid values count as absent.
     pub fn from_headers(headers: &HeaderMap, names: &HeaderNames) -> Self {
         let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
         let counts = text(&names.token_count).unwrap_or_default();
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes over what another daemon says of its request.
+    /// Converts another daemon's query for a placement.
     pub fn from_query(place: &PlacementQuery) -> Self {
         let parts = place.parts.iter();
         Self {
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Returns all tokens, in and out, if the request names them.
+    /// Returns the number of prompt and output tokens together, if the request names it.
     pub fn tokens(&self) -> Option<u64> {
         self.tokens_in.map(|tokens| tokens + self.tokens_out)
     }
 
-    /// Returns the hash of the last part that other requests may share.
+    /// Returns the hash of the last part that other requests may share, with all before it.
     pub fn shared_chain(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2)?;
         Some(self.parts[shared].chain)
     }
 
-    /// Returns how many tokens are to be read where so many of the first parts are
-    /// at hand.
+    /// Returns the number of prompt tokens that an upstream has to prefill if it has the first
+    /// `cached_parts` parts in its prefix cache.
     pub fn unread_tokens(&self, cached_parts: usize) -> u64 {
         let cached = self.parts.iter().take(cached_parts);
         let cached: u64 = cached.map(|p| p.tokens).sum();
@@ -85,7 +85,8 @@
     parts
 }
 
-/// The same on every daemon, so that all agree on a chain's home.
+/// Hashes a part onto a chain. The hash has to be the same on every daemon, so that all choose
+/// the same home upstream for a chain.
 fn extend_chain(chain: u64, id: &str) -> u64 {
     let mut bytes = chain.to_le_bytes().to_vec();
     bytes.extend_from_slice(id.as_bytes());
--- a/src/gateway/request_placement.rs
+++ b/src/gateway/request_placement.rs
@@ -10,43 +10,45 @@
     std::time::Duration,
 };
 
-/// How many upstreams that a daemon can't reach, or that want nothing from it, it names to
-/// a hub.
+/// Maximum number of upstreams that a query to a hub names as unreachable from this daemon or
+/// in cooldown for it.
 const MAX_AVOIDED: usize = 8;
-/// When a request may come back that no hub answered for, and that its daemon
-/// can't let in by itself.
-const ALONE_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// `Retry-After` of a request that the daemon can't admit by its standalone quota while no hub
+/// answers.
+const STANDALONE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What has to be known of a request to place it.
+/// The properties of a request by which it is placed.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// The service.
+    /// The service that runs the request.
     pub service: ServiceName,
-    /// Within how long an answer is wanted, in milliseconds.
+    /// Target latency, in milliseconds.
     pub target_ms: f64,
-    /// Its prompt.
+    /// Prompt and output sizes, and the parts of the prompt.
     pub prompt: Prompt,
-    /// Upstreams that were tried: not again.
+    /// Upstreams that were already tried and are excluded.
     pub tried: Vec<UpstreamId>,
-    /// Upstreams that its daemon can't reach now.
+    /// Upstreams that the daemon of the request can't reach now. They are avoided as long as
+    /// there are others.
     pub avoided: Vec<UpstreamId>,
-    /// Upstreams that want nothing from its daemon now: none of them, whatever else there
-    /// is.
+    /// Upstreams in cooldown for the daemon of the request. They are excluded, even if no
+    /// other upstream is left.
     pub in_cooldown: Vec<UpstreamId>,
-    /// The failure domain of its daemon.
+    /// The failure domain of the daemon of the request.
     pub domain: FailureDomain,
-    /// By what it is placed in place of its prompt, so that it runs apart from others.
+    /// The key that selects the home upstream in place of the prompt, so that a suspected
+    /// request runs apart from others.
     pub apart_by: Option<u64>,
 }
 
-/// Where requests are sent, and what is learned from how they fare.
+/// Admits requests and chooses their upstreams.
 impl Gateway {
-    /// Lets a request in that costs a client account some units, and finds its
-    /// first place with the same question where a hub is asked.
+    /// Admits a request at the cost of some quota units. A daemon that is not a hub gets the
+    /// first placement with the same query to a hub.
     ///
     /// # Errors
     ///
-    /// Returns after how long it would be let in.
+    /// Returns the time after which the request would be admitted.
     pub async fn admit_and_place(
         &self,
         context: &RequestContext,
@@ -71,10 +73,10 @@
             cost,
             max_wait_ms: max_wait.as_millis() as u32,
         });
-        let place = self.asked_place(context, &[]);
+        let place = self.placement_query(context, &[]);
         let request = context.id_text();
-        let heard = self.hub_client.query(self, request, quota, place).await;
-        match heard.as_ref().map(|heard| &heard.decision) {
+        let received = self.hub_client.query(self, request, quota, place).await;
+        match received.as_ref().map(|received| &received.decision) {
             Some(HubDecision::Refused { wait_ms }) => Err(Duration::from_millis(*wait_ms)),
             Some(HubDecision::Unknown | HubDecision::Held) | None => match limited {
                 Some(account) => self.admit_standalone(account, cost),
@@ -84,7 +86,8 @@
                 if let Some(account) = limited {
                     self.standalone_quotas.lock().record_decided(&account.name);
                 }
-                *context.first_placement.lock() = heard.and_then(|h| self.asked_placement(&h, false));
+                *context.first_placement.lock() =
+                    received.and_then(|h| self.placement_from(&h, false));
                 Ok(())
             }
         }
@@ -93,16 +96,16 @@
     fn admit_standalone(&self, account: &AccountTerms, cost: f64) -> Result<(), Duration> {
         let now_ms = self.steady_ms();
         let limit = self.quotas.lock().limit_of(account);
-        let told = self.peers.lock().received_quota(&account.name);
+        let hub_quota = self.peers.lock().received_quota(&account.name);
         let daemons = self.daemons();
         let mut standalone = self.standalone_quotas.lock();
-        match standalone.admit(&account.name, cost, told, daemons, &limit, now_ms) {
+        match standalone.admit(&account.name, cost, hub_quota, daemons, &limit, now_ms) {
             true => Ok(()),
-            false => Err(ALONE_RETRY_AFTER),
+            false => Err(STANDALONE_RETRY_AFTER),
         }
     }
 
-    fn asked_place(&self, context: &RequestContext, tried: &[UpstreamId]) -> PlacementQuery {
+    fn placement_query(&self, context: &RequestContext, tried: &[UpstreamId]) -> PlacementQuery {
         let now_ms = self.steady_ms();
         let in_cooldown = self.in_cooldown().into_iter();
         let loads = self.loads.lock();
@@ -124,14 +127,14 @@
         }
     }
 
-    /// Returns the placement that a hub decided on, if its upstream is known and
-    /// ready here, too, and takes requests from this daemon.
-    fn asked_placement(&self, heard: &ReceivedDecision, is_retry: bool) -> Option<Placement> {
+    /// Returns the placement of a hub's decision, if its upstream is also known and ready
+    /// here, and not in cooldown for this daemon.
+    fn placement_from(&self, received: &ReceivedDecision, is_retry: bool) -> Option<Placement> {
         let HubDecision::Placed {
             upstream,
             unread_tokens,
             waiting_tokens,
-        } = &heard.decision
+        } = &received.decision
         else {
             return None;
         };
@@ -147,22 +150,22 @@
             unread_tokens: *unread_tokens,
             waiting_tokens: *waiting_tokens,
             is_retry,
-            has_permit: heard.has_permit,
+            has_permit: received.has_permit,
         })
     }
 
-    /// Finds where to send a request next: by a hub, or by itself where this
-    /// daemon is one or none answers. `tried` upstreams are left out.
+    /// Finds the upstream for the next attempt. A hub decides; this daemon decides itself if
+    /// it is a hub or no hub answers. Upstreams in `tried` are left out.
     pub async fn place(&self, context: &RequestContext, tried: &[UpstreamId]) -> Option<Placement> {
         if let Some(placement) = context.first_placement.lock().take() {
             return Some(placement);
         }
         if !self.is_hub() {
-            let place = self.asked_place(context, tried);
+            let place = self.placement_query(context, tried);
             let answer = self.hub_client.query(self, context.id_text(), None, place);
-            let heard = answer.await;
+            let received = answer.await;
             let is_retry = !tried.is_empty();
-            let placement = heard.and_then(|h| self.asked_placement(&h, is_retry));
+            let placement = received.and_then(|h| self.placement_from(&h, is_retry));
             if placement.is_some() {
                 return placement;
             }
@@ -180,12 +183,12 @@
         self.choose_permitted(&request, context.id_text()).await
     }
 
-    /// Chooses an upstream by what this daemon knows.
+    /// Chooses an upstream by the state that this daemon knows.
     pub fn choose(&self, request: &PlacementRequest, id: &str) -> Option<Placement> {
         self.choose_after(request, id, 0)
     }
 
-    /// Chooses an upstream after a permit was denied for some.
+    /// Chooses an upstream after permits for this request were denied `denials` times.
     pub(super) fn choose_after(
         &self,
         request: &PlacementRequest,
@@ -193,11 +196,11 @@
         denials: usize,
     ) -> Option<Placement> {
         let ready = self.directory.read().ready_list(&request.service);
-        let barred = self.barred(request, &ready, denials);
-        let home = self.home_of(request, &ready, &barred);
+        let excluded = self.excluded(request, &ready, denials);
+        let home = self.home_of(request, &ready, &excluded);
         let mut candidates = self.candidates(request, &ready, home);
-        for (candidate, is_barred) in candidates.iter_mut().zip(&barred) {
-            candidate.tried |= is_barred;
+        for (candidate, is_excluded) in candidates.iter_mut().zip(&excluded) {
+            candidate.tried |= is_excluded;
         }
         let times = self.engine_times(&request.service);
         let mut rng = self.rng.lock();
@@ -205,7 +208,7 @@
         drop(rng);
         let is_retry = !request.tried.is_empty();
         if !is_retry && denials == 0 {
-            // What finds no upstream is demand, too.
+            // A request that finds no upstream also counts as demand.
             let unread = chosen.map(|index| candidates[index].unread_tokens);
             let all_tokens = request.prompt.tokens();
             self.record_demand(&request.service, unread.or(all_tokens).unwrap_or(0));
@@ -222,7 +225,7 @@
         let upstream = ready.upstreams[chosen].clone();
         log::info!(
             target: "place",
-            "placed. request={id} service={} upstream={} of={} home={} unread={unread_tokens} waiting={waiting_tokens} active={active} failure_rate={failure_rate:.2} avoided={avoided} directory={} loads_age_ms={}",
+            "request placed. request={id} service={} upstream={} of={} home={} unread={unread_tokens} waiting={waiting_tokens} active={active} failure_rate={failure_rate:.2} avoided={avoided} directory={} loads_age_ms={}",
             request.service,
             upstream.id,
             ready.upstreams.len(),
@@ -239,26 +242,26 @@
         })
     }
 
-    /// Returns which ready upstreams a request must not go to; nothing, if it may go to any.
-    fn barred(
+    /// Returns for each ready upstream whether it is excluded. The list is empty if none is.
+    fn excluded(
         &self,
         request: &PlacementRequest,
         ready: &ReadyUpstreams,
         denials: usize,
     ) -> Vec<bool> {
-        let mut barred = self.barred_by_rollout(request, ready).unwrap_or_default();
+        let mut excluded = self.barred_by_rollout(request, ready).unwrap_or_default();
         let limited = self.barred_by_limits(denials);
         for id in limited.iter().chain(&request.in_cooldown) {
             if let Some(index) = ready.index_of(id) {
-                barred.resize(ready.upstreams.len(), false);
-                barred[index] = true;
+                excluded.resize(ready.upstreams.len(), false);
+                excluded[index] = true;
             }
         }
-        barred
+        excluded
     }
 
-    /// Returns what is known of each upstream. All are alike but for the few that
-    /// something is known of: these are filled in one by one.
+    /// Builds the list of candidates. All start with the same values; loads, failures and cache
+    /// contents are then filled in for the few upstreams that have any.
     fn candidates(
         &self,
         request: &PlacementRequest,
@@ -295,7 +298,7 @@
         self.fill_in_loads(&mut candidates, ready, now_ms);
         self.fill_in_caches(&mut candidates, ready, &request.prompt, now_ms);
         if let Some(home) = home {
-            candidates[home].unread_tokens = own_tokens(&request.prompt);
+            candidates[home].unread_tokens = unshared_tokens(&request.prompt);
         }
         candidates
     }
@@ -320,7 +323,7 @@
         self.peers.lock().each_load(&mut add);
     }
 
-    /// Fills in what upstreams need not read.
+    /// Fills in the prompt tokens that upstreams need not prefill.
     fn fill_in_caches(
         &self,
         candidates: &mut [Candidate],
@@ -337,26 +340,26 @@
         }
     }
 
-    /// Finds the upstream that all daemons send a chain of parts to, as long
-    /// as its load allows; returns its index.
+    /// Returns the index of the home upstream, which all daemons choose for a chain of prompt
+    /// parts as long as its load allows.
     fn home_of(
         &self,
         request: &PlacementRequest,
         ready: &ReadyUpstreams,
-        barred: &[bool],
+        excluded: &[bool],
     ) -> Option<usize> {
         if !self.settings.mechanisms.homes {
             return None;
         }
         let chain = request.apart_by.or(request.prompt.shared_chain())?;
         let is_tried = |index: &usize| request.tried.contains(&ready.upstreams[*index].id);
-        let is_barred = |index: &usize| barred.get(*index).copied().unwrap_or(false);
+        let is_excluded = |index: &usize| excluded.get(*index).copied().unwrap_or(false);
         let usable = 0..ready.hashes.len();
-        let usable = usable.filter(|index| !is_tried(index) && !is_barred(index));
+        let usable = usable.filter(|index| !is_tried(index) && !is_excluded(index));
         usable.max_by_key(|index| home_rank(chain, ready.hashes[*index]))
     }
 }
 
-fn own_tokens(prompt: &Prompt) -> u64 {
+fn unshared_tokens(prompt: &Prompt) -> u64 {
     prompt.parts.last().map_or(0, |part| part.tokens)
 }
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -7,41 +7,41 @@
     std::sync::Arc,
 };
 
-/// How an upstream says in an answer that it leaves.
-const LEAVES: &[u8] = b"1";
+/// Value of the `leaving` header by which an upstream announces that it leaves.
+const LEAVING_VALUE: &[u8] = b"1";
 
-/// What upstreams say of themselves in their answers, beside how much they take.
+/// Applies what upstreams signal in response headers, except for rate limits.
 impl Gateway {
-    /// Notes what the head of an answer says of its upstream.
+    /// Applies the leaving and cooldown signals in the head of a response.
     pub(super) fn record_signals(
         self: &Arc<Self>,
         context: &RequestContext,
         upstream: &Upstream,
         head: &Parts,
     ) {
-        if self.says_that_it_leaves(&head.headers) {
+        if self.announces_leaving(&head.headers) {
             metrics::counter!(LEAVING_ANSWERS).increment(1);
             log::info!(
                 target: "upstreams",
-                "an answer says that its upstream leaves. request={} upstream={}",
+                "response announces that its upstream leaves. request={} upstream={}",
                 context.id_text(),
                 upstream.id
             );
             self.mark_leaving(&upstream.id, Some(true));
         }
         if head.status == StatusCode::SERVICE_UNAVAILABLE {
-            self.read_rest(context, upstream, &head.headers);
+            self.apply_retry_after(context, upstream, &head.headers);
         }
     }
 
-    /// Notes that an upstream says that it leaves: it gets no new work. `passes_on` says
-    /// whether others are told, and then whether hubs are, too.
+    /// Marks an upstream as leaving, so that it gets no new requests. With `passes_on`, the
+    /// change is announced to other daemons, and to hubs too if its value is true.
     pub fn mark_leaving(self: &Arc<Self>, id: &UpstreamId, passes_on: Option<bool>) {
-        // The usual case: each of its answers says so.
+        // The usual case, since every response of a leaving upstream has the header.
         let directory = self.directory.read();
-        let is_known = directory.get(id).is_some_and(|known| known.draining);
+        let is_marked = directory.get(id).is_some_and(|known| known.draining);
         drop(directory);
-        if is_known {
+        if is_marked {
             return;
         }
         let mut is_change = false;
@@ -59,31 +59,36 @@
         }
     }
 
-    fn says_that_it_leaves(&self, headers: &HeaderMap) -> bool {
+    fn announces_leaving(&self, headers: &HeaderMap) -> bool {
         let values = headers.get_all(&self.names.leaving);
         values
             .iter()
-            .any(|value| value.as_bytes().trim_ascii() == LEAVES)
+            .any(|value| value.as_bytes().trim_ascii() == LEAVING_VALUE)
     }
 
-    fn read_rest(&self, context: &RequestContext, upstream: &Upstream, headers: &HeaderMap) {
+    fn apply_retry_after(
+        &self,
+        context: &RequestContext,
+        upstream: &Upstream,
+        headers: &HeaderMap,
+    ) {
         let values = headers.get_all(header::RETRY_AFTER);
         match RetryAfter::read(values.iter().map(|value| value.as_bytes())) {
             RetryAfter::Absent => {}
-            RetryAfter::For(rest) => {
+            RetryAfter::For(cooldown) => {
                 metrics::counter!(REST_ANSWERS).increment(1);
                 log::info!(
                     target: "upstreams",
-                    "an upstream asks for rest. request={} upstream={} rest_ms={}",
+                    "upstream asks for a cooldown. request={} upstream={} rest_ms={}",
                     context.id_text(),
                     upstream.id,
-                    rest.as_millis()
+                    cooldown.as_millis()
                 );
-                self.start_cooldown(&upstream.id, rest);
+                self.start_cooldown(&upstream.id, cooldown);
             }
             RetryAfter::Unreadable => log::warn!(
                 target: "upstreams",
-                "an upstream names a time of rest that can't be read. upstream={}",
+                "upstream sent an invalid Retry-After. upstream={}",
                 upstream.id
             ),
         }
