--- a/tests/gateway/answers.rs
+++ b/tests/gateway/answers.rs
@@ -1,4 +1,4 @@
-//! Requests and answers pass byte for byte, for those who may send them.
+//! Requests and responses are relayed unchanged, and requests that are not allowed are refused.
 
 use {
     crate::support::*,
@@ -7,7 +7,7 @@
 };
 
 #[tokio::test]
-async fn a_request_and_its_answer_pass_unchanged() {
+async fn requests_and_responses_are_relayed_unchanged() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
     let mut client = daemon.client().await;
@@ -28,9 +28,13 @@
     assert_eq!(
         header("saddlepulley-tenant").as_deref(),
         Some("t"),
-        "what the system knows"
+        "the account of the key replaces the forged one"
+    );
+    assert_eq!(
+        header("saddlepulley-key"),
+        None,
+        "runners don't receive API keys"
     );
-    assert_eq!(header("saddlepulley-key"), None, "runners don't see keys");
     assert_eq!(
         header("saddlepulley-expected-upstream").as_deref(),
         Some("b1")
@@ -40,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn what_only_the_system_sets_never_passes_as_a_client_sent_it() {
+async fn system_headers_of_a_client_are_not_forwarded() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
     let mut client = daemon.client().await;
@@ -68,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn what_the_configuration_does_not_allow_is_refused() {
+async fn requests_without_a_route_or_key_are_refused() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
     let mut client = daemon.client().await;
@@ -83,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn without_a_configuration_it_tells_when_to_come_back() {
+async fn a_daemon_without_a_configuration_refuses_with_retry_after() {
     let daemon = GatewayDaemon::start_unready("");
     eventually("listens", async || {
         daemon.readiness_status().await.is_some()
@@ -99,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_of_another_request_is_not_passed_on() {
+async fn a_response_to_another_request_is_not_relayed() {
     let runner = Runner::start("b1", 3).await.unwrap();
     runner.behave(Behaviour::OtherRequest);
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE], &[&runner])).await;
@@ -109,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn a_bare_unavailable_is_no_promise() {
+async fn a_503_without_the_not_run_header_becomes_502() {
     let runner = Runner::start("b1", 3).await.unwrap();
     runner.behave(Behaviour::BareUnavailable);
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE, &STREAM_ONCE], &[&runner])).await;
@@ -122,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn a_tenant_beyond_its_quota_is_told_when_to_come_back() {
+async fn an_account_beyond_its_quota_gets_retry_after() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
     let mut client = daemon.client().await;
--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -1,21 +1,16 @@
 //! Requests that crash the upstreams that run them.
 //!
-//! What users saw: repeats piled up beyond what is allowed. A request under which three
-//! upstreams had ended was sent to upstreams 24 times more, and 51 ended in all; a third
-//! of the fleet was gone at a time, and innocent requests beside it failed or broke off.
+//! The failure: a request that had crashed three upstreams was sent to upstreams 24 more times.
+//! It crashed 51 in all, up to a third of the fleet at a time, and other requests beside it
+//! failed or broke off.
 //!
-//! The order of events: a try reaches an upstream, which begins to run it, answers 200 and
-//! ends 90 ms later with all that runs there. The daemon sends it on to a second one, which
-//! ends, too. The client gets 502 and comes again, with the same path, caller and body and
-//! another id, at any daemon, for as long as it likes.
-//!
-//! The cause: what a broken send taught was laid to the upstream alone, and forgotten for
-//! the request when its try ended. To each daemon the next try was a new request.
-//!
-//! The evidence: with one daemon alone, and with one send a try, upstreams end at the rate
-//! at which the request comes, whatever number ended before
-//! (`one_daemon_alone_learns_from_earlier_tries`): neither the budget for repeated sends nor
-//! what daemons don't tell each other is the cause.
+//! How it comes about: an upstream starts to run the request, answers 200 and crashes 90 ms later
+//! with all its requests. The daemon retries at a second upstream, which crashes as well. The
+//! client gets 502 and retries at any daemon, with the same path, account and body under another
+//! id. Daemons recorded such failures for the upstream only, so each retry by the client was a
+//! new request to them. A single daemon with one send per request shows the same
+//! (`one_daemon_alone_learns_from_earlier_tries`), so neither the retry budget nor missing
+//! exchange between daemons is the cause.
 
 use {
     crate::{store_support::*, support::*},
@@ -37,13 +32,13 @@
 };
 
 const UPSTREAMS: usize = 12;
-/// How many upstreams may end before a request is no longer sent on.
-const ENDS: usize = 3;
-/// Within how long all daemons have to know.
-const TOLD_WITHIN: Duration = Duration::from_secs(3);
-/// How often it may be sent after that.
-const ALLOWED_AFTER: usize = 3;
-const POISON: &str = "crash: a prompt that no engine survives";
+/// Number of upstream crashes after which a request is held back.
+const MAX_CRASHES: usize = 3;
+/// Time within which all daemons have to hold the request back.
+const HELD_WITHIN: Duration = Duration::from_secs(3);
+/// Number of sends that are tolerated after that time.
+const MAX_LATE_RUNS: usize = 3;
+const CRASHING_BODY: &str = "crash: a prompt that no engine survives";
 const STREAM_ONE_SEND: TestRoute = TestRoute {
     max_attempts: 1,
     ..STREAM
@@ -84,7 +79,7 @@
         daemon
     }
 
-    /// Returns how often a body was begun to run.
+    /// Returns how often upstreams started to run a request with this body.
     fn runs(&self, body: &str) -> usize {
         let runs = self.runners.iter().flat_map(Runner::runs);
         runs.filter(|run| run.body == body).count()
@@ -100,35 +95,37 @@
     client.send(request(&attempt, path), body).await.ok()
 }
 
-/// What became of tries of a request that crashes upstreams.
+/// Runs of a request that crashes upstreams, over a series of client retries.
 struct Series {
-    /// How often it had run when all had to know, and at the end.
+    /// Number of runs when `HELD_WITHIN` had passed after the last tolerated crash.
     runs_when_known: usize,
+    /// Number of runs at the end.
     runs: usize,
 }
 
-/// Asks again and again, at one daemon after the other.
-async fn ask_on(world: &World, path: &'static str, for_at_least: Duration) -> Series {
-    let (mut third_end, mut runs_when_known) = (None, None);
+/// Sends the request repeatedly, to one daemon after another, until `for_at_least` after the time
+/// by which all daemons have to hold it back.
+async fn ask_repeatedly(world: &World, path: &'static str, for_at_least: Duration) -> Series {
+    let (mut last_crash, mut runs_when_known) = (None, None);
     let mut n = 0;
     loop {
         let daemon = n % world.daemons.len();
-        // Callers don't wait for each other.
+        // The next request does not wait for this response.
         tokio::spawn(ask_as(
             world.daemons[daemon].clients,
             format!("p{n}"),
             path,
-            POISON,
+            CRASHING_BODY,
         ));
-        let runs = world.runs(POISON);
-        if runs >= ENDS {
-            third_end.get_or_insert_with(Instant::now);
+        let runs = world.runs(CRASHING_BODY);
+        if runs >= MAX_CRASHES {
+            last_crash.get_or_insert_with(Instant::now);
         }
-        let since = third_end.map(|at| at.elapsed()).unwrap_or_default();
-        if since >= TOLD_WITHIN {
+        let since = last_crash.map(|at| at.elapsed()).unwrap_or_default();
+        if since >= HELD_WITHIN {
             runs_when_known.get_or_insert(runs);
         }
-        if since >= TOLD_WITHIN + for_at_least {
+        if since >= HELD_WITHIN + for_at_least {
             return Series {
                 runs_when_known: runs_when_known.unwrap_or(runs),
                 runs,
@@ -142,14 +139,16 @@
 #[tokio::test]
 async fn one_daemon_alone_learns_from_earlier_tries() {
     let world = World::start(1, &[&STREAM_ONE_SEND]).await;
-    let series = ask_on(&world, "/stream/resume/x", Duration::from_secs(3)).await;
+    let series = ask_repeatedly(&world, "/stream/resume/x", Duration::from_secs(3)).await;
     assert!(
-        series.runs <= series.runs_when_known + ALLOWED_AFTER,
+        series.runs <= series.runs_when_known + MAX_LATE_RUNS,
         "{} when known, {} in all",
         series.runs_when_known,
         series.runs
     );
-    let answer = world.ask(0, "last", "/stream/resume/x", POISON).await;
+    let answer = world
+        .ask(0, "last", "/stream/resume/x", CRASHING_BODY)
+        .await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.header("retry-after").parse::<f64>().unwrap() > 0.0);
@@ -159,42 +158,42 @@
 async fn all_daemons_stop_sending_a_request_that_crashes_upstreams() {
     let mut world = World::start(5, &[&STREAM, &IDEMPOTENT]).await;
     for path in ["/stream/resume/x", "/look/x"] {
-        let before = world.runs(POISON);
-        let series = ask_on(&world, path, Duration::from_secs(3)).await;
+        let before = world.runs(CRASHING_BODY);
+        let series = ask_repeatedly(&world, path, Duration::from_secs(3)).await;
         assert!(
-            series.runs <= series.runs_when_known + ALLOWED_AFTER,
+            series.runs <= series.runs_when_known + MAX_LATE_RUNS,
             "{path}: {before} before, {} when known, {} in all",
             series.runs_when_known,
             series.runs
         );
         for daemon in 0..world.daemons.len() {
-            let answer = world.ask(daemon, "last", path, POISON).await;
+            let answer = world.ask(daemon, "last", path, CRASHING_BODY).await;
             let answer = answer.expect("an answer");
             assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{daemon}");
         }
     }
-    // One that starts later is told.
+    // A daemon that starts later learns it from the others.
     let late = world.start_daemon(5).await;
     world.daemons.push(late);
-    tokio::time::sleep(TOLD_WITHIN).await;
-    let answer = world.ask(5, "late", "/look/x", POISON).await;
+    tokio::time::sleep(HELD_WITHIN).await;
+    let answer = world.ask(5, "late", "/look/x", CRASHING_BODY).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "late");
 }
 
 #[tokio::test]
-async fn innocent_requests_beside_it_and_repeated_as_often_are_served() {
+async fn other_requests_are_served_beside_a_crashing_one() {
     let world = World::start(3, &[&STREAM]).await;
     let path = "/stream/resume/x";
-    let poison = ask_on(&world, path, Duration::from_secs(2));
-    let innocent = async {
+    let crashing = ask_repeatedly(&world, path, Duration::from_secs(2));
+    let others = async {
         let began = Instant::now();
         let (mut asked, mut served, mut n) = (0, 0, 0);
         while began.elapsed() < Duration::from_secs(9) {
             for body in ["asked again and again", &format!("asked once: {n}")] {
                 let answer = world.ask(n % 3, &format!("i{n}"), path, body).await;
                 let is_complete = answer.is_some_and(|a| a.status.is_success() && a.whole);
-                // Until all know, it may share the fate of upstreams that end.
+                // Before all daemons hold the crashing request back, others may be lost in a crash.
                 if began.elapsed() > Duration::from_secs(5) {
                     asked += 1;
                     served += usize::from(is_complete);
@@ -204,14 +203,16 @@
         }
         (asked, served)
     };
-    let (_, (asked, served)) = tokio::join!(poison, innocent);
+    let (_, (asked, served)) = tokio::join!(crashing, others);
     assert!(asked > 10, "{asked} asked");
-    assert_eq!(served, asked, "of innocent requests, once all know");
+    assert_eq!(
+        served, asked,
+        "of other requests, once all daemons hold the crashing one back"
+    );
 }
 
-/// An upstream that ends under the first request that it gets. Its connections end first;
-/// the socket on which it takes new ones some milliseconds later, as a process may that is
-/// busy as it ends.
+/// Starts an upstream that crashes on its first request. Its connection closes some milliseconds
+/// before its listening socket, as may happen when a busy process ends.
 async fn one_shot_upstream() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -225,7 +226,7 @@
         }
         drop(stream);
         tokio::time::sleep(Duration::from_millis(20)).await;
-        // The listener ends with this task.
+        // The listener is closed when this task ends.
     });
     (address, requests)
 }
@@ -234,13 +235,13 @@
     !store.keys("keyed.quarantine").is_empty()
 }
 
-/// All daemons are killed at once, and with them what they told each other; and one never
-/// hears another, as in failure domains that are cut off from each other.
+/// Guards against a request being sent again after all daemons were killed at once and lost their
+/// state. One daemon has no connection to the others, as in a partition between failure domains.
 #[tokio::test]
-async fn what_is_held_back_outlives_all_daemons() {
+async fn a_held_request_stays_held_after_all_daemons_restart() {
     let store = Store::start().await.unwrap();
     store.put("keyed.op", "config", &config(3, "/p/"));
-    for n in 0..ENDS {
+    for n in 0..MAX_CRASHES {
         let (address, _) = one_shot_upstream().await;
         let id = format!("i-{n}");
         store.put("keyed.servers", &id, &entry(address, "ready", 1));
@@ -251,7 +252,7 @@
     other.wait_ready().await;
     let apart = daemon("n4", &store, &[]);
     apart.wait_ready().await;
-    eventually("held back at all", async || {
+    eventually("held back at all daemons", async || {
         ask(&first, "/p/x").await;
         ask(&other, "/p/x").await;
         if is_written(&store) {
@@ -272,7 +273,7 @@
     store.put("keyed.servers", "i-new", &entry(address, "ready", 1));
     let again = daemon("n3", &store, &[]);
     again.wait_ready().await;
-    tokio::time::sleep(TOLD_WITHIN).await;
+    tokio::time::sleep(HELD_WITHIN).await;
     assert_eq!(ask(&again, "/p/x").await, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(requests.load(Ordering::SeqCst), 0);
     // Another path is another request.
@@ -280,10 +281,10 @@
     assert_eq!(requests.load(Ordering::SeqCst), 1);
 }
 
-/// Longer than a daemon needs to take in an entry of the store.
-const TAKEN_IN: Duration = Duration::from_millis(1_500);
+/// Longer than a daemon needs to apply an entry of the store.
+const ENTRY_APPLIED: Duration = Duration::from_millis(1_500);
 
-/// An upstream that holds a request until it is ended.
+/// Starts an upstream that never answers its first request, until its task is aborted.
 async fn holding_upstream() -> (SocketAddr, JoinHandle<()>, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -299,25 +300,26 @@
     (address, task, requests)
 }
 
-/// One request is on three upstreams in turn that say that they leave, and end as they said.
+/// Guards against holding back a request because upstreams that announced that they leave ended
+/// while they ran it, one after another.
 #[tokio::test]
-async fn upstreams_that_leave_count_against_no_request() {
+async fn the_end_of_a_leaving_upstream_is_no_crash() {
     let store = Store::start().await.unwrap();
     store.put("keyed.op", "config", &config(3, "/p/"));
     let daemon = daemon("n1", &store, &[]);
-    for n in 0..=ENDS {
+    for n in 0..=MAX_CRASHES {
         let (address, task, requests) = holding_upstream().await;
         let id = format!("i-{n}");
         store.put("keyed.servers", &id, &entry(address, "ready", 1));
         daemon.wait_ready().await;
-        tokio::time::sleep(TAKEN_IN).await;
+        tokio::time::sleep(ENTRY_APPLIED).await;
         let asks = tokio::spawn({
             let clients = daemon.clients;
             async move { ask_at(clients, "/p/x").await }
         });
         eventually("it runs", async || requests.load(Ordering::SeqCst) == 1).await;
         store.put("keyed.servers", &id, &entry(address, "draining", 2));
-        // Longer than a reader needs to hear of it, and less than the request waits.
+        // Longer than a daemon needs to apply the change, and less than the request waits.
         tokio::time::sleep(Duration::from_millis(700)).await;
         task.abort();
         assert_eq!(asks.await.unwrap(), Some(StatusCode::BAD_GATEWAY), "{n}");
--- a/tests/gateway/lost_requests.rs
+++ b/tests/gateway/lost_requests.rs
@@ -1,19 +1,17 @@
-//! Requests that ended without an answer.
+//! Requests that end without a response.
 //!
-//! What users saw: around planned work on real machines a request's connection ended
-//! without a whole answer.
+//! The failure: around planned work on real machines, a connection ended before the response was
+//! complete.
 //!
-//! The order of events: a client sends a request, or the rest of one; before the daemon
-//! has read it, the daemon decides to close the connection (it refuses by the head
-//! alone, it stops, the connection has rested for long, its client reads late); the
-//! kernel resets the connection, because bytes stand unread in its socket.
+//! How it comes about: a client sends a request, or the remainder of one. Before the daemon has
+//! read it, the daemon closes the connection, because it refuses by the head alone, stops, closes
+//! an idle connection, or has a client that reads late. Unread bytes in the socket make the
+//! kernel reset the connection. A reset also discards the response that the client has not read
+//! yet, and the next request on that connection is lost as well. The daemon used to close
+//! connections without checking for unread input.
 //!
-//! The cause: the daemon closed connections without looking at what had come on them.
-//! A reset also takes the answer away that the client has not read yet, and what it
-//! asks next on that connection is lost, too.
-//!
-//! The evidence: the endings that the clients here see (closed or reset, after how
-//! many bytes), against what the upstream ran.
+//! The tests compare how connections end for the client (closed or reset, after how many bytes)
+//! with what the upstream ran.
 
 use {
     crate::{raw_client::*, support::*},
@@ -28,22 +26,22 @@
 const SERVED: u16 = 200;
 const NOT_RUN: u16 = 503;
 
-fn nowhere(routes: String) -> String {
+fn without_services(routes: String) -> String {
     routes.replace(
         "services = [{ service = \"s\", weight = 1 }]",
         "services = []",
     )
 }
 
-/// Asks for what is refused, then for what is served, on one connection; returns
-/// what went wrong.
+/// Sends a request that is refused, then one that is served, on one connection. Returns the
+/// unexpected outcomes.
 async fn refused_then_served(
     daemon: &GatewayDaemon,
     refused: (&str, &'static str),
     status: u16,
     next: Option<&str>,
 ) -> Vec<String> {
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     let (path, key) = refused;
     for n in 0..TRIES * BODY_BYTES.len() {
         let bytes = BODY_BYTES[n % BODY_BYTES.len()];
@@ -52,38 +50,38 @@
         request.in_two_writes = n % 2 == 0;
         let ending = client.ask(&request).await;
         if ending.status() != Some(status) {
-            faults.push(format!("{path} {key} {bytes} B: {ending:?}"));
+            failures.push(format!("{path} {key} {bytes} B: {ending:?}"));
             continue;
         }
         let Some(next) = next else { continue };
         let request = RawRequest::new(&format!("n{n}"), next, "key-1", 40);
         let ending = client.ask(&request).await;
         if ending.status() != Some(SERVED) {
-            faults.push(format!("after {path} {key} {bytes} B: {ending:?}"));
+            failures.push(format!("after {path} {key} {bytes} B: {ending:?}"));
         }
     }
-    faults
+    failures
 }
 
 #[tokio::test]
-async fn a_refusal_given_before_the_body_arrives_and_its_connection_serves_on() {
+async fn a_refusal_before_the_body_arrives_keeps_the_connection_usable() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     for (refused, status) in [(("/look/x", "key-0"), 401), (("/other/x", "key-1"), 404)] {
-        faults.extend(refused_then_served(&daemon, refused, status, Some("/look/x")).await);
+        failures.extend(refused_then_served(&daemon, refused, status, Some("/look/x")).await);
     }
-    assert!(faults.is_empty(), "{}: {faults:#?}", faults.len());
+    assert!(failures.is_empty(), "{}: {failures:#?}", failures.len());
     assert!(runner.runs().iter().all(|run| run.attempt.starts_with('n')));
 }
 
 #[tokio::test]
-async fn a_refusal_by_a_route_that_leads_nowhere_arrives() {
+async fn a_refusal_by_a_route_without_services_arrives() {
     let runner = Runner::start("b1", 3).await.unwrap();
-    let routes = nowhere(routes_file(1, &[&IDEMPOTENT], &[&runner]));
+    let routes = without_services(routes_file(1, &[&IDEMPOTENT], &[&runner]));
     let daemon = GatewayDaemon::start(&routes).await;
-    let faults = refused_then_served(&daemon, ("/look/x", "key-1"), 404, None).await;
-    assert!(faults.is_empty(), "{}: {faults:#?}", faults.len());
+    let failures = refused_then_served(&daemon, ("/look/x", "key-1"), 404, None).await;
+    assert!(failures.is_empty(), "{}: {failures:#?}", failures.len());
 }
 
 #[tokio::test]
@@ -93,8 +91,8 @@
         daemon.readiness_status().await == Some(StatusCode::SERVICE_UNAVAILABLE)
     })
     .await;
-    let faults = refused_then_served(&daemon, ("/look/x", "key-1"), 503, None).await;
-    assert!(faults.is_empty(), "{}: {faults:#?}", faults.len());
+    let failures = refused_then_served(&daemon, ("/look/x", "key-1"), 503, None).await;
+    assert!(failures.is_empty(), "{}: {failures:#?}", failures.len());
 }
 
 #[tokio::test]
@@ -103,22 +101,23 @@
     let limit = "[config.limits]\nmax_body_bytes = 1000\n";
     let routes = routes_file(1, &[&IDEMPOTENT], &[&runner]) + limit;
     let daemon = GatewayDaemon::start(&routes).await;
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     for n in 0..TRIES {
         let mut client = RawClient::connect(daemon.clients).await.unwrap();
         let request = RawRequest::new(&format!("r{n}"), "/look/x", "key-1", 400_000);
         let ending = client.ask(&request).await;
         if ending.status() != Some(413) {
-            faults.push(format!("{ending:?}"));
+            failures.push(format!("{ending:?}"));
         }
     }
-    assert!(faults.is_empty(), "{}: {faults:#?}", faults.len());
+    assert!(failures.is_empty(), "{}: {failures:#?}", failures.len());
 }
 
-/// A daemon that gets no processor time for a while during its stop finds both
-/// the end of the notice and requests that have waited for it.
+/// Guards against the loss of requests that arrive shortly before a stopping daemon closes its
+/// connections. A daemon that gets no processor time during its stop finds at once that its
+/// notice period is over and that requests are waiting.
 #[tokio::test]
-async fn what_arrived_before_a_stop_closes_connections_is_answered() {
+async fn requests_that_arrive_before_a_stop_closes_connections_are_answered() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
     let mut clients = Vec::new();
@@ -145,10 +144,10 @@
         let request = RawRequest::new(&format!("a{n}"), "/look/x", "key-1", 40);
         client.send(&request).await.unwrap();
     }
-    // Longer than the notice lasts.
+    // Longer than the notice period.
     tokio::time::sleep(Duration::from_secs(3)).await;
     daemon.signal(Signal::SIGCONT);
-    let mut faults = Vec::new();
+    let mut failures = Vec::new();
     for (n, (kind, client)) in clients.iter_mut().enumerate() {
         let ending = client.answer().await;
         let was_run = runner
@@ -157,28 +156,30 @@
             .any(|run| run.attempt == format!("a{n}"));
         match ending.status() {
             Some(SERVED) if was_run => {}
-            // One that could not be finished before the process ends.
+            // A request that could not be completed before the process ends is refused.
             Some(NOT_RUN) if !was_run => {}
-            _ => faults.push(format!("{kind}, was run {was_run}: {ending:?}")),
+            _ => failures.push(format!("{kind}, was run {was_run}: {ending:?}")),
         }
     }
-    assert!(faults.is_empty(), "{}: {faults:#?}", faults.len());
+    assert!(failures.is_empty(), "{}: {failures:#?}", failures.len());
 }
 
 #[tokio::test]
-async fn an_answer_waits_for_a_client_that_reads_late() {
+async fn a_response_waits_for_a_client_that_reads_late() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
     let mut client = RawClient::connect(daemon.clients).await.unwrap();
     let request = RawRequest::new("a1", "/look/x", "key-1", 3_500_000);
     client.send(&request).await.unwrap();
-    // The answer is larger than what the client's side takes unread.
+    // The response is larger than the receive buffer of the client.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let ending = client.answer().await;
     assert_eq!(ending.status(), Some(SERVED), "{ending:?}");
 }
+
+/// Guards against closing an idle connection by the timeout of an outdated configuration.
 #[tokio::test]
-async fn a_connection_rests_as_long_as_the_configuration_in_force_allows() {
+async fn a_changed_idle_timeout_applies_to_open_connections() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let with_idle = |version: u64, idle_ms: u64| {
         let routes = routes_file(version, &[&IDEMPOTENT], &[&runner]);
--- a/tests/gateway/misdirected.rs
+++ b/tests/gateway/misdirected.rs
@@ -1,18 +1,22 @@
-//! Addresses of upstreams that are gone are used again by others: these answer 421
-//! to what is not meant for them, and have not run it.
+//! Addresses of removed upstreams are reused by other servers, which answer 421 to requests
+//! for the old upstream without running them.
 
 use {crate::support::*, http::StatusCode, saddlepulley_standin::runner::Runner};
 
-/// Two entries name addresses that others have by now. A request that met both got 503,
-/// though a third upstream was there.
+/// Guards against refusing a request after misdirected sends. Two entries name addresses that
+/// other servers use now. A request sent to both got 503, although a third upstream was ready.
 #[tokio::test]
-async fn a_request_that_meets_others_at_two_addresses_is_served_by_a_third() {
+async fn a_request_misdirected_at_two_addresses_is_served_by_a_third() {
     let others = [
         Runner::start("c1", 5).await.unwrap(),
         Runner::start("c2", 5).await.unwrap(),
     ];
-    let sound = Runner::start("b3", 5).await.unwrap();
-    let mut routes = routes_file(1, &[&ONCE, &STREAM_ONCE], &[&others[0], &others[1], &sound]);
+    let healthy = Runner::start("b3", 5).await.unwrap();
+    let mut routes = routes_file(
+        1,
+        &[&ONCE, &STREAM_ONCE],
+        &[&others[0], &others[1], &healthy],
+    );
     routes = routes
         .replace("\"c1\"", "\"b1\"")
         .replace("\"c2\"", "\"b2\"");
@@ -24,7 +28,10 @@
         }
     }
     assert!(others.iter().all(|other| other.runs().is_empty()));
-    // Each daemon asks at a wrong address once, not for each request.
-    let asked: u64 = others.iter().map(Runner::refusals).sum();
-    assert!(asked <= 4, "{asked} requests went to wrong addresses");
+    // Each daemon sends to a wrong address once, not for each request.
+    let misdirected: u64 = others.iter().map(Runner::refusals).sum();
+    assert!(
+        misdirected <= 4,
+        "{misdirected} requests went to wrong addresses"
+    );
 }
--- a/tests/gateway/raw_client.rs
+++ b/tests/gateway/raw_client.rs
@@ -1,5 +1,5 @@
-//! A client that sees how a connection ends: answered, closed or reset, and
-//! whether it looks for that before it asks again.
+//! A client on a raw TCP connection, which distinguishes whether the connection was closed or
+//! reset, and can check that before it sends the next request.
 
 use {
     std::{io, net::SocketAddr, time::Duration},
@@ -10,19 +10,19 @@
     },
 };
 
-/// How long an answer may take.
+/// How long a response may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 /// The pause between two writes of one request.
 const WRITE_PAUSE: Duration = Duration::from_millis(5);
 
-/// What a client sends.
+/// A request as the client sends it.
 #[derive(Clone, Debug)]
 pub struct RawRequest {
     pub attempt: String,
     pub path: String,
     pub key: &'static str,
     pub body: Vec<u8>,
-    /// Whether head and body go out in two writes.
+    /// Send head and body in two writes.
     pub in_two_writes: bool,
 }
 
@@ -52,18 +52,18 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With a whole answer.
+    /// A complete response was received.
     Answered {
         status: u16,
         body: Vec<u8>,
-        /// Whether the answer said that the connection closes.
+        /// The response has the header `Connection: close`.
         says_close: bool,
     },
-    /// The connection was closed, after that many bytes of an answer.
+    /// The connection was closed after `got` bytes of a response.
     Closed { got: usize },
-    /// The connection was reset, after that many bytes of an answer.
+    /// The connection was reset after `got` bytes of a response.
     Reset { got: usize },
-    /// Nothing came for long.
+    /// No complete response arrived within `ANSWER_TIMEOUT`.
     Silent,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// A connection.
+/// A client connection.
 pub struct RawClient {
     stream: TcpStream,
     unread: Vec<u8>,
@@ -92,12 +92,12 @@
         })
     }
 
-    /// Returns whether the other side has ended the connection, as far as is
-    /// known here.
+    /// Returns whether the local kernel knows that the other side has closed or reset the
+    /// connection.
     pub async fn has_ended(&mut self) -> bool {
         let mut byte = [0];
         let look = self.stream.peek(&mut byte);
-        // Polled once after what the kernel knows was taken in.
+        // The peek is polled once, after the event loop has taken up the state of the socket.
         tokio::task::yield_now().await;
         match tokio::time::timeout(Duration::ZERO, look).await {
             Ok(Ok(0)) | Ok(Err(_)) => true,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Sends a request; returns when its last byte was handed to the kernel.
+    /// Sends a request and returns the time at which the kernel took its last byte.
     pub async fn send(&mut self, request: &RawRequest) -> io::Result<Instant> {
         let mut bytes = request.head().into_bytes();
         if request.in_two_writes {
@@ -118,15 +118,15 @@
         Ok(Instant::now())
     }
 
-    /// Reads the answer to what was sent.
+    /// Reads the response to the request that was sent.
     pub async fn answer(&mut self) -> RequestOutcome {
         let read = tokio::time::timeout(ANSWER_TIMEOUT, self.read_answer());
         read.await.unwrap_or(RequestOutcome::Silent)
     }
 
-    /// Sends a request and reads its answer, whatever becomes of the sending.
+    /// Sends a request and reads its response, even if sending fails.
     pub async fn ask(&mut self, request: &RawRequest) -> RequestOutcome {
-        // An answer may be there although the request could not be sent whole.
+        // A response may have arrived although the request could not be sent completely.
         let _ = self.send(request).await;
         self.answer().await
     }
@@ -147,7 +147,7 @@
     }
 }
 
-/// Parses an answer that is there whole; returns it with its length.
+/// Parses a response if it is complete; returns it with its length.
 fn parse(bytes: &[u8]) -> Option<(RequestOutcome, usize)> {
     let head_end = bytes.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let head = std::str::from_utf8(&bytes[..head_end]).expect("a head is text");
@@ -171,7 +171,7 @@
     Some((ending, used))
 }
 
-/// Reads a body in chunks that is there whole; returns it with its end.
+/// Parses a chunked body if it is complete; returns it with the offset of its end.
 fn chunks(bytes: &[u8], mut at: usize) -> Option<(Vec<u8>, usize)> {
     let mut body = Vec::new();
     loop {
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,4 +1,5 @@
-//! What may run again does, what may not does not, and "not run" is true.
+//! Repeatable requests are retried, others run at most once, and a refusal is given only for
+//! requests that have not run.
 
 use {
     crate::support::*,
@@ -22,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_may_not_be_repeated_runs_once_when_its_answer_is_lost() {
+async fn a_non_repeatable_request_runs_once_when_its_response_is_lost() {
     for behaviour in [Behaviour::LoseAnswer, Behaviour::CutStream(1)] {
         let runners = two_runners(behaviour, behaviour).await;
         let routes = [&ONCE, &STREAM_ONCE];
@@ -35,14 +36,18 @@
         for n in 0..10 {
             let attempt = format!("a{n}");
             let answer = daemon.client().await.ask(&attempt, path, "").await;
-            assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "no promise");
+            assert_eq!(
+                answer.status,
+                StatusCode::BAD_GATEWAY,
+                "no claim that it has not run"
+            );
             assert_eq!(total_runs(&runners, &attempt), 1);
         }
     }
 }
 
 #[tokio::test]
-async fn a_repeatable_request_is_answered_by_another_upstream() {
+async fn a_repeatable_request_is_retried_at_another_upstream() {
     for bad in [
         Behaviour::LoseAnswer,
         Behaviour::Fail,
@@ -65,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_request_has_not_run_and_is_told_when_to_come_back() {
+async fn a_request_refused_by_all_upstreams_gets_retry_after_and_has_not_run() {
     let runners = two_runners(Behaviour::Refuse, Behaviour::Refuse).await;
     let [a, b] = &runners;
     let routes = [&IDEMPOTENT, &ONCE, &STREAM, &STREAM_ONCE];
@@ -83,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn one_that_refuses_is_passed_over_also_for_what_may_run_once() {
+async fn a_non_repeatable_request_is_retried_after_a_refusal() {
     let runners = two_runners(Behaviour::Refuse, Behaviour::Serve).await;
     let [a, b] = &runners;
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE], &[a, b])).await;
@@ -110,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_answered_when_its_time_is_up() {
+async fn a_request_gets_504_at_its_deadline() {
     let runners = two_runners(Behaviour::Hang, Behaviour::Hang).await;
     let short = TestRoute {
         timeout_ms: 300,
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -1,5 +1,5 @@
-//! Streams pass in whole events, go on elsewhere where they may, and end
-//! broken where they may not.
+//! Streams are relayed in complete events. A stream that breaks off continues at another
+//! upstream if its route allows it, and otherwise ends with an error.
 
 use {
     crate::support::*,
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_passes_whole() {
+async fn a_stream_is_relayed_completely() {
     let runner = Runner::start("b1", 6).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM_ONCE], &[&runner])).await;
     let answer = daemon
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_goes_on_at_another_upstream() {
+async fn a_broken_stream_continues_at_another_upstream() {
     let runners = [
         Runner::start("b1", 8).await.unwrap(),
         Runner::start("b2", 8).await.unwrap(),
@@ -44,21 +44,28 @@
     for n in 0..8 {
         a.behave(Behaviour::CutStream(1 + n));
         let attempt = format!("a{n}");
-        // A daemon that knows nothing of failures yet, as it chooses the other
-        // one after the first.
+        // A new daemon knows no failures. One that has seen the first failure would choose
+        // the other upstream.
         let daemon = GatewayDaemon::start(&routes).await;
         let mut client = daemon.client().await;
         let answer = client.ask(&attempt, "/stream/resume/x", "prompt").await;
         assert!(answer.whole, "{answer:?}");
-        assert_eq!(answer.body, events(1, 8), "no event is missing or doubled");
+        assert_eq!(
+            answer.body,
+            events(1, 8),
+            "an event is missing or duplicated"
+        );
         let at_a = a.runs().iter().any(|run| run.attempt == attempt);
         moved += u64::from(at_a);
     }
-    assert!(moved > 0, "8 choices between two equal upstreams");
+    assert!(
+        moved > 0,
+        "none of 8 streams was sent to b1, of two equal upstreams"
+    );
 }
 
 #[tokio::test]
-async fn a_client_may_take_a_stream_up_itself() {
+async fn a_client_can_resume_a_stream_by_last_event_id() {
     let runner = Runner::start("b1", 8).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM], &[&runner])).await;
     let again = request("a1", "/stream/resume/x").header("last-event-id", "5");
@@ -67,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_ends_broken() {
+async fn a_broken_stream_that_may_not_resume_ends_with_an_error() {
     let runners = [
         Runner::start("b1", 8).await.unwrap(),
         Runner::start("b2", 8).await.unwrap(),
@@ -79,12 +86,16 @@
     let answer = daemon.client().await.ask("a1", "/stream/once/x", "").await;
     assert_eq!(answer.status, StatusCode::OK);
     assert!(!answer.whole, "it must not look complete");
-    assert_eq!(answer.body, events(1, 3), "whole events only");
+    assert_eq!(
+        answer.body,
+        events(1, 3),
+        "only complete events are relayed"
+    );
     assert_eq!(a.runs().len() + b.runs().len(), 1);
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_takes_its_request_with_it() {
+async fn a_client_that_disconnects_cancels_its_request() {
     let runner = Runner::start("b1", 100_000).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM], &[&runner])).await;
     daemon
@@ -95,11 +106,11 @@
     eventually("cancelled", async || runner.abandoned() == 1).await;
 }
 
-/// A stream breaks off, and its client keeps its own side of the connection open, as a
-/// client does that has seen no end yet. It was told the end only when the daemon had read
-/// on in vain for a second, and the connection was gone.
+/// Guards against a delayed end of a broken stream. The client keeps its side of the connection
+/// open until it sees the end. The daemon used to read from the client for a second before it
+/// closed its own side, and only then did the client see that the stream had ended.
 #[tokio::test]
-async fn a_client_is_told_at_once_that_its_stream_broke_off() {
+async fn a_client_sees_at_once_that_its_stream_broke_off() {
     let runner = Runner::start("b1", 8).await.unwrap();
     runner.behave(Behaviour::CutStream(3));
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM_ONCE], &[&runner])).await;
@@ -112,7 +123,7 @@
     let answer = String::from_utf8_lossy(&answer);
     assert!(answer.contains("event 2"));
     assert!(!answer.ends_with("0\r\n\r\n"), "it must not look complete");
-    // The daemon still reads: what the client sends meets no reset.
+    // The daemon still reads, so that input of the client causes no reset.
     for _ in 0..2 {
         stream.write_all(b"x").await.expect("still read");
         tokio::time::sleep(Duration::from_millis(50)).await;
