--- a/src/gateway/cut_offs.rs
+++ b/src/gateway/cut_offs.rs
@@ -70,9 +70,9 @@
 }
 
 async fn check_for_crash(gateway: Arc<Gateway>, upstream: Arc<Upstream>) {
-    let end = find_failure(&gateway, &upstream).await;
+    let failure = find_failure(&gateway, &upstream).await;
     let requests = gateway.cut_offs.lock().remove(&upstream.id);
-    let (Some(cause), Some(requests)) = (end, requests) else {
+    let (Some(cause), Some(requests)) = (failure, requests) else {
         return;
     };
     // An upstream that has announced that it leaves ends regardless of its requests. If it
--- a/tests/gateway/lost_requests.rs
+++ b/tests/gateway/lost_requests.rs
@@ -48,16 +48,16 @@
         let mut client = RawClient::connect(daemon.clients).await.unwrap();
         let mut request = RawRequest::new(&format!("r{n}"), path, key, bytes);
         request.in_two_writes = n % 2 == 0;
-        let ending = client.ask(&request).await;
-        if ending.status() != Some(status) {
-            failures.push(format!("{path} {key} {bytes} B: {ending:?}"));
+        let outcome = client.ask(&request).await;
+        if outcome.status() != Some(status) {
+            failures.push(format!("{path} {key} {bytes} B: {outcome:?}"));
             continue;
         }
         let Some(next) = next else { continue };
         let request = RawRequest::new(&format!("n{n}"), next, "key-1", 40);
-        let ending = client.ask(&request).await;
-        if ending.status() != Some(SERVED) {
-            failures.push(format!("after {path} {key} {bytes} B: {ending:?}"));
+        let outcome = client.ask(&request).await;
+        if outcome.status() != Some(SERVED) {
+            failures.push(format!("after {path} {key} {bytes} B: {outcome:?}"));
         }
     }
     failures
@@ -105,9 +105,9 @@
     for n in 0..TRIES {
         let mut client = RawClient::connect(daemon.clients).await.unwrap();
         let request = RawRequest::new(&format!("r{n}"), "/look/x", "key-1", 400_000);
-        let ending = client.ask(&request).await;
-        if ending.status() != Some(413) {
-            failures.push(format!("{ending:?}"));
+        let outcome = client.ask(&request).await;
+        if outcome.status() != Some(413) {
+            failures.push(format!("{outcome:?}"));
         }
     }
     assert!(failures.is_empty(), "{}: {failures:#?}", failures.len());
@@ -149,16 +149,16 @@
     daemon.signal(Signal::SIGCONT);
     let mut failures = Vec::new();
     for (n, (kind, client)) in clients.iter_mut().enumerate() {
-        let ending = client.answer().await;
+        let outcome = client.answer().await;
         let was_run = runner
             .runs()
             .iter()
             .any(|run| run.attempt == format!("a{n}"));
-        match ending.status() {
+        match outcome.status() {
             Some(SERVED) if was_run => {}
             // A request that could not be completed before the process ends is refused.
             Some(NOT_RUN) if !was_run => {}
-            _ => failures.push(format!("{kind}, was run {was_run}: {ending:?}")),
+            _ => failures.push(format!("{kind}, was run {was_run}: {outcome:?}")),
         }
     }
     assert!(failures.is_empty(), "{}: {failures:#?}", failures.len());
@@ -173,8 +173,8 @@
     client.send(&request).await.unwrap();
     // The response is larger than the receive buffer of the client.
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let ending = client.answer().await;
-    assert_eq!(ending.status(), Some(SERVED), "{ending:?}");
+    let outcome = client.answer().await;
+    assert_eq!(outcome.status(), Some(SERVED), "{outcome:?}");
 }
 
 /// Guards against closing an idle connection by the timeout of an outdated configuration.
@@ -191,6 +191,6 @@
     assert_eq!(client.ask(&ask("a1")).await.status(), Some(SERVED));
     fs::write(daemon.routes_path(), with_idle(2, 20_000)).unwrap();
     tokio::time::sleep(Duration::from_secs(13)).await;
-    let ending = client.ask(&ask("a2")).await;
-    assert_eq!(ending.status(), Some(SERVED), "{ending:?}");
+    let outcome = client.ask(&ask("a2")).await;
+    assert_eq!(outcome.status(), Some(SERVED), "{outcome:?}");
 }
--- a/tests/gateway/raw_client.rs
+++ b/tests/gateway/raw_client.rs
@@ -133,9 +133,9 @@
 
     async fn read_answer(&mut self) -> RequestOutcome {
         loop {
-            if let Some((ending, used)) = parse(&self.unread) {
+            if let Some((outcome, used)) = parse(&self.unread) {
                 self.unread.drain(..used);
-                return ending;
+                return outcome;
             }
             let got = self.unread.len();
             match self.stream.read_buf(&mut self.unread).await {
@@ -163,12 +163,12 @@
         }
         None => chunks(bytes, head_end)?,
     };
-    let ending = RequestOutcome::Answered {
+    let outcome = RequestOutcome::Answered {
         status: head.split(' ').nth(1)?.parse().expect("a status"),
         body,
         says_close: header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close")),
     };
-    Some((ending, used))
+    Some((outcome, used))
 }
 
 /// Parses a chunked body if it is complete; returns it with the offset of its end.
