--- a/src/cluster/configs/config_server.rs
+++ b/src/cluster/configs/config_server.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         cluster::{ConfigAnswer, ConfigQuery, FeedError, MAX_QUERY_BYTES, decode, encode},
-        gateway::{AnswerBody, Gateway, local_response, pieces_body},
+        gateway::{AnswerBody, Gateway, chunked_body, local_response},
         routing::{RoutingConfig, pack_config},
     },
     bytes::Bytes,
@@ -123,6 +123,6 @@
         answer: &ConfigAnswer,
         permit: Option<OwnedSemaphorePermit>,
     ) -> Result<Response<AnswerBody>, FeedError> {
-        Ok(Response::new(pieces_body(encode(answer)?, permit)))
+        Ok(Response::new(chunked_body(encode(answer)?, permit)))
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -13,14 +13,14 @@
 mod engines;
 mod event_splitter;
 mod follow_file;
+mod forward_buffered;
 mod forward_stream;
-mod forward_whole;
 mod gateway_phase;
 mod gateway_state;
 mod header_names;
 mod hub_state;
 mod intake;
-mod left_upstream;
+mod leaving_upstream;
 mod limit_state;
 mod listen;
 mod metrics_page;
@@ -28,19 +28,19 @@
 mod open_request;
 mod phase_state;
 mod placement;
-mod placing;
 mod process;
 mod prompt;
 mod request_context;
+mod request_placement;
 mod rollout_state;
 mod send;
-mod send_notes;
+mod send_outcomes;
 mod source_state;
 mod upstream_signals;
 
 pub use {
     answer::*, client_connection::*, client_socket::*, event_splitter::*, follow_file::*,
     gateway_phase::*, gateway_state::*, header_names::*, hub_state::*, intake::*, listen::*,
-    metrics_page::*, open_connections::*, placement::*, placing::*, process::*, prompt::*,
-    request_context::*,
+    metrics_page::*, open_connections::*, placement::*, process::*, prompt::*, request_context::*,
+    request_placement::*,
 };
