--- a/src/cluster/membership/spoken_versions.rs
+++ b/src/cluster/membership/spoken_versions.rs
@@ -15,12 +15,12 @@
 /// the one that it speaks, and in both while nothing is known of it. Times are milliseconds
 /// of the daemon's steady clock.
 #[derive(Clone, Debug, Default)]
-pub struct SpokenVersions {
+pub struct PeerVersions {
     /// The version and when it was heard last.
     spoken: HashMap<SocketAddr, (u8, u64)>,
 }
 
-impl SpokenVersions {
+impl PeerVersions {
     /// Notes the version of what a daemon sent.
     pub fn record(&mut self, from: SocketAddr, version: u8, now_ms: u64) {
         let spoken = self.spoken.entry(from).or_insert((version, now_ms));
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -4,7 +4,7 @@
         clock::BootInstant,
         cluster::{
             ControlTraffic, DaemonEntry, EventLog, HubClient, LeavingQueue, MemberTable, PeerTable,
-            PermitClient, SpokenVersions, StandaloneQuotas, UsageAnnouncer, VersionCountTable,
+            PeerVersions, PermitClient, StandaloneQuotas, UsageAnnouncer, VersionCountTable,
         },
         conf::GatewaySettings,
         names::{FailureDomain, ServiceName, UpstreamId},
@@ -66,7 +66,7 @@
     /// What was sent to other daemons beside requests.
     pub control: ControlTraffic,
     /// Which version of the messages other daemons speak.
-    pub spoken: Mutex<SpokenVersions>,
+    pub spoken: Mutex<PeerVersions>,
     /// Requests that were cut off at upstreams which may have ended.
     pub(super) cut_offs: Mutex<CutOffs>,
     /// Connections to them.
--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -125,7 +125,7 @@
 
 #[test]
 fn each_daemon_is_told_what_it_speaks() {
-    let mut spoken = SpokenVersions::default();
+    let mut spoken = PeerVersions::default();
     assert_eq!(
         spoken.for_daemon(at(1), 0),
         &[7, 6],
@@ -180,7 +180,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let old = LANDED[rng.random_range(0..2)];
         let mut builds = [Build::Landed(old); DAEMONS];
-        let mut spoken = vec![SpokenVersions::default(); DAEMONS];
+        let mut spoken = vec![PeerVersions::default(); DAEMONS];
         let mut changed_ms = [0; DAEMONS];
         let mut last_seen_ms = [[0; DAEMONS]; DAEMONS];
         let mut cut_until_ms = 0;
@@ -191,7 +191,7 @@
                     Build::New => Build::Landed(old),
                     Build::Landed(_) => Build::New,
                 };
-                spoken[at] = SpokenVersions::default();
+                spoken[at] = PeerVersions::default();
                 changed_ms[at] = now_ms;
             }
             if now_ms >= cut_until_ms && rng.random_bool(0.01) {
