--- a/src/cluster/membership/mod.rs
+++ b/src/cluster/membership/mod.rs
@@ -8,6 +8,6 @@
 mod peer_quotas;
 mod peer_sources;
 mod peer_table;
-mod spoken_versions;
+mod peer_versions;
 
-pub use {daemon_entry::*, peer_loads::*, peer_table::*, spoken_versions::*};
+pub use {daemon_entry::*, peer_loads::*, peer_table::*, peer_versions::*};
