--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -41,7 +41,7 @@
             Ok(packet) => {
                 let version = buf[0];
                 let now_ms = gateway.steady_ms();
-                gateway.spoken.lock().record(from, version, now_ms);
+                gateway.peer_versions.lock().record(from, version, now_ms);
                 take_in(&gateway, packet, from).await;
             }
             Err(e) => log::warn!(target: "peers", "datagram refused. error=\"{e}\""),
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -66,7 +66,7 @@
     /// What was sent to other daemons beside requests.
     pub control: ControlTraffic,
     /// Which version of the messages other daemons speak.
-    pub spoken: Mutex<PeerVersions>,
+    pub peer_versions: Mutex<PeerVersions>,
     /// Requests that were cut off at upstreams which may have ended.
     pub(super) cut_offs: Mutex<CutOffs>,
     /// Connections to them.
@@ -167,7 +167,7 @@
             leaving_queue: Mutex::default(),
             permit_client: PermitClient::default(),
             control: ControlTraffic::default(),
-            spoken: Mutex::default(),
+            peer_versions: Mutex::default(),
             cut_offs: Mutex::default(),
             pool: Arc::default(),
             peers: Mutex::new(PeerTable::new(own)),
@@ -290,7 +290,7 @@
         };
         let is_known = |id: &UpstreamId| known.contains(id);
         self.pool.sweep(is_known);
-        self.spoken.lock().tick(self.steady_ms());
+        self.peer_versions.lock().tick(self.steady_ms());
         self.loads.lock().retain(is_known);
         self.limits.lock().retain(is_known);
         self.tick_rests(is_known);
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -50,7 +50,7 @@
         let Some(socket) = self.datagrams.get() else {
             return;
         };
-        let versions = self.spoken.lock().for_daemon(to, self.steady_ms());
+        let versions = self.peer_versions.lock().for_daemon(to, self.steady_ms());
         for version in versions {
             match encode_for(*version) {
                 Ok(Some(bytes)) => {
