--- a/src/cluster/membership/peer_loads.rs
+++ b/src/cluster/membership/peer_loads.rs
@@ -40,7 +40,7 @@
 
     /// Returns how many requests hubs, and those that ask them, have at an upstream whose
     /// builds know of no limits.
-    pub fn unaware_at(&self, id: &UpstreamId) -> u32 {
+    pub fn active_without_permits(&self, id: &UpstreamId) -> u32 {
         let hubs = self.known_hubs();
         let hubs = hubs.filter(|p| p.level < LIMITS_LEVEL && p.has_fresh_loads(self.now_ms));
         let loads = hubs.filter_map(|p| p.as_hub()).flat_map(|h| &h.loads.loads);
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -173,7 +173,7 @@
     /// Estimates how many requests a second daemons send to an upstream that know of no
     /// limits: by how many they have there, and for how long requests stay.
     fn unaware_per_s(&self, id: &UpstreamId) -> f64 {
-        let active = self.peers.lock().unaware_at(id);
+        let active = self.peers.lock().active_without_permits(id);
         if active == 0 {
             return 0.0;
         }
