--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -26,7 +26,7 @@
 pub(in crate::cluster) async fn announce_reports(gateway: Arc<Gateway>) {
     let mut reporter = Reporter {
         seed_backoff: SeedBackoff::new(gateway.draw()),
-        hears_hubs: false,
+        has_live_hubs: false,
         reported: (None, 0),
         alive_sent_ms: 0,
         all_requested_ms: 0,
@@ -48,7 +48,7 @@
 struct Reporter {
     gateway: Arc<Gateway>,
     seed_backoff: SeedBackoff,
-    hears_hubs: bool,
+    has_live_hubs: bool,
     /// The hub that got the last full report, and the time of that report.
     reported: (Option<SocketAddr>, u64),
     /// When the other hubs got their last report.
@@ -70,12 +70,12 @@
     }
 
     fn is_starting(&mut self, now_ms: u64) -> bool {
-        let hears_hubs = self.gateway.peers.lock().hears_hubs();
-        if self.hears_hubs && !hears_hubs {
+        let has_live_hubs = self.gateway.peers.lock().has_live_hubs();
+        if self.has_live_hubs && !has_live_hubs {
             self.seed_backoff.restart(now_ms);
         }
-        self.hears_hubs = hears_hubs;
-        now_ms < STARTING_MS || !hears_hubs
+        self.has_live_hubs = has_live_hubs;
+        now_ms < STARTING_MS || !has_live_hubs
     }
 
     /// Queries a seed for the other daemons if that is due. Returns true if it was due.
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -262,7 +262,7 @@
     }
 
     /// Returns whether any hub's digest came lately.
-    pub fn hears_hubs(&self) -> bool {
+    pub fn has_live_hubs(&self) -> bool {
         self.live_hubs().next().is_some()
     }
 
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -152,7 +152,7 @@
     fn look_for_others(&mut self, own: usize, age_ms: u64) {
         let drawn = self.rng.random();
         let daemon = &mut self.daemons[own];
-        if age_ms >= STARTING_MS && daemon.table.hears_hubs() {
+        if age_ms >= STARTING_MS && daemon.table.has_live_hubs() {
             return;
         }
         let Some(ask) = daemon.backoff.next_query(SEEDS, drawn, self.now_ms) else {
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -182,7 +182,7 @@
             .collect::<Vec<_>>()
         {
             self.tables[from].tick(1, self.now_ms);
-            if !self.tables[from].hears_hubs() || self.now_ms < 1_000 {
+            if !self.tables[from].has_live_hubs() || self.now_ms < 1_000 {
                 (0..SEEDS).for_each(|seed| self.report(from, seed));
             }
             if self.tables[from].is_hub() {
