--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -24,7 +24,7 @@
         }) / daemons as f64;
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         let named_us = timed(|n| {
-            black_box(table.named_for(&domain(n as usize), &mut rng));
+            black_box(table.sample_daemons_for(&domain(n as usize), &mut rng));
         });
         let is_hub_us = timed(|_| {
             black_box(table.is_hub());
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -228,7 +228,7 @@
 
     /// Returns daemons to name to one of a failure domain: the first ones of
     /// that domain, and some hubs of the others, drawn anew each time.
-    pub fn named_for(&self, domain: &str, rng: &mut impl Rng) -> Vec<DaemonEntry> {
+    pub fn sample_daemons_for(&self, domain: &str, rng: &mut impl Rng) -> Vec<DaemonEntry> {
         let near = self.of_domain(domain).take(NAMED_OF_DOMAIN);
         let mut named: Vec<DaemonEntry> = near.map(|p| p.entry.clone()).collect();
         let hubs = self.hubs_anywhere();
--- a/tests/decisions/fleet_size.rs
+++ b/tests/decisions/fleet_size.rs
@@ -53,7 +53,7 @@
     for daemons in SIZES {
         let table = seed_of(daemons);
         let mut rng = ChaCha8Rng::seed_from_u64(7);
-        let named = examined(&table, |t| t.named_for(&domain(3), &mut rng));
+        let named = examined(&table, |t| t.sample_daemons_for(&domain(3), &mut rng));
         assert!(named <= MOST_OF_DOMAIN + MOST_HUBS, "{daemons}: {named}");
         let is_hub = examined(&table, |t| t.is_hub());
         assert!(is_hub <= MOST_OF_DOMAIN, "{daemons}: {is_hub}");
@@ -90,7 +90,7 @@
     let is_hub = examined(&table, |t| t.is_hub());
     assert!(is_hub <= MOST_OF_DOMAIN, "{is_hub}");
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let named = table.named_for(&domain(9), &mut rng);
+    let named = table.sample_daemons_for(&domain(9), &mut rng);
     let names: Vec<&str> = named.iter().map(|entry| entry.name.as_str()).collect();
     assert_eq!(names, ["n9"], "only this one was heard since");
 }
@@ -103,13 +103,13 @@
     moved.daemon.address = address(500);
     assert!(table.apply_report(&moved, 1_100));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let there = table.named_for("elsewhere", &mut rng);
+    let there = table.sample_daemons_for("elsewhere", &mut rng);
     assert_eq!(there[0].address, address(500));
     let mut leaving = moved.clone();
     leaving.sequence = 3;
     leaving.status.is_leaving = true;
     assert!(table.apply_report(&leaving, 1_200));
-    let there = table.named_for("elsewhere", &mut rng);
+    let there = table.sample_daemons_for("elsewhere", &mut rng);
     assert!(there.iter().all(|entry| entry.domain != "elsewhere"));
     assert!(
         table.wants_digest(address(8), 0),
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -106,7 +106,7 @@
         let mut digest = Digest::new(table.own().clone(), 1, self.sequence);
         digest.interval_ms = DIGEST_MS as u32;
         digest.status.is_hub = table.is_hub();
-        digest.known = table.named_for(domain, &mut self.rng);
+        digest.known = table.sample_daemons_for(domain, &mut self.rng);
         digest
     }
 
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -142,7 +142,7 @@
         let mut digest = Digest::new(table.own().clone(), 1, self.sequence);
         digest.interval_ms = 2 * ROUND_MS as u32;
         digest.status.is_hub = table.is_hub();
-        digest.known = table.named_for(for_domain, &mut self.rng);
+        digest.known = table.sample_daemons_for(for_domain, &mut self.rng);
         digest
     }
 
