--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -40,7 +40,7 @@
         // The next digest is sent early if this hub admitted more for an account at its limit than
         // the other hubs know of.
         let early = gateway.announce_early.notified();
-        let interval = Duration::from_millis(gateway.peers.lock().digest_every_ms());
+        let interval = Duration::from_millis(gateway.peers.lock().digest_interval_ms());
         let _ = tokio::time::timeout(interval - DIGEST_PAUSE, early).await;
         tokio::time::sleep(DIGEST_PAUSE).await;
     }
@@ -58,7 +58,7 @@
             peers.hub_addresses(),
             peers.listening_hubs(),
             peers.silent_neighbours(),
-            peers.digest_every_ms(),
+            peers.digest_interval_ms(),
         )
     };
     hubs.remove(&own);
--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns the time between two digests of a hub, in milliseconds.
-    pub fn digest_every_ms(&self) -> u64 {
+    pub fn digest_interval_ms(&self) -> u64 {
         let hubs = self.reserved().count() + 1;
         DIGEST_EVERY_MS * hubs.div_ceil(FEW_HUBS) as u64
     }
