--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -64,7 +64,7 @@
     among_hubs: bool,
     to: &BTreeSet<SocketAddr>,
 ) {
-    for ends in in_parts(ends.iter().map(AnnouncedCrash::of).collect()) {
+    for ends in split_into_parts(ends.iter().map(AnnouncedCrash::of).collect()) {
         if ends.is_empty() {
             continue;
         }
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -65,7 +65,7 @@
     let digest = own_digest(gateway, gateway.domain().as_str(), interval_ms);
     let age_ms = gateway.hub_age_ms();
     let mut packets = vec![digest_packet(digest.clone())];
-    let quotas = in_parts(quota_announcer.due(gateway.tick_quotas(), listeners));
+    let quotas = split_into_parts(quota_announcer.due(gateway.tick_quotas(), listeners));
     let quotas = quotas_parts(gateway, quotas, sequence, age_ms);
     let loads = loads_parts(gateway, &gateway.led_loads(), sequence, 0);
     packets.extend(quotas.into_iter().chain(loads).map(Packet::from));
@@ -187,7 +187,7 @@
         active: *active,
         waiting_tokens: u32::try_from(*tokens).unwrap_or(u32::MAX),
     });
-    let parts = in_parts(announced.collect());
+    let parts = split_into_parts(announced.collect());
     let count = parts.len() as u32;
     let numbered = parts.into_iter().zip(0..);
     numbered
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -173,7 +173,7 @@
         announced.extend(others);
         let mut parts = Vec::new();
         let mut count = 0;
-        for part in in_parts(announced) {
+        for part in split_into_parts(announced) {
             if count > 0 && count >= used {
                 break;
             }
--- a/src/cluster/leaving/leaving_announcer.rs
+++ b/src/cluster/leaving/leaving_announcer.rs
@@ -34,7 +34,7 @@
     among_hubs: bool,
     to: &BTreeSet<SocketAddr>,
 ) {
-    for upstreams in in_parts(upstreams.iter().map(ToString::to_string).collect()) {
+    for upstreams in split_into_parts(upstreams.iter().map(ToString::to_string).collect()) {
         if upstreams.is_empty() {
             continue;
         }
--- a/src/cluster/limits/limit_announcer.rs
+++ b/src/cluster/limits/limit_announcer.rs
@@ -58,7 +58,7 @@
     among_hubs: bool,
     to: &BTreeSet<SocketAddr>,
 ) {
-    for limits in in_parts(limits.iter().map(AnnouncedLimit::of).collect()) {
+    for limits in split_into_parts(limits.iter().map(AnnouncedLimit::of).collect()) {
         if limits.is_empty() {
             continue;
         }
--- a/src/cluster/messages/datagram.rs
+++ b/src/cluster/messages/datagram.rs
@@ -132,7 +132,7 @@
 /// # Panics
 ///
 /// Doesn't: an item that can't be encoded counts as one that fills a part.
-pub fn in_parts<T: Encode>(items: Vec<T>) -> Vec<Vec<T>> {
+pub fn split_into_parts<T: Encode>(items: Vec<T>) -> Vec<Vec<T>> {
     let mut parts = vec![Vec::new()];
     let mut size = 0;
     for item in items {
--- a/src/cluster/usage/usage_announcer.rs
+++ b/src/cluster/usage/usage_announcer.rs
@@ -68,7 +68,11 @@
         let complete_before = complete_before.min(window);
         let mut split: Vec<(u64, AnnouncedCounts)> = Vec::new();
         for (window, counts) in lacking {
-            split.extend(in_parts(counts).into_iter().map(|part| (window, part)));
+            split.extend(
+                split_into_parts(counts)
+                    .into_iter()
+                    .map(|part| (window, part)),
+            );
         }
         if split.is_empty() && complete_before > view.acknowledged_before {
             split.push((window, Vec::new()));
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn what_does_not_fit_is_split_and_nothing_is_left_out() {
-    let parts = in_parts((0..300).map(told_account).collect());
+    let parts = split_into_parts((0..300).map(told_account).collect());
     let told: usize = parts.iter().map(Vec::len).sum();
     assert_eq!(told, 300);
     for quotas in parts {
@@ -42,7 +42,7 @@
         ran_ms: u32::MAX,
         is_cleared: true,
     });
-    let parts = in_parts(ends.collect());
+    let parts = split_into_parts(ends.collect());
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 24);
     for ends in parts {
         let sent = Datagram::Crashes(CrashesPart {
@@ -185,7 +185,7 @@
 
 #[test]
 fn limits_fit_whatever_the_names_of_their_upstreams() {
-    let parts = in_parts((0..24).map(told_limit).collect());
+    let parts = split_into_parts((0..24).map(told_limit).collect());
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 24);
     for limits in parts {
         let sent = Packet::from(Extension::Limits(LimitsPart {
