--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -135,7 +135,7 @@
     report.events = gateway.events.lock().to_announce(events);
     let mut packet = report_packet(report);
     if let Some(cooldowns) = gateway.cooldowns_to_announce() {
-        packet = packet.with(Extension::Rests(cooldowns));
+        packet = packet.with(Extension::Cooldowns(cooldowns));
     }
     gateway.send_packet(&packet, hub).await;
     let counted = gateway.hub_client.counted();
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -54,7 +54,7 @@
     let has_permit = packet.extensions.contains(&Extension::HasPermit);
     for extension in packet.extensions {
         match extension {
-            Extension::Rests(part) => {
+            Extension::Cooldowns(part) => {
                 if let Datagram::Report(report) = &packet.datagram {
                     gateway.apply_cooldowns(&report.daemon.name, &part);
                 }
--- a/src/cluster/messages/extension.rs
+++ b/src/cluster/messages/extension.rs
@@ -42,7 +42,7 @@
     /// The sender tells of upstreams whose answers said that they leave.
     Leaving(LeavingPart),
     /// Upstreams that want nothing from the sender, behind a report.
-    Rests(CooldownsPart),
+    Cooldowns(CooldownsPart),
 }
 
 impl Extension {
@@ -59,7 +59,7 @@
             Self::PermitAnswer(answer) => append(bytes, PERMIT_ANSWER, answer),
             Self::HasPermit => append(bytes, HAS_PERMIT, &()),
             Self::Leaving(part) => append(bytes, LEAVING, part),
-            Self::Rests(part) => append(bytes, RESTS, part),
+            Self::Cooldowns(part) => append(bytes, RESTS, part),
         }
     }
 
@@ -86,7 +86,7 @@
             PERMIT_ANSWER => read(body).map(Self::PermitAnswer),
             HAS_PERMIT => Some(Self::HasPermit),
             LEAVING => read(body).map(Self::Leaving),
-            RESTS => read(body).map(Self::Rests),
+            RESTS => read(body).map(Self::Cooldowns),
             _ => None,
         }
     }
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -107,7 +107,7 @@
             limit: None,
         }),
         Extension::HasPermit,
-        Extension::Rests(CooldownsPart {
+        Extension::Cooldowns(CooldownsPart {
             cooldowns: vec![AnnouncedCooldown {
                 upstream: "i-3".into(),
                 left_ms: 2_900,
