--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -26,7 +26,7 @@
     // It may have to ask another daemon first: nothing else waits for that.
     tokio::spawn(async move {
         let id = limit.upstream;
-        let taken = match query.is_passed_on {
+        let taken = match query.is_forwarded {
             true => gateway.issue_permit(&id),
             false => gateway.take_permit(&id, true).await,
         };
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -48,14 +48,14 @@
         gateway: &Gateway,
         issuer: SocketAddr,
         limit: AnnouncedLimit,
-        is_passed_on: bool,
+        is_forwarded: bool,
     ) -> Option<PermitAnswer> {
         let (open, answer, max_wait) = self.open(issuer, gateway.steady_ms())?;
         let asked_at = BootInstant::now();
         let query = Extension::PermitQuery(PermitQuery {
             incarnation: gateway.incarnation,
             id: open.id,
-            is_passed_on,
+            is_forwarded,
             limit,
         });
         gateway.send_packet(&query.into(), issuer).await;
--- a/src/cluster/limits/permit_query.rs
+++ b/src/cluster/limits/permit_query.rs
@@ -12,7 +12,7 @@
     /// The number of the question.
     pub id: u64,
     /// Whether it is passed on: then it is decided here, whoever issues permits.
-    pub is_passed_on: bool,
+    pub is_forwarded: bool,
     /// The limit, as the daemon knows it.
     pub limit: AnnouncedLimit,
 }
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -98,13 +98,13 @@
     }
 
     /// Takes a permit to send a request to an upstream from the daemon that issues them;
-    /// one is always there for an upstream that names no limit. `is_passed_on` says whether
+    /// one is always there for an upstream that names no limit. `is_forwarded` says whether
     /// another daemon asked this one.
     ///
     /// # Errors
     ///
     /// Returns in how many milliseconds to come again.
-    pub async fn take_permit(&self, id: &UpstreamId, is_passed_on: bool) -> Result<(), u64> {
+    pub async fn take_permit(&self, id: &UpstreamId, is_forwarded: bool) -> Result<(), u64> {
         let now_ms = self.steady_ms();
         let known = {
             let limits = self.limits.lock();
@@ -121,7 +121,7 @@
             PermitIssuer::Own => self.issue_permit(id),
             PermitIssuer::Other(issuer) => {
                 let limit = AnnouncedLimit::of(&known);
-                let answer = self.permit_client.query(self, issuer, limit, is_passed_on);
+                let answer = self.permit_client.query(self, issuer, limit, is_forwarded);
                 match answer.await {
                     Some(answer) => {
                         let known = answer.limit.as_ref().and_then(AnnouncedLimit::known);
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -96,7 +96,7 @@
         Extension::PermitQuery(PermitQuery {
             incarnation: u64::MAX,
             id: 7,
-            is_passed_on: true,
+            is_forwarded: true,
             limit: told_limit(2),
         }),
         Extension::PermitAnswer(PermitAnswer {
