--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -69,7 +69,9 @@
         self.wait_for_news(query).await;
         match told(self, query).and_then(|told| encode(&told)) {
             Ok(bytes) => {
-                self.gateway.control.record(ControlKind::News, bytes.len());
+                self.gateway
+                    .control
+                    .record(ControlKind::Updates, bytes.len());
                 Response::new(full_body(bytes))
             }
             Err(e) => {
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -63,14 +63,14 @@
 #[derive(Debug)]
 enum ReceivedDirectory {
     Changes(DirectoryChanges),
-    News(DirectoryUpdate),
+    Updates(DirectoryUpdate),
 }
 
 impl ReceivedDirectory {
     fn cursor(&self) -> DirectoryCursor {
         match self {
             Self::Changes(changes) => changes.cursor,
-            Self::News(news) => news.cursor,
+            Self::Updates(news) => news.cursor,
         }
     }
 }
@@ -94,7 +94,7 @@
 
     fn try_from(update: FeedUpdate) -> Result<Self, FeedError> {
         Ok(Self {
-            directory: ReceivedDirectory::News(update.directory()?),
+            directory: ReceivedDirectory::Updates(update.directory()?),
             incarnation: update.incarnation,
             source_age_ms: update.source_age_ms,
             config_version: update.config_version,
@@ -209,7 +209,7 @@
             daemon,
             incarnation: heard.incarnation,
             cursor: heard.directory.cursor(),
-            sends_updates: matches!(heard.directory, ReceivedDirectory::News(_)),
+            sends_updates: matches!(heard.directory, ReceivedDirectory::Updates(_)),
         });
         if let Some(config) = heard.config {
             log::info!(target: "config", "told by a daemon. version={} peer={daemon}", config.version);
@@ -224,7 +224,7 @@
         self.gateway
             .change_directory(|directory, _| match heard.directory {
                 ReceivedDirectory::Changes(changes) => directory.apply(changes),
-                ReceivedDirectory::News(news) => directory.apply_update(news),
+                ReceivedDirectory::Updates(news) => directory.apply_update(news),
             });
         if let Some(age_ms) = heard.source_age_ms {
             self.gateway.record_relayed(age_ms);
--- a/src/cluster/messages/control_traffic.rs
+++ b/src/cluster/messages/control_traffic.rs
@@ -26,7 +26,7 @@
     /// Upstreams that ended, and what stands behind empty messages.
     Crashes,
     /// News of configuration and upstreams to those that follow.
-    News,
+    Updates,
 }
 
 impl ControlKind {
@@ -40,7 +40,7 @@
         Self::Usage,
         Self::Versions,
         Self::Crashes,
-        Self::News,
+        Self::Updates,
     ];
 
     /// Returns its name in logs and metrics.
@@ -54,7 +54,7 @@
             Self::Usage => "usage",
             Self::Versions => "versions",
             Self::Crashes => "crashes",
-            Self::News => "news",
+            Self::Updates => "news",
         }
     }
 }
