--- a/src/cluster/membership/daemon_entry.rs
+++ b/src/cluster/membership/daemon_entry.rs
@@ -4,40 +4,40 @@
     std::net::SocketAddr,
 };
 
-/// Who a daemon is.
+/// The identity of a daemon.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct DaemonEntry {
-    /// The name of its box.
+    /// The name of the box that it runs on.
     pub name: String,
-    /// Its failure domain.
+    /// The failure domain that it belongs to.
     pub domain: String,
-    /// Its share of processor cores.
+    /// The processor cores available to it; may be fractional.
     pub capacity: f32,
-    /// Where it listens for other daemons.
+    /// The address at which it receives messages of other daemons.
     pub address: SocketAddr,
 }
 
 impl DaemonEntry {
-    /// Returns its place among the daemons of its failure domain.
+    /// Returns the daemon's rank, which orders the daemons of a failure domain.
     pub fn rank(&self) -> DaemonRank {
         DaemonRank::new(&self.name, self.capacity)
     }
 }
 
-/// What a daemon tells of its state.
+/// The state that a daemon announces in its digests and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub struct DaemonStatus {
-    /// The version of the configuration in force there; 0 for none.
+    /// The version of the configuration in force; 0 for none.
     pub config_version: u64,
-    /// How long ago its source answered, in milliseconds.
+    /// The time since its source last answered, in milliseconds.
     pub source_age_ms: u64,
-    /// Whether it tries to reach the source and can't.
+    /// True if the daemon tries to reach the source and fails.
     pub cut_from_source: bool,
-    /// Whether it will stop: others are asked in its place.
+    /// True if the daemon is about to stop; other daemons send their queries elsewhere.
     pub is_leaving: bool,
-    /// Whether it is a hub.
+    /// True if the daemon is a hub.
     pub is_hub: bool,
-    /// Whether it holds the duties.
+    /// True if the daemon holds the duties.
     pub holds_duties: bool,
 }
 
--- a/src/cluster/membership/mod.rs
+++ b/src/cluster/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who the other daemons are, and which of them are hubs.
+//! Membership: the other daemons, their liveness, and which of them are hubs.
 
 mod daemon_entry;
 mod peer;
--- a/src/cluster/membership/peer.rs
+++ b/src/cluster/membership/peer.rs
@@ -3,60 +3,61 @@
     std::collections::HashMap,
 };
 
-/// After how many of its own periods a daemon that was not heard counts as
-/// silent.
-const SILENT_PERIODS: f64 = 2.8;
-/// After how many it may be cut off.
-const LATE_PERIODS: f64 = 1.6;
-/// After how many of its own periods a hub's loads no longer count.
-const LOADS_PERIODS: f64 = 4.0;
-/// How long one counts as alive that others hear, in milliseconds: hubs name
-/// some of those that they hear every second or two.
-const ANNOUNCED_MS: u64 = 4_000;
-
-/// Another daemon, as one sees it. Times are milliseconds of the daemon's
-/// steady clock.
+/// A daemon counts as silent when no message of it arrived for this many of its announcement
+/// intervals.
+const SILENT_INTERVALS: f64 = 2.8;
+/// A daemon counts as late, and is possibly cut off, after this many of its announcement
+/// intervals.
+const LATE_INTERVALS: f64 = 1.6;
+/// A hub's loads are ignored after this many of its announcement intervals.
+const LOADS_INTERVALS: f64 = 4.0;
+/// How long a daemon counts as live after another daemon named it, in milliseconds. Hubs name some
+/// of the daemons that they receive messages from every second or two.
+const ANNOUNCED_LIVE_MS: u64 = 4_000;
+
+/// Another daemon, as this daemon knows it. Times are milliseconds of this daemon's steady clock.
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// Who it is.
+    /// The peer's identity.
     pub(super) entry: DaemonEntry,
-    /// Its place among those of its failure domain.
+    /// Its rank among the daemons of its failure domain.
     pub(super) rank: DaemonRank,
-    /// Which life of it was heard.
+    /// The incarnation that sent the newest message; 0 before the first one.
     pub(super) incarnation: u64,
-    /// When it was heard last.
+    /// When its last message arrived; none if no message arrived yet.
     pub(super) last_seen_ms: Option<u64>,
-    /// When another told last that it hears it.
+    /// When another daemon last named it as live.
     announced_ms: Option<u64>,
-    /// How often it tells of itself, in milliseconds.
+    /// The interval between its digests or reports, as it announces it, in milliseconds.
     interval_ms: u64,
-    /// Its state, as told last.
+    /// Its state, as it announced it last.
     pub(super) status: DaemonStatus,
-    /// What it told as a hub.
+    /// What it announced as a hub; none before its first digest.
     pub(super) hub: Option<HubView>,
-    /// The number of its last report.
+    /// The sequence number of its last report.
     report_sequence: u64,
-    /// Up to which kind of extension it knows all.
+    /// Its extension level: it supports all extensions that exist at this level.
     pub(super) level: u8,
 }
 
-/// What a hub told.
+/// The state that a hub announced.
 #[derive(Debug)]
 pub(super) struct HubView {
-    /// The newest digest.
+    /// The hub's newest digest.
     pub(super) digest: Digest,
-    /// The accounts, as told last, and when that was: some are told more seldom.
+    /// The quota state of client accounts, and when each arrived: some accounts are announced less
+    /// often than others.
     pub(super) quotas: HashMap<ClientAccount, (AnnouncedAccount, u64)>,
     quotas_sequence: u64,
-    /// What it has at upstreams.
+    /// The requests that it has at upstreams.
     pub(super) loads: ReceivedLoads,
-    /// When that was told whole last.
+    /// When the last complete set of its loads arrived.
     pub(super) loads_ms: u64,
 }
 
 impl Peer {
-    /// Starts with its name, known by what others say.
-    pub(super) fn told(entry: DaemonEntry, now_ms: u64) -> Self {
+    /// Creates a peer that only other daemons have announced so far.
+    pub(super) fn from_announcement(entry: DaemonEntry, now_ms: u64) -> Self {
         Self {
             rank: entry.rank(),
             entry,
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Notes that another daemon hears it.
+    /// Records that another daemon named this peer as live. The entry is replaced only while the
+    /// peer itself has sent nothing.
     pub(super) fn record_announced(&mut self, entry: DaemonEntry, now_ms: u64) {
         self.announced_ms = Some(now_ms);
         if self.last_seen_ms.is_none() {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Takes in a digest; returns whether it is news.
+    /// Applies a digest. Returns false if it is not newer than the last one.
     pub(super) fn apply_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
         let known = self.hub.as_ref().map(|hub| &hub.digest);
         if known
@@ -107,7 +109,7 @@
         true
     }
 
-    /// Takes in a report; returns whether it is news.
+    /// Applies a report. Returns false if it is not newer than the last one.
     pub(super) fn apply_report(&mut self, report: &Report, now_ms: u64) -> bool {
         if self.incarnation == report.incarnation && report.sequence <= self.report_sequence {
             return false;
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Takes in what it tells of quotas; returns whether it is news. Parts of
-    /// one telling have the same number.
+    /// Applies the quota state that the hub announced. Returns false if the part is outdated or of
+    /// another incarnation. All parts of one announcement have the same sequence number.
     pub(super) fn apply_quotas(&mut self, part: &QuotasPart, now_ms: u64) -> bool {
         let incarnation = self.incarnation;
         let Some(hub) = self
@@ -150,72 +152,72 @@
             return false;
         }
         hub.quotas_sequence = part.sequence;
-        for told in &part.quotas {
-            let account = ClientAccount::from(told.name.as_str());
-            hub.quotas.insert(account, (told.clone(), now_ms));
+        for announced in &part.quotas {
+            let account = ClientAccount::from(announced.name.as_str());
+            hub.quotas.insert(account, (announced.clone(), now_ms));
         }
         true
     }
 
-    /// Returns what it told, if it is a hub.
+    /// Returns the state that the peer announced as a hub, or none if it is no hub now.
     pub(super) fn as_hub(&self) -> Option<&HubView> {
         self.hub.as_ref().filter(|_| self.status.is_hub)
     }
 
-    /// Returns whether it issues permits for upstreams that name a limit: a hub that
-    /// stays, of a build that knows of them.
+    /// Returns whether the peer issues permits for upstreams that name a limit: it is a live hub
+    /// that is not leaving, and its build supports limits.
     pub(super) fn issues_permits(&self, now_ms: u64) -> bool {
         self.as_hub().is_some() && self.is_candidate(now_ms) && self.level >= LIMITS_LEVEL
     }
 
-    /// Returns how many daemons let requests in through it.
+    /// Returns how many daemons send their admission queries to this hub; 0 if it is none.
     pub(super) fn dependents(&self) -> u32 {
         self.as_hub().map_or(0, |hub| hub.digest.dependents)
     }
 
-    /// Returns whether it is alive: by what was heard of it, or by what others
-    /// say where it doesn't talk to this daemon.
+    /// Returns whether the peer is live: by its own messages, or, if it never sent one to this
+    /// daemon, by the announcements of others.
     pub(super) fn is_live(&self, now_ms: u64) -> bool {
         match self.last_seen_ms {
             Some(_) => !self.is_silent(now_ms),
             None => self
                 .announced_ms
-                .is_some_and(|told| now_ms < told + ANNOUNCED_MS),
+                .is_some_and(|at_ms| now_ms < at_ms + ANNOUNCED_LIVE_MS),
         }
     }
 
-    /// Returns whether others may be sent to it: it is alive and stays.
+    /// Returns whether the peer can be a hub or be named to others: it is live and not leaving.
     pub(super) fn is_candidate(&self, now_ms: u64) -> bool {
         self.is_live(now_ms) && !self.status.is_leaving
     }
 
-    /// Returns whether it has been silent for too long.
+    /// Returns whether the peer counts as silent.
     pub(super) fn is_silent(&self, now_ms: u64) -> bool {
-        self.is_older(SILENT_PERIODS, now_ms)
+        self.is_overdue(SILENT_INTERVALS, now_ms)
     }
 
-    /// Returns whether it may be cut off.
+    /// Returns whether the peer is late, and so possibly cut off.
     pub(super) fn is_late(&self, now_ms: u64) -> bool {
-        self.is_older(LATE_PERIODS, now_ms)
+        self.is_overdue(LATE_INTERVALS, now_ms)
     }
 
-    /// Returns whether its loads still count.
+    /// Returns whether the hub's loads are recent enough to be counted.
     pub(super) fn has_fresh_loads(&self, now_ms: u64) -> bool {
-        self.as_hub().is_some() && !self.is_older(LOADS_PERIODS, now_ms)
+        self.as_hub().is_some() && !self.is_overdue(LOADS_INTERVALS, now_ms)
     }
 
-    /// Returns whether it was heard last some of its periods ago. The period is
-    /// its own, as it tells it: it grows with the number of hubs that it knows,
-    /// which differ while daemons start.
-    fn is_older(&self, periods: f64, now_ms: u64) -> bool {
+    /// Returns whether no message of the peer arrived for a number of its announcement intervals.
+    /// The interval is the one that the peer announces: it grows with the number of hubs that the
+    /// peer knows, which differs among daemons while they start.
+    fn is_overdue(&self, intervals: f64, now_ms: u64) -> bool {
         let Some(last_seen_ms) = self.last_seen_ms else {
             return true;
         };
-        now_ms.saturating_sub(last_seen_ms) as f64 >= self.interval_ms as f64 * periods
+        now_ms.saturating_sub(last_seen_ms) as f64 >= self.interval_ms as f64 * intervals
     }
 
-    /// Returns when it was last heard or told of.
-    pub(super) fn last_ms(&self) -> u64 {
+    /// Returns when the peer was last seen or named by another daemon.
+    pub(super) fn last_known_ms(&self) -> u64 {
         self.last_seen_ms.max(self.announced_ms).unwrap_or(0)
     }
 }
--- a/src/cluster/membership/peer_loads.rs
+++ b/src/cluster/membership/peer_loads.rs
@@ -8,23 +8,23 @@
     std::net::SocketAddr,
 };
 
-/// Who issues the permits of an upstream that names a limit.
+/// The daemon that issues the permits of an upstream that names a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitIssuer {
     /// This daemon.
     Own,
-    /// Another one.
+    /// Another daemon, by its address.
     Other(SocketAddr),
-    /// None that this daemon hears.
+    /// No live daemon that is known here issues permits.
     Nobody,
 }
 
-/// What is known of upstreams from the other hubs.
+/// The state of upstreams, as the other hubs announce it.
 impl PeerTable {
-    /// Returns who issues the permits of an upstream that names a limit, by the hash of
-    /// its name and its failure domain: a hub of that domain, if there is one. Whoever is
-    /// cut off from it is cut off from the upstream, too, as a rule. All daemons that know
-    /// the same hubs return the same one.
+    /// Returns the issuer of the permits of an upstream that names a limit. It is chosen by the
+    /// hash of the upstream's name among the hubs of its failure domain, or among all hubs if
+    /// that domain has none: a daemon that is cut off from a hub of that domain is usually cut
+    /// off from the upstream, too. All daemons that know the same hubs choose the same issuer.
     pub fn permit_issuer(&self, upstream: u64, domain: &str, own_issues: bool) -> PermitIssuer {
         let key = |rank: DaemonRank, at: &str| (at == domain, home_rank(rank.drawn(), upstream));
         let others = self.known_hubs();
@@ -38,8 +38,8 @@
         first.map_or(PermitIssuer::Nobody, |(_, issuer)| issuer)
     }
 
-    /// Returns how many requests hubs, and those that ask them, have at an upstream whose
-    /// builds know of no limits.
+    /// Returns how many requests are at an upstream from hubs whose builds don't support limits,
+    /// and from the dependents of these hubs.
     pub fn active_without_permits(&self, id: &UpstreamId) -> u32 {
         let hubs = self.known_hubs();
         let hubs = hubs.filter(|p| p.level < LIMITS_LEVEL && p.has_fresh_loads(self.now_ms));
@@ -48,8 +48,8 @@
         there.map(|(_, active, _)| *active).sum()
     }
 
-    /// Returns how many other hubs' loads count, and how old they are in sum, in
-    /// milliseconds.
+    /// Returns the number of other hubs whose loads are counted, and the sum of the ages of these
+    /// loads, in milliseconds.
     pub fn loads_ages(&self) -> (u64, u64) {
         let fresh = self.known_hubs();
         let fresh = fresh.filter(|p| p.has_fresh_loads(self.now_ms));
@@ -58,37 +58,36 @@
         ages.fold((0, 0), |(count, sum), age_ms| (count + 1, sum + age_ms))
     }
 
-    /// Tells what other hubs, and those that ask them, have at upstreams: requests
-    /// and waiting prompt tokens.
-    pub fn each_load(&self, mut tell: impl FnMut(&UpstreamId, u32, u64)) {
+    /// Calls `visit` with each upstream at which other hubs or their dependents have requests, the
+    /// number of these requests, and their waiting prompt tokens.
+    pub fn each_load(&self, mut visit: impl FnMut(&UpstreamId, u32, u64)) {
         let mut cached = self.loads.borrow_mut();
-        let told = cached.get_or_insert_with(|| {
-            let mut told = LoadSums::default();
+        let sums = cached.get_or_insert_with(|| {
+            let mut sums = LoadSums::default();
             let fresh = self.known_hubs();
             let fresh = fresh.filter(|p| p.has_fresh_loads(self.now_ms));
             for hub in fresh.filter_map(|p| p.as_hub()) {
                 for (id, active, tokens) in &hub.loads.loads {
-                    add_load(&mut told, id, *active, *tokens);
+                    add_load(&mut sums, id, *active, *tokens);
                 }
             }
-            told
+            sums
         });
-        for (id, (active, tokens)) in told.iter() {
-            tell(id, *active, *tokens);
+        for (id, (active, tokens)) in sums.iter() {
+            visit(id, *active, *tokens);
         }
     }
 
-    /// Returns the work that other live hubs were offered a second.
+    /// Returns the work per second that other live hubs were offered for a service.
     pub fn demand_of(&self, service: &str) -> f64 {
-        let told = self.live_hubs().flat_map(|d| &d.demand);
-        let told = told.filter(|(name, _)| name == service);
-        told.map(|(_, per_s)| f64::from(*per_s)).sum()
+        let offered = self.live_hubs().flat_map(|d| &d.demand);
+        let offered = offered.filter(|(name, _)| name == service);
+        offered.map(|(_, per_s)| f64::from(*per_s)).sum()
     }
 
-    /// Returns what other live hubs learned of how fast a service's engines
-    /// read.
+    /// Returns the prompt reading speeds of a service's engines that other live hubs measured.
     pub fn reading_speeds(&self, service: &str) -> Vec<ReadingSpeed> {
-        let told = self.live_hubs().filter_map(|d| d.reading_speed(service));
-        told.collect()
+        let speeds = self.live_hubs().filter_map(|d| d.reading_speed(service));
+        speeds.collect()
     }
 }
--- a/src/cluster/membership/peer_quotas.rs
+++ b/src/cluster/membership/peer_quotas.rs
@@ -7,41 +7,40 @@
     std::collections::HashMap,
 };
 
-/// The time between two digests of a small system's hub, in milliseconds.
-const DIGEST_EVERY_MS: u64 = 250;
-/// With how many hubs the time between digests begins to grow, so that what
-/// each has to hear stays bounded.
-const FEW_HUBS: usize = 20;
-/// How long a silent hub's part of the quotas stays its own, in milliseconds.
-const RESERVED_MS: u64 = 30_000;
-/// Of those that let requests in through a hub, how many must have gone over to
-/// another for that one to have taken its place.
-const TAKEN_OVER_PART: f64 = 0.5;
+/// The interval between two digests of a hub in a small fleet, in milliseconds.
+const BASE_DIGEST_INTERVAL_MS: u64 = 250;
+/// Above this number of hubs the interval between digests grows, so that the number of digests that
+/// each hub receives per second stays bounded.
+const HUBS_AT_BASE_INTERVAL: usize = 20;
+/// How long a silent hub's share of the quotas stays share_holders for it, in milliseconds.
+const SHARE_RESERVATION_MS: u64 = 30_000;
+/// The fraction of a hub's dependents that another hub must have for it to count as the replacement
+/// of that hub.
+const TAKEOVER_FRACTION: f64 = 0.5;
 
-/// What is known of the other hubs' parts of quotas.
+/// The other hubs' shares of the quotas.
 impl PeerTable {
-    /// Returns how many daemons there are, this one included, as far as is
-    /// known.
+    /// Returns the number of known daemons, this one included.
     pub fn daemons(&self) -> usize {
-        let hubs: Vec<&Peer> = self.reserved().collect();
+        let hubs: Vec<&Peer> = self.share_holders().collect();
         if self.is_hub() {
             let others: u32 = hubs.iter().map(|p| p.dependents().max(1)).sum();
             return (others + self.own_dependents) as usize;
         }
-        let told = self.live_hubs().map(|d| d.daemons as usize).max();
-        told.unwrap_or(0).max(hubs.len() + 1)
+        let announced = self.live_hubs().map(|d| d.daemons as usize).max();
+        announced.unwrap_or(0).max(hubs.len() + 1)
     }
 
-    /// Returns what is known of the other hubs, by client account.
+    /// Returns the other hubs that share each client account's quota, with their liveness.
     pub fn quota_daemons(&self) -> HashMap<ClientAccount, Vec<OtherDaemon>> {
         let mut daemons: HashMap<ClientAccount, Vec<OtherDaemon>> = HashMap::new();
-        for peer in self.reserved() {
+        for peer in self.share_holders() {
             let Some(hub) = peer.as_hub() else { continue };
             let replaced = self.is_replaced_here(peer);
-            for (account, (told, _)) in &hub.quotas {
+            for (account, (announced, _)) in &hub.quotas {
                 let other = OtherDaemon {
                     node: peer.entry.name.clone(),
-                    weight: f64::from(told.weight),
+                    weight: f64::from(announced.weight),
                     last_seen_ms: peer.last_seen_ms.unwrap_or(0),
                     late: !replaced && peer.is_late(self.now_ms),
                     silent: !replaced && peer.is_silent(self.now_ms),
@@ -58,55 +57,56 @@
         daemons
     }
 
-    /// Returns what this daemon was told of an account's quota by the hub that
-    /// told it last.
+    /// Returns the newest state of an account's quota that a hub announced to this daemon.
     pub fn received_quota(&self, account: &ClientAccount) -> Option<ReceivedQuota> {
         let hubs = self.known_hubs().filter_map(|p| p.as_hub());
-        let told = hubs.filter_map(|hub| hub.quotas.get(account));
-        let (told, at_ms) = told.max_by_key(|(_, at_ms)| *at_ms)?;
+        let announced = hubs.filter_map(|hub| hub.quotas.get(account));
+        let (newest, at_ms) = announced.max_by_key(|(_, at_ms)| *at_ms)?;
         Some(ReceivedQuota {
-            level: f64::from(told.level),
-            demand: f64::from(told.demand),
+            level: f64::from(newest.level),
+            demand: f64::from(newest.demand),
             at_ms: *at_ms,
         })
     }
 
-    /// Returns whether most of those that let requests in through a hub that is
-    /// late do so through this one now: its part of the quotas is this one's.
+    /// Returns whether this daemon replaces a late hub of its own failure domain: it has enough of
+    /// that hub's dependents now, and takes over the hub's share of the quotas.
     fn is_replaced_here(&self, peer: &Peer) -> bool {
         peer.entry.domain == self.own.domain
             && peer.is_late(self.now_ms)
-            && took_over(self.own_dependents, peer.dependents())
+            && has_taken_over(self.own_dependents, peer.dependents())
     }
 
-    /// The same for any other hub of its failure domain.
+    /// Returns whether another live hub of its failure domain replaces a late hub in the same way.
     fn is_replaced_there(&self, peer: &Peer) -> bool {
         peer.is_late(self.now_ms)
             && self.known_hubs().any(|other| {
                 other.entry.domain == peer.entry.domain
                     && other.is_live(self.now_ms)
                     && !other.is_late(self.now_ms)
-                    && took_over(other.dependents(), peer.dependents())
+                    && has_taken_over(other.dependents(), peer.dependents())
             })
     }
 
-    /// Hubs whose part of the quotas is their own.
-    pub(super) fn reserved(&self) -> impl Iterator<Item = &Peer> {
-        let heard = self.known_hubs().filter(|p| {
+    /// Returns the hubs whose share of the quotas is share_holders for them: they sent a message within
+    /// [`SHARE_RESERVATION_MS`], and no other hub has replaced them.
+    pub(super) fn share_holders(&self) -> impl Iterator<Item = &Peer> {
+        let recent = self.known_hubs().filter(|p| {
             p.last_seen_ms
-                .is_some_and(|heard| self.now_ms < heard + RESERVED_MS)
+                .is_some_and(|at_ms| self.now_ms < at_ms + SHARE_RESERVATION_MS)
         });
-        heard.filter(|p| !self.is_replaced_there(p))
+        recent.filter(|p| !self.is_replaced_there(p))
     }
 
-    /// Returns the time between two digests of a hub, in milliseconds.
+    /// Returns the interval between two digests of a hub, in milliseconds. It grows with the number
+    /// of hubs.
     pub fn digest_interval_ms(&self) -> u64 {
-        let hubs = self.reserved().count() + 1;
-        DIGEST_EVERY_MS * hubs.div_ceil(FEW_HUBS) as u64
+        let hubs = self.share_holders().count() + 1;
+        BASE_DIGEST_INTERVAL_MS * hubs.div_ceil(HUBS_AT_BASE_INTERVAL) as u64
     }
 }
 
-fn took_over(dependents: u32, before: u32) -> bool {
-    // One that nobody else lets requests in through has nothing to take over.
-    before > 1 && f64::from(dependents) >= f64::from(before) * TAKEN_OVER_PART
+fn has_taken_over(dependents: u32, before: u32) -> bool {
+    // A hub without dependents other than itself has nothing to take over.
+    before > 1 && f64::from(dependents) >= f64::from(before) * TAKEOVER_FRACTION
 }
--- a/src/cluster/membership/peer_table.rs
+++ b/src/cluster/membership/peer_table.rs
@@ -13,13 +13,14 @@
     },
 };
 
-/// After how long without news a daemon is forgotten, in milliseconds.
-const FORGOTTEN_MS: u64 = 60_000;
-/// How many daemons of a failure domain are named to one that asks: its hubs,
-/// and those that come next.
-const NAMED_OF_DOMAIN: usize = 6;
-
-/// The other daemons, by what they told last. Times are milliseconds of the
+/// After this time without a message of a daemon, or an announcement of it by others, the daemon is
+/// removed from the table, in milliseconds.
+const RETENTION_MS: u64 = 60_000;
+/// How many daemons of its own failure domain are named to a daemon: the hubs, and those next in
+/// rank.
+const MAX_DOMAIN_SAMPLE: usize = 6;
+
+/// The other daemons, with the state that they announced last. Times are milliseconds of this
 /// daemon's steady clock.
 #[derive(Debug)]
 pub struct PeerTable {
@@ -28,17 +29,18 @@
     pub(super) own_dependents: u32,
     pub(super) peers: BTreeMap<Arc<str>, Peer>,
     pub(super) index: PeerIndex,
-    /// How many peers were looked at so far.
+    /// The number of peers that lookups have examined so far.
     examined: Cell<u64>,
-    /// Daemons that were told a configuration lately, by what tellers say.
+    /// The newest configuration version that each daemon has or is about to receive, as announced.
+    /// Holds only daemons with the newest of these versions.
     pub(super) announced_config: HashMap<SocketAddr, u64>,
     pub(super) now_ms: u64,
-    /// The loads of all other hubs; none after a change.
+    /// The cached sum of the loads of all other hubs; none after a change.
     pub(super) loads: RefCell<Option<LoadSums>>,
 }
 
 impl PeerTable {
-    /// Makes the table of a daemon.
+    /// Creates the table of a daemon, without peers.
     pub fn new(own: DaemonEntry) -> Self {
         Self {
             own_rank: own.rank(),
@@ -53,12 +55,12 @@
         }
     }
 
-    /// Returns who this daemon is.
+    /// Returns the identity of this daemon.
     pub fn own(&self) -> &DaemonEntry {
         &self.own
     }
 
-    /// Takes in a digest; returns whether it is news.
+    /// Applies a digest. Returns false if it is not newer than the last one of its sender.
     pub fn apply_digest(&mut self, digest: Digest, now_ms: u64) -> bool {
         self.now_ms = self.now_ms.max(now_ms);
         if digest.daemon.name == self.own.name {
@@ -77,19 +79,20 @@
         true
     }
 
-    /// Takes in a report; returns whether it is news.
+    /// Applies a report. Returns false if it is not newer than the last one of its sender.
     pub fn apply_report(&mut self, report: &Report, now_ms: u64) -> bool {
         self.now_ms = self.now_ms.max(now_ms);
         self.change(&report.daemon, |peer| peer.apply_report(report, now_ms))
     }
 
-    /// Takes in what a hub tells of quotas; returns whether it is news.
+    /// Applies the quota state that a hub announced. Returns false if it is outdated or its sender
+    /// is unknown.
     pub fn apply_quotas(&mut self, part: &QuotasPart, now_ms: u64) -> bool {
         let peer = self.peers.get_mut(part.name.as_str());
         peer.is_some_and(|p| p.apply_quotas(part, now_ms))
     }
 
-    /// Takes in what a hub has at upstreams; returns whether it is one.
+    /// Applies the loads that a daemon announced. Returns false if the sender is no hub.
     pub fn apply_loads(&mut self, part: &LoadsPart, now_ms: u64) -> bool {
         let peer = self.peers.get_mut(part.name.as_str());
         let hub = peer
@@ -105,27 +108,27 @@
         true
     }
 
-    /// Changes what is known of a peer, which is made if there is none yet.
+    /// Changes a peer, which is created if it is unknown, and updates the index.
     fn change<T>(&mut self, entry: &DaemonEntry, change: impl FnOnce(&mut Peer) -> T) -> T {
         let known = self.peers.get_key_value(entry.name.as_str());
         let name = known.map_or_else(|| entry.name.as_str().into(), |(name, _)| name.clone());
         let now_ms = self.now_ms;
-        let told = || Peer::told(entry.clone(), now_ms);
-        let peer = self.peers.entry(name.clone()).or_insert_with(told);
+        let create = || Peer::from_announcement(entry.clone(), now_ms);
+        let peer = self.peers.entry(name.clone()).or_insert_with(create);
         self.index.remove(&name, peer);
         let changed = change(peer);
         self.index.add(&name, peer);
         changed
     }
 
-    /// Notes the time and how many daemons let requests in through this one,
-    /// and forgets daemons that have long been silent.
+    /// Sets the time and the number of daemons that send their admission queries to this one, and
+    /// removes daemons that were silent for [`RETENTION_MS`].
     pub fn tick(&mut self, dependents: u32, now_ms: u64) {
         self.now_ms = now_ms;
         self.own_dependents = dependents;
         let index = &mut self.index;
         self.peers.retain(|name, peer| {
-            let is_kept = now_ms < peer.last_ms() + FORGOTTEN_MS;
+            let is_kept = now_ms < peer.last_known_ms() + RETENTION_MS;
             match is_kept {
                 true if peer.is_candidate(now_ms) => {}
                 true => index.unrank(name, peer),
@@ -136,7 +139,7 @@
         self.loads.take();
     }
 
-    /// Returns how many peers this table looked at so far to answer what it was asked.
+    /// Returns the number of peers that lookups in this table have examined so far.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
@@ -145,7 +148,7 @@
         self.examined.set(self.examined.get() + 1);
     }
 
-    /// Returns peers of the index.
+    /// Returns the peers with these names.
     pub(super) fn named<'a>(
         &'a self,
         names: impl Iterator<Item = &'a Arc<str>>,
@@ -154,69 +157,75 @@
         peers.inspect(|_| self.count_examined())
     }
 
-    /// Returns all peers.
+    /// Returns all peers, including silent ones.
     pub(super) fn all(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values().inspect(|_| self.count_examined())
     }
 
-    /// Returns those that said last that they are hubs.
+    /// Returns the peers whose last digest or report says that they are hubs, including silent
+    /// ones.
     pub(super) fn known_hubs(&self) -> impl Iterator<Item = &Peer> {
         self.named(self.index.hubs())
     }
 
-    /// Returns whether this daemon is a hub of its failure domain: it decides
-    /// for itself, and for those that ask it.
+    /// Returns whether this daemon is a hub of its failure domain: it admits and places its own
+    /// requests, and those of the daemons that query it.
     pub fn is_hub(&self) -> bool {
-        let first = self.of_domain(&self.own.domain).take(HUBS_PER_DOMAIN);
+        let first = self
+            .domain_candidates(&self.own.domain)
+            .take(HUBS_PER_DOMAIN);
         let ahead = first.filter(|p| p.rank > self.own_rank);
         ahead.count() < HUBS_PER_DOMAIN
     }
 
-    /// Returns the hubs of the daemon's failure domain, the first to ask first.
+    /// Returns the hubs of the own failure domain, in the order in which they are queried.
     pub fn own_hubs(&self) -> Vec<SocketAddr> {
         let hubs = self.hubs_of(&self.own.domain);
         hubs.map(|p| p.entry.address).collect()
     }
 
-    /// Returns the daemons of the own failure domain that are no hubs.
+    /// Returns the live daemons of the own failure domain that are not hubs.
     pub fn own_members(&self) -> BTreeSet<SocketAddr> {
-        let there = self.of_domain(&self.own.domain);
+        let there = self.domain_candidates(&self.own.domain);
         let members = there.filter(|p| p.as_hub().is_none());
         members.map(|p| p.entry.address).collect()
     }
 
     fn hubs_of<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a Peer> {
-        self.of_domain(domain).take(HUBS_PER_DOMAIN)
+        self.domain_candidates(domain).take(HUBS_PER_DOMAIN)
     }
 
-    /// Returns the live daemons of a failure domain that stay, in the order in which they
-    /// are its hubs.
-    pub(super) fn of_domain<'a>(&'a self, domain: &'a str) -> impl Iterator<Item = &'a Peer> {
+    /// Returns the live daemons of a failure domain that are not leaving, highest rank first: the
+    /// first ones are its hubs.
+    pub(super) fn domain_candidates<'a>(
+        &'a self,
+        domain: &'a str,
+    ) -> impl Iterator<Item = &'a Peer> {
         let ranked = self.named(self.index.ranked(domain));
         ranked.filter(|p| p.is_candidate(self.now_ms))
     }
 
-    /// Returns those that are hubs by their place, and those that said that they are.
+    /// Returns the peers that are hubs by their rank, and those that announce that they are.
     fn hubs_anywhere(&self) -> impl Iterator<Item = &Peer> {
         let placed = self.index.domains().flat_map(|d| self.hubs_of(d));
         placed.chain(self.known_hubs())
     }
 
-    /// Returns where a hub's digests go to: to the hubs of all failure domains,
-    /// and to those that were, as long as they may only be cut off.
+    /// Returns the addresses to which a hub sends its digests: the hubs of all failure domains,
+    /// and former hubs that may only be cut off.
     pub fn hub_addresses(&self) -> BTreeSet<SocketAddr> {
         self.hubs_anywhere().map(|p| p.entry.address).collect()
     }
 
-    /// Returns which lives of other hubs this one tells. One that is silent for a while is
-    /// the same listener when it is heard again.
+    /// Returns the incarnations of other hubs that receive this hub's digests. A hub that is silent
+    /// for a while is the same listener when its messages arrive again.
     pub fn listening_hubs(&self) -> BTreeSet<Listener> {
-        let heard = self.hubs_anywhere().filter(|p| p.last_seen_ms.is_some());
-        heard.map(|p| (p.entry.address, p.incarnation)).collect()
+        let seen = self.hubs_anywhere().filter(|p| p.last_seen_ms.is_some());
+        seen.map(|p| (p.entry.address, p.incarnation)).collect()
     }
 
-    /// Returns the daemons of the own failure domain that fell silent: one that
-    /// starts again hears of the others by being told.
+    /// Returns the daemons of the own failure domain that became silent. They still get digests, so
+    /// that a daemon that restarts learns of the others.
     pub fn silent_neighbours(&self) -> Vec<SocketAddr> {
         let silent = self.all().filter(|p| {
             p.entry.domain == self.own.domain
@@ -226,10 +235,10 @@
         silent.map(|p| p.entry.address).collect()
     }
 
-    /// Returns daemons to name to one of a failure domain: the first ones of
-    /// that domain, and some hubs of the others, drawn anew each time.
+    /// Returns daemons to name to a daemon of a failure domain: the highest-ranked ones of that
+    /// domain, and a random sample of the hubs of the other domains.
     pub fn sample_daemons_for(&self, domain: &str, rng: &mut impl Rng) -> Vec<DaemonEntry> {
-        let near = self.of_domain(domain).take(NAMED_OF_DOMAIN);
+        let near = self.domain_candidates(domain).take(MAX_DOMAIN_SAMPLE);
         let mut named: Vec<DaemonEntry> = near.map(|p| p.entry.clone()).collect();
         let hubs = self.hubs_anywhere();
         let far = hubs.filter(|p| p.entry.domain != domain && p.is_candidate(self.now_ms));
@@ -240,44 +249,45 @@
         named
     }
 
-    /// Notes up to which kind of extension a daemon knows all, as its digests and reports
-    /// tell. One that doesn't tell may only have had no room for it, or have said the same
-    /// in an earlier version beside: for the rest of its life it knows what it knew.
+    /// Records the extension level that a daemon's digest or report names. The level of an
+    /// incarnation never decreases: a datagram without a level may only have had no room for it,
+    /// or be the copy of the message in an earlier version.
     pub fn record_level(&mut self, name: &str, level: u8) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.level = peer.level.max(level);
         }
     }
 
-    /// Returns up to which kind of extension the daemon at an address knows all; zero if it
-    /// has not told that.
+    /// Returns the extension level of the daemon at an address; 0 if it has named none.
     pub fn level_at(&self, address: SocketAddr) -> u8 {
         let peer = self.named(self.index.at(address).into_iter()).next();
         peer.map_or(0, |p| p.level)
     }
 
-    /// Returns the addresses of daemons that are alive.
+    /// Returns the addresses of all live daemons.
     pub fn live_addresses(&self) -> Vec<SocketAddr> {
         self.live().map(|p| p.entry.address).collect()
     }
 
-    /// Returns whether any hub's digest came lately.
+    /// Returns whether any other hub is live.
     pub fn has_live_hubs(&self) -> bool {
         self.live_hubs().next().is_some()
     }
 
-    /// Returns whether a digest is due from a hub at an address, if the newest
-    /// is `wanted_ms` old.
+    /// Returns whether to request a digest from the hub at an address: its last message is
+    /// `wanted_ms` old, or none arrived yet.
     pub fn wants_digest(&self, hub: SocketAddr, wanted_ms: u64) -> bool {
         let peer = self.named(self.index.at(hub).into_iter()).next();
         let last_seen_ms = peer.and_then(|p| p.last_seen_ms);
-        last_seen_ms.is_none_or(|heard| self.now_ms >= heard + wanted_ms)
+        last_seen_ms.is_none_or(|at_ms| self.now_ms >= at_ms + wanted_ms)
     }
 
+    /// Returns the live peers.
     pub(super) fn live(&self) -> impl Iterator<Item = &Peer> {
         self.all().filter(|p| p.is_live(self.now_ms))
     }
 
+    /// Returns the digests of the live hubs.
     pub(super) fn live_hubs(&self) -> impl Iterator<Item = &Digest> {
         let live = self.known_hubs().filter(|p| p.is_live(self.now_ms));
         live.filter_map(|p| p.as_hub().map(|hub| &hub.digest))
