--- a/src/cluster/limits/limit_announcer.rs
+++ b/src/cluster/limits/limit_announcer.rs
@@ -3,29 +3,30 @@
     std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How often news of limits are told. What a daemon hears binds all after some of these: it
-/// tells its hubs, these the other hubs, these those that report to them.
-const TELL_EVERY: Duration = Duration::from_millis(200);
-/// How many limits are told at a time: one datagram full, or 5 KB/s to each that is told,
-/// and only while limits change.
-const MOST_TOLD: usize = 24;
-/// After how many of these times a hub tells other hubs of limits in force, news or not:
-/// some were cut off, or were not there.
-const IN_FORCE_EVERY: u64 = 3;
-/// How many hubs are told then, drawn anew each time.
-const HUBS_TOLD: usize = 3;
+/// The interval between announcements of changed limits. A limit takes a few intervals to reach all
+/// daemons: from a daemon to its hubs, from these to the other hubs, and from these to the daemons
+/// that report to them.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
+/// The maximum number of limits per announcement. They fill one datagram, which is 5 KB/s for each
+/// receiver, and only while limits change.
+const MAX_LIMITS: usize = 24;
+/// After this many intervals a hub announces limits in force to other hubs, changed or not: some
+/// hubs were cut off, or not running, when the limits were announced.
+const IN_FORCE_INTERVALS: u64 = 3;
+/// The number of randomly drawn hubs to which limits in force are announced each time.
+const IN_FORCE_HUBS: usize = 3;
 
-/// Tells other daemons of limits that upstreams name.
+/// Announces limits that upstreams name to other daemons.
 pub(in crate::cluster) async fn announce_limits(gateway: Arc<Gateway>) {
-    for turn in 1_u64.. {
-        tokio::time::sleep(TELL_EVERY).await;
+    for interval in 1_u64.. {
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
         if gateway.tick_limits() == 0 {
             continue;
         }
         announce_changes(&gateway).await;
-        if turn.is_multiple_of(IN_FORCE_EVERY) && gateway.is_hub() {
+        if interval.is_multiple_of(IN_FORCE_INTERVALS) && gateway.is_hub() {
             let hubs = gateway.other_hubs().into_iter().collect();
-            let drawn = gateway.draw_some(hubs, HUBS_TOLD).into_iter().collect();
+            let drawn = gateway.draw_some(hubs, IN_FORCE_HUBS).into_iter().collect();
             announce_in_force(&gateway, &drawn).await;
         }
     }
@@ -37,17 +38,17 @@
         return;
     }
     let now_ms = gateway.steady_ms();
-    let told = gateway.limits.lock().to_announce(MOST_TOLD, now_ms);
+    let changes = gateway.limits.lock().to_announce(MAX_LIMITS, now_ms);
     let is_hub = gateway.is_hub();
-    send_limits(gateway, &told.hubs, is_hub, &hubs).await;
-    send_limits(gateway, &told.members, is_hub, &members).await;
+    send_limits(gateway, &changes.hubs, is_hub, &hubs).await;
+    send_limits(gateway, &changes.members, is_hub, &members).await;
 }
 
-/// Tells daemons of limits in force, some of them where there are many.
+/// Announces limits in force to daemons: all of them, or a random sample of [`MAX_LIMITS`].
 pub(in crate::cluster) async fn announce_in_force(gateway: &Gateway, to: &BTreeSet<SocketAddr>) {
     let in_force = gateway.limits.lock().in_force(gateway.steady_ms());
     if !in_force.is_empty() {
-        let drawn = gateway.draw_some(in_force, MOST_TOLD);
+        let drawn = gateway.draw_some(in_force, MAX_LIMITS);
         send_limits(gateway, &drawn, true, to).await;
     }
 }
--- a/src/cluster/limits/limits_part.rs
+++ b/src/cluster/limits/limits_part.rs
@@ -6,31 +6,32 @@
     bincode::{Decode, Encode},
 };
 
-/// Limits that upstreams name, as a daemon tells others. What is told again, or out of
-/// order, changes nothing.
+/// Limits that upstreams name, as a daemon announces them. An announcement that is repeated, or
+/// arrives out of order, changes nothing.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LimitsPart {
-    /// Whether a hub tells other hubs: these tell only those that report to them.
+    /// True if a hub sends the limits to other hubs, which forward them only to the daemons that
+    /// report to them.
     pub among_hubs: bool,
-    /// The limits.
+    /// The announced limits.
     pub limits: Vec<AnnouncedLimit>,
 }
 
 /// An upstream's limit as it is announced.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct AnnouncedLimit {
-    /// The upstream.
+    /// The id of the upstream.
     pub upstream: String,
-    /// Requests a second; none if it names no limit any more.
+    /// The limit in requests per second; none if the upstream no longer names one.
     pub per_s: Option<f64>,
-    /// How many times it is known to have changed.
+    /// The number of known changes of the limit.
     pub version: u64,
-    /// How old the answer is that said so, in milliseconds.
+    /// The age of the answer that named the limit, in milliseconds.
     pub age_ms: u32,
 }
 
 impl AnnouncedLimit {
-    /// Makes the message of what is known.
+    /// Creates the wire form of a known limit.
     pub fn of(known: &KnownLimit) -> Self {
         Self {
             upstream: known.upstream.to_string(),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Returns what is known by the message; none of a rate that can't be one.
+    /// Returns the limit that the wire form describes; none if the rate is invalid.
     pub fn known(&self) -> Option<KnownLimit> {
         let rate = match self.per_s {
             Some(per_s) => Some(RequestRate::new(per_s)?),
--- a/src/cluster/limits/mod.rs
+++ b/src/cluster/limits/mod.rs
@@ -1,4 +1,4 @@
-//! How much upstreams take that say so: told to all, and kept by permits.
+//! Rate limits that upstreams name: their announcement to all daemons, and permits that enforce them.
 
 mod limit_announcer;
 mod limits_part;
--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -3,16 +3,17 @@
     std::{net::SocketAddr, sync::Arc},
 };
 
-/// Takes in limits that another daemon told.
+/// Applies limits that another daemon announced.
 pub(in crate::cluster) fn apply_limits(gateway: &Gateway, part: &LimitsPart) {
-    // A hub passes on what it hears: of hubs to those that report to it, of others to all.
+    // A hub forwards what it receives from hubs to the daemons that report to it, and what it
+    // receives from other daemons to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
-    for told in part.limits.iter().filter_map(AnnouncedLimit::known) {
-        gateway.apply_limit(&told, passes_on);
+    for limit in part.limits.iter().filter_map(AnnouncedLimit::known) {
+        gateway.apply_limit(&limit, passes_on);
     }
 }
 
-/// Answers a daemon's question for a permit.
+/// Answers a daemon's query for a permit. A query whose limit is invalid gets no answer.
 pub(in crate::cluster) fn answer_permit_query(
     gateway: &Arc<Gateway>,
     query: PermitQuery,
@@ -23,7 +24,8 @@
     };
     gateway.apply_limit(&limit, None);
     let gateway = gateway.clone();
-    // It may have to ask another daemon first: nothing else waits for that.
+    // The query may have to be forwarded to another daemon first. A task of its own keeps the
+    // receive loop from waiting for that.
     tokio::spawn(async move {
         let id = limit.upstream;
         let taken = match query.is_forwarded {
--- a/src/cluster/limits/permit_client.rs
+++ b/src/cluster/limits/permit_client.rs
@@ -10,9 +10,9 @@
     tokio::sync::oneshot,
 };
 
-/// How many times an answer of a hub usually takes one for a permit is waited for: it may
-/// stand in another failure domain, and may have to ask once more itself.
-const PATIENCE_FACTOR: f64 = 2.0;
+/// The maximum wait for a permit answer, as a multiple of the usual timeout of a query to a hub. The
+/// issuer may be in another failure domain, and may have to forward the query once.
+const MAX_WAIT_FACTOR: f64 = 2.0;
 
 /// Sends this daemon's queries for permits for upstreams that name a limit.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     daemons: HashMap<SocketAddr, HubContact>,
 }
 
-/// A question that is open.
+/// A query that waits for its answer. Dropping it removes it from the client.
 #[derive(Debug)]
 struct OpenQuery<'a> {
     client: &'a PermitClient,
@@ -41,8 +41,8 @@
 }
 
 impl PermitClient {
-    /// Asks the daemon that issues permits for one; none if it doesn't answer in time,
-    /// or did not lately.
+    /// Queries the issuer of an upstream's permits for one. Returns none if it doesn't answer in
+    /// time, or is avoided because it recently failed to answer.
     pub async fn query(
         &self,
         gateway: &Gateway,
@@ -51,7 +51,7 @@
         is_forwarded: bool,
     ) -> Option<PermitAnswer> {
         let (open, answer, max_wait) = self.open(issuer, gateway.steady_ms())?;
-        let asked_at = BootInstant::now();
+        let sent_at = BootInstant::now();
         let query = Extension::PermitQuery(PermitQuery {
             incarnation: gateway.incarnation,
             id: open.id,
@@ -64,10 +64,10 @@
         let mut state = self.state.lock();
         let contact = state.daemons.entry(issuer).or_default();
         match answer {
-            Some(_) => contact.record_answer(asked_at.elapsed().as_secs_f64() * 1_000.0),
+            Some(_) => contact.record_answer(sent_at.elapsed().as_secs_f64() * 1_000.0),
             None => {
                 contact.record_silent(gateway.steady_ms());
-                log::info!(target: "limit", "no answer for a permit. daemon={issuer}");
+                log::info!(target: "limit", "permit query timed out. daemon={issuer}");
             }
         }
         answer
@@ -87,21 +87,21 @@
         state.last_id += 1;
         let id = state.last_id;
         state.waiting.insert(id, tx);
-        let max_wait_ms = contact.timeout_ms() * PATIENCE_FACTOR;
+        let max_wait_ms = contact.timeout_ms() * MAX_WAIT_FACTOR;
         let max_wait = Duration::from_secs_f64(max_wait_ms / 1_000.0);
         Some((OpenQuery { client: self, id }, rx, max_wait))
     }
 
-    /// Takes in an answer.
+    /// Passes an answer to the query that waits for it.
     pub fn apply(&self, answer: PermitAnswer) {
         let waiting = self.state.lock().waiting.remove(&answer.id);
         if let Some(tx) = waiting {
-            // One that no longer waits has sent its request elsewhere.
+            // The receiver may be gone: its query timed out, and the request went elsewhere.
             let _ = tx.send(answer);
         }
     }
 
-    /// Forgets daemons that are not there any more.
+    /// Removes the contact state of daemons that are no longer known.
     pub fn retain(&self, is_known: impl Fn(&SocketAddr) -> bool) {
         let mut state = self.state.lock();
         state.daemons.retain(|address, _| is_known(address));
--- a/src/cluster/limits/permit_query.rs
+++ b/src/cluster/limits/permit_query.rs
@@ -7,27 +7,28 @@
 /// sent to the daemon that issues the permits of that upstream.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PermitQuery {
-    /// Which life of the daemon asks.
+    /// The incarnation of the daemon that sends the query.
     pub incarnation: u64,
-    /// The number of the question.
+    /// The number of the query, unique within the incarnation.
     pub id: u64,
-    /// Whether it is passed on: then it is decided here, whoever issues permits.
+    /// True if another daemon forwards the query. The receiver then decides it itself, even if
+    /// it takes another daemon for the issuer.
     pub is_forwarded: bool,
-    /// The limit, as the daemon knows it.
+    /// The limit, as the sender knows it.
     pub limit: AnnouncedLimit,
 }
 
-/// The answer.
+/// The answer to a [`PermitQuery`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct PermitAnswer {
-    /// Which life of the daemon asked.
+    /// The incarnation of the daemon that sent the query.
     pub incarnation: u64,
-    /// The number of the question.
+    /// The number of the query.
     pub id: u64,
-    /// Whether the request may be sent.
+    /// True if the request may be sent.
     pub is_granted: bool,
-    /// If not, when to ask again, in milliseconds.
+    /// If no permit is granted, the time until a new query makes sense, in milliseconds.
     pub wait_ms: u32,
-    /// The limit, if the one who answers knows of any.
+    /// The limit, as the daemon that answers knows it; none if it knows none.
     pub limit: Option<AnnouncedLimit>,
 }
--- a/src/cluster/messages/control_traffic.rs
+++ b/src/cluster/messages/control_traffic.rs
@@ -6,26 +6,26 @@
     },
 };
 
-/// What daemons send each other beside requests.
+/// The kinds of control messages that daemons send each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlKind {
-    /// What hubs tell of themselves.
+    /// Digests, in which hubs announce their state.
     Digest,
-    /// What was let in of quotas.
+    /// Quota state of client accounts.
     Quotas,
-    /// What is at upstreams.
+    /// The requests that daemons have at upstreams.
     Loads,
-    /// What daemons report to hubs.
+    /// Reports of daemons to their hubs.
     Report,
-    /// Questions to hubs, and their answers.
+    /// Admission queries to hubs, and their answers.
     AdmissionQuery,
-    /// What began to run, and that it was heard.
+    /// Usage counts, and their acknowledgements.
     Usage,
-    /// Answers during roll-outs.
+    /// Answer counts by version during rollouts.
     Versions,
-    /// Upstreams that ended, and what stands behind empty messages.
+    /// Upstream crashes, and extensions that are sent with an empty crash message.
     Crashes,
-    /// News of configuration and upstreams to those that follow.
+    /// Updates of the configuration and the upstreams for followers.
     Updates,
 }
 
@@ -43,7 +43,7 @@
         Self::Updates,
     ];
 
-    /// Returns its name in logs and metrics.
+    /// Returns the name of the kind in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Digest => "digest",
@@ -74,27 +74,27 @@
     }
 }
 
-/// How much this daemon sent to others, by kind, since it started.
+/// The number and size of the messages that this daemon has sent since it started, by kind.
 #[derive(Debug, Default)]
 pub struct ControlTraffic {
-    sent: [Sent; ControlKind::ALL.len()],
+    sent: [SentCounters; ControlKind::ALL.len()],
 }
 
 #[derive(Debug, Default)]
-struct Sent {
+struct SentCounters {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
 impl ControlTraffic {
-    /// Notes a message that is sent.
+    /// Counts a sent message.
     pub fn record(&self, kind: ControlKind, bytes: usize) {
         let sent = &self.sent[kind as usize];
         sent.messages.fetch_add(1, Ordering::Relaxed);
         sent.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Returns how many messages of a kind were sent, and their bytes.
+    /// Returns the number of sent messages of a kind, and their total size in bytes.
     pub fn sent(&self, kind: ControlKind) -> (u64, u64) {
         let sent = &self.sent[kind as usize];
         let messages = sent.messages.load(Ordering::Relaxed);
--- a/src/cluster/messages/datagram.rs
+++ b/src/cluster/messages/datagram.rs
@@ -4,56 +4,57 @@
     displaydoc::Display,
 };
 
-/// The version of the messages.
+/// The version in which this build writes its messages.
 pub const DATAGRAM_VERSION: u8 = 7;
-/// The oldest version that is understood and spoken, too: that of the landing before the
-/// last one. Daemons that don't hear each other stand before the same upstreams as two
-/// systems, each of which lets in what a quota allows.
+/// The oldest version that this build reads and writes: that of the release before the last one.
+/// Daemons that can't read each other's messages act as two separate systems in front of the same
+/// upstreams, and each of these systems admits as many requests as a quota allows.
 pub const OLDEST_DATAGRAM_VERSION: u8 = 6;
-/// What stands at the end of messages of [`DATAGRAM_VERSION`] and is missing in older ones:
-/// that a request is placed by its prompt.
-const MISSING_IN_OLDEST: u8 = 0;
-/// The largest datagram, in bytes: one packet, not split on its way.
+/// The encoding of the last field of admission queries, `isolation_key`, with no value. Messages of
+/// [`OLDEST_DATAGRAM_VERSION`] end before this field; their requests are placed by the prompt.
+const NO_ISOLATION_KEY: u8 = 0;
+/// The maximum size of a datagram, in bytes. It fits into one IP packet without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// How much of a datagram a list that is sent in parts may take, in bytes.
+/// The maximum encoded size of a list that is sent in parts, per datagram, in bytes.
 const MAX_PART_BYTES: usize = 1_150;
-/// How much memory a datagram may claim when it is decoded, in bytes: lists take
-/// more there than on their way.
+/// The maximum memory that decoding a datagram may claim, in bytes. Lists take more memory decoded
+/// than encoded.
 pub(in crate::cluster) const MAX_DECODED_BYTES: usize = 16 * MAX_DATAGRAM_BYTES;
 
-/// Why bytes are no datagram.
+/// A datagram that can't be encoded or decoded.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum DatagramError {
-    /// not a datagram of ours: {0}
+    /// malformed datagram: {0}
     Malformed(String),
-    /// a datagram of version {0}
+    /// unsupported datagram version {0}
     OtherVersion(u8),
-    /// {0} bytes are too many for a datagram
+    /// datagram of {0} bytes exceeds the maximum size
     TooLarge(usize),
 }
 
-/// What daemons tell each other in datagrams. What is lost is told again.
+/// The messages that daemons send each other in datagrams. Each is repeated or superseded later, so
+/// that a lost datagram does no lasting harm.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Datagram {
-    /// A hub tells of itself.
+    /// A hub announces its state.
     Digest(Digest),
-    /// A hub tells what was let in of client accounts' quotas.
+    /// A hub announces the state of client accounts' quotas.
     Quotas(QuotasPart),
-    /// A daemon tells what it has at upstreams.
+    /// A daemon announces the requests that it has at upstreams.
     Loads(LoadsPart),
     /// A daemon reports to a hub of its failure domain.
     Report(Report),
-    /// A daemon asks a hub to let a request in and to place it.
+    /// A daemon queries a hub to admit and place a request.
     AdmissionQuery(AdmissionQuery),
-    /// A hub answers.
+    /// A hub answers an admission query.
     Answer(Answer),
-    /// A daemon tells the holder of the duties what began to run there.
+    /// A daemon announces its usage counts to the holder of the duties.
     Usage(UsagePart),
-    /// The holder has heard it.
+    /// The receiver acknowledges usage counts.
     UsageAck(UsageAck),
-    /// A daemon tells the leader of a roll-out how answers of both versions are.
+    /// A daemon announces its answer counts of both versions to the leader of a rollout.
     Versions(VersionsPart),
-    /// A daemon tells of upstreams that ended under requests.
+    /// A daemon announces upstreams that crashed while they ran requests.
     Crashes(CrashesPart),
 }
 
@@ -78,13 +79,13 @@
     ///
     /// # Errors
     ///
-    /// Returns why the bytes are none.
+    /// Returns an error if the bytes are malformed or of an unsupported version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
-        Self::decode_first(bytes).map(|(datagram, _)| datagram)
+        Self::decode_prefix(bytes).map(|(datagram, _)| datagram)
     }
 
-    /// Encodes the datagram as builds of a version understand it; nothing, if they know of
-    /// no such message.
+    /// Encodes the datagram for builds that use a version; none if that version has no such
+    /// message.
     ///
     /// # Errors
     ///
@@ -94,24 +95,24 @@
             return Ok(None);
         }
         let mut bytes = self.encode()?;
-        // What stands at the end of later messages is not looked at by earlier builds.
+        // Earlier builds ignore the bytes behind the fields that they know.
         bytes[0] = version;
         Ok(Some(bytes))
     }
 
-    /// Decodes a datagram; returns what stands behind it, too.
+    /// Decodes a datagram; returns the bytes behind it, too.
     ///
     /// # Errors
     ///
-    /// Returns why the bytes are none.
-    pub(in crate::cluster) fn decode_first(bytes: &[u8]) -> Result<(Self, &[u8]), DatagramError> {
+    /// Returns an error if the bytes are malformed or of an unsupported version.
+    pub(in crate::cluster) fn decode_prefix(bytes: &[u8]) -> Result<(Self, &[u8]), DatagramError> {
         match bytes {
             [DATAGRAM_VERSION, body @ ..] => {
                 let (datagram, length) = Self::decode_body(body)?;
                 Ok((datagram, &body[length..]))
             }
             [OLDEST_DATAGRAM_VERSION, body @ ..] => {
-                let body = [body, &[MISSING_IN_OLDEST]].concat();
+                let body = [body, &[NO_ISOLATION_KEY]].concat();
                 Ok((Self::decode_body(&body)?.0, &[]))
             }
             [other, ..] => Err(DatagramError::OtherVersion(*other)),
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Decodes a datagram behind its version; returns how long it is, too.
+    /// Decodes a datagram without its version byte; returns its length in bytes, too.
     fn decode_body(body: &[u8]) -> Result<(Self, usize), DatagramError> {
         let config = bincode::config::standard().with_limit::<MAX_DECODED_BYTES>();
         let decoded = bincode::decode_from_slice(body, config);
@@ -127,11 +128,11 @@
     }
 }
 
-/// Splits a list into parts that fit into a datagram each; one part at least.
+/// Splits a list into parts that fit into one datagram each. Returns at least one part.
 ///
 /// # Panics
 ///
-/// Doesn't: an item that can't be encoded counts as one that fills a part.
+/// Never: an item that can't be encoded counts as one that fills a part.
 pub fn split_into_parts<T: Encode>(items: Vec<T>) -> Vec<Vec<T>> {
     let mut parts = vec![Vec::new()];
     let mut size = 0;
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -4,13 +4,13 @@
     tokio::net::UdpSocket,
 };
 
-/// Daemons whose ages differ by less than this have run for as long, in
-/// milliseconds: some digests' time.
-const SAME_AGE_MS: u64 = 500;
-/// After a failed read of the socket.
-const READ_PAUSE: Duration = Duration::from_millis(20);
+/// Hubs whose ages differ by at most this count as equally old, in milliseconds. It is the time of
+/// a few digests.
+const AGE_TOLERANCE_MS: u64 = 500;
+/// The pause after a failed read of the socket.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Tells other daemons about this one, and hears them.
+/// Receives the datagrams of other daemons, and sends this daemon's announcements.
 pub async fn exchange_datagrams(socket: UdpSocket, gateway: Arc<Gateway>) {
     let socket = Arc::new(socket);
     gateway.set_datagram_socket(socket.clone());
@@ -32,8 +32,8 @@
         let (length, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(e) => {
-                log::info!(target: "peers", "no datagram. error=\"{e}\"");
-                tokio::time::sleep(READ_PAUSE).await;
+                log::info!(target: "peers", "reading a datagram failed. error=\"{e}\"");
+                tokio::time::sleep(READ_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -42,14 +42,14 @@
                 let version = buf[0];
                 let now_ms = gateway.steady_ms();
                 gateway.peer_versions.lock().record(from, version, now_ms);
-                take_in(&gateway, packet, from).await;
+                handle_packet(&gateway, packet, from).await;
             }
-            Err(e) => log::warn!(target: "peers", "datagram refused. error=\"{e}\""),
+            Err(e) => log::warn!(target: "peers", "datagram rejected. error=\"{e}\""),
         }
     }
 }
 
-async fn take_in(gateway: &Arc<Gateway>, packet: Packet, from: SocketAddr) {
+async fn handle_packet(gateway: &Arc<Gateway>, packet: Packet, from: SocketAddr) {
     let level = packet.level();
     let has_permit = packet.extensions.contains(&Extension::HasPermit);
     for extension in packet.extensions {
@@ -103,20 +103,21 @@
         Datagram::Crashes(part) => apply_crashes(gateway, &part),
         Datagram::Versions(part) => gateway.version_count_table.lock().apply(part),
         Datagram::Usage(part) => apply_usage(gateway, &part, from, now_ms).await,
-        Datagram::UsageAck(heard) => {
+        Datagram::UsageAck(ack) => {
             let mut announcers = gateway.usage_announcers.lock();
-            if let Some(announcer) = announcers.get_mut(&heard.incarnation) {
-                announcer.apply(from, heard);
+            if let Some(announcer) = announcers.get_mut(&ack.incarnation) {
+                announcer.apply(from, ack);
             }
         }
     }
 }
 
 fn apply_crashes(gateway: &Gateway, part: &CrashesPart) {
-    // A hub passes on what it hears: of hubs to those that report to it, of others to all.
+    // A hub forwards what it receives from hubs to the daemons that report to it, and what it
+    // receives from other daemons to all.
     let passes_on = gateway.is_hub().then_some(!part.among_hubs);
-    for told in &part.ends {
-        gateway.apply_crash(&told.known(), passes_on);
+    for announced in &part.ends {
+        gateway.apply_crash(&announced.known(), passes_on);
     }
 }
 
@@ -124,7 +125,7 @@
     if !gateway.peers.lock().apply_quotas(part, now_ms) {
         return;
     }
-    let is_younger = part.age_ms <= gateway.hub_age_ms() + SAME_AGE_MS;
+    let is_younger = part.age_ms <= gateway.hub_age_ms() + AGE_TOLERANCE_MS;
     let notices: Vec<_> = part.quotas.iter().map(AnnouncedAccount::notice).collect();
     let mut quotas = gateway.quotas.lock();
     quotas.apply(&part.name, part.incarnation, &notices, is_younger, now_ms);
@@ -136,20 +137,20 @@
     {
         return;
     }
-    let news = gateway.members.lock().apply_report(report, now_ms);
-    for (account, units) in &news.admitted_standalone {
+    let changes = gateway.members.lock().apply_report(report, now_ms);
+    for (account, units) in &changes.admitted_standalone {
         gateway.quotas.lock().record_admitted(account, *units);
     }
-    for event in news.events {
-        take_in_event(gateway, &report.daemon.name, event, now_ms);
+    for event in changes.events {
+        apply_event(gateway, &report.daemon.name, event, now_ms);
     }
     if report.wants_digest {
         announce_to_member(gateway, report).await;
     }
 }
 
-/// Learns from what happened to another daemon's request as from an own one.
-fn take_in_event(gateway: &Gateway, name: &str, event: MemberEvent, now_ms: u64) {
+/// Updates the local estimates with an event of another daemon's request, as with an own one.
+fn apply_event(gateway: &Gateway, name: &str, event: MemberEvent, now_ms: u64) {
     match event {
         MemberEvent::Ended { upstream, failed } => {
             let id = UpstreamId::from(upstream.as_str());
@@ -159,9 +160,9 @@
         MemberEvent::Unreachable { upstream } => {
             let id = UpstreamId::from(upstream.as_str());
             let mut members = gateway.members.lock();
-            let is_missed = members.is_unreachable_for_others(name, &id, now_ms);
+            let is_unreachable = members.is_unreachable_for_others(name, &id, now_ms);
             drop(members);
-            if is_missed {
+            if is_unreachable {
                 gateway.loads.lock().entry(&id).record_unreachable(now_ms);
             }
         }
@@ -189,22 +190,20 @@
 async fn apply_usage(gateway: &Gateway, part: &UsagePart, from: SocketAddr, now_ms: u64) {
     let counts = part.counts.iter();
     let counts = counts.map(|(name, n)| (name.as_str().into(), u64::from(*n)));
-    let told = [(part.window, counts.collect())];
-    // Its own counts, passed back by one that heard them, are counted here already.
+    let counts = [(part.window, counts.collect())];
+    // This daemon's own counts, which another daemon forwarded back, are already included.
     if part.incarnation != gateway.incarnation {
         let mut usage = gateway.usage.lock();
-        usage.merge(&part.name, part.incarnation, &told);
+        usage.merge(&part.name, part.incarnation, &counts);
         usage.record_contact(&part.name, part.incarnation, now_ms);
         if part.complete_before > 0 {
             usage.record_complete(&part.name, part.complete_before, now_ms);
         }
     }
-    let heard = UsageAck {
+    let ack = UsageAck {
         holder_incarnation: gateway.incarnation,
         incarnation: part.incarnation,
         number: part.number,
     };
-    gateway
-        .send_datagram(&Datagram::UsageAck(heard), from)
-        .await;
+    gateway.send_datagram(&Datagram::UsageAck(ack), from).await;
 }
--- a/src/cluster/messages/extension.rs
+++ b/src/cluster/messages/extension.rs
@@ -5,66 +5,65 @@
     },
 };
 
-/// How much beside the messages this build knows: it rises with what is added.
+/// The extension level of this build. It increases with each addition to the extensions.
 pub const EXTENSION_LEVEL: u8 = 2;
-/// From which level on a daemon knows of limits that upstreams name.
+/// The level from which on a daemon supports limits that upstreams name.
 pub const LIMITS_LEVEL: u8 = 1;
-/// From which level on a daemon tells changes of its directory without words that only say
-/// that an upstream lives.
+/// The level from which on a daemon sends the updates of its directory without entries that only
+/// say that an upstream is still alive.
 pub const UPDATES_LEVEL: u8 = 2;
-/// How many bytes stand before an extension: its kind, and its length in two.
-const HEAD_BYTES: usize = 3;
+/// The size of the header of an extension: one byte for its kind, two for the length of its body.
+const HEADER_BYTES: usize = 3;
 
 const LEVEL: u8 = 1;
 const LIMITS: u8 = 2;
-const PERMIT_ASK: u8 = 3;
+const PERMIT_QUERY: u8 = 3;
 const PERMIT_ANSWER: u8 = 4;
 const HAS_PERMIT: u8 = 5;
 const LEAVING: u8 = 6;
-const RESTS: u8 = 7;
+const COOLDOWNS: u8 = 7;
 
-/// What stands behind a datagram's message, each with its kind and length: builds that
-/// don't know a kind pass over it, and builds that know of no extensions don't look behind
-/// the message. New kinds are added, none is changed; a kind's own fields may only grow at
-/// their end.
+/// An addition behind the message of a datagram, with its kind and length. Builds that don't know a
+/// kind skip it, and builds without extensions ignore the bytes behind the message. New kinds may
+/// be added but none may be changed; new fields of a kind may only be added at its end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Extension {
-    /// Up to which kind the sender knows all: [`EXTENSION_LEVEL`] of its build.
+    /// The extension level of the sender: [`EXTENSION_LEVEL`] of its build.
     Level(u8),
-    /// The sender tells of limits that upstreams name.
+    /// Limits that upstreams name.
     Limits(LimitsPart),
-    /// The sender asks for a permit.
+    /// A query for a permit to send a request to an upstream that names a limit.
     PermitQuery(PermitQuery),
-    /// The sender answers such a question.
+    /// The answer to a [`PermitQuery`].
     PermitAnswer(PermitAnswer),
-    /// The placement in the message has a permit, where its upstream names a limit.
+    /// The hub has taken a permit for the placement in the message, or its upstream names no limit.
     HasPermit,
-    /// The sender tells of upstreams whose answers said that they leave.
+    /// Upstreams whose answers said that they are leaving.
     Leaving(LeavingPart),
-    /// Upstreams that want nothing from the sender, behind a report.
+    /// Upstreams that are in cooldown for the sender; sent with a report.
     Cooldowns(CooldownsPart),
 }
 
 impl Extension {
-    /// Appends the extension.
+    /// Appends the encoded extension to `bytes`.
     ///
     /// # Errors
     ///
-    /// Returns why it can't be encoded.
+    /// Returns an error if the extension can't be encoded.
     pub(in crate::cluster) fn encode(&self, bytes: &mut Vec<u8>) -> Result<(), EncodeError> {
         match self {
             Self::Level(level) => append(bytes, LEVEL, level),
             Self::Limits(part) => append(bytes, LIMITS, part),
-            Self::PermitQuery(query) => append(bytes, PERMIT_ASK, query),
+            Self::PermitQuery(query) => append(bytes, PERMIT_QUERY, query),
             Self::PermitAnswer(answer) => append(bytes, PERMIT_ANSWER, answer),
             Self::HasPermit => append(bytes, HAS_PERMIT, &()),
             Self::Leaving(part) => append(bytes, LEAVING, part),
-            Self::Cooldowns(part) => append(bytes, RESTS, part),
+            Self::Cooldowns(part) => append(bytes, COOLDOWNS, part),
         }
     }
 
-    /// Reads all extensions that this build knows; what is none, and what can't be read, is
-    /// passed over.
+    /// Decodes all extensions that this build knows. Unknown kinds and undecodable bodies are
+    /// skipped; decoding ends at a truncated extension.
     pub(in crate::cluster) fn decode_all(mut bytes: &[u8]) -> Vec<Self> {
         let mut extensions = Vec::new();
         while let [kind, low, high, rest @ ..] = bytes {
@@ -80,13 +79,13 @@
 
     fn decode(kind: u8, body: &[u8]) -> Option<Self> {
         match kind {
-            LEVEL => read(body).map(Self::Level),
-            LIMITS => read(body).map(Self::Limits),
-            PERMIT_ASK => read(body).map(Self::PermitQuery),
-            PERMIT_ANSWER => read(body).map(Self::PermitAnswer),
+            LEVEL => decode_body(body).map(Self::Level),
+            LIMITS => decode_body(body).map(Self::Limits),
+            PERMIT_QUERY => decode_body(body).map(Self::PermitQuery),
+            PERMIT_ANSWER => decode_body(body).map(Self::PermitAnswer),
             HAS_PERMIT => Some(Self::HasPermit),
-            LEAVING => read(body).map(Self::Leaving),
-            RESTS => read(body).map(Self::Cooldowns),
+            LEAVING => decode_body(body).map(Self::Leaving),
+            COOLDOWNS => decode_body(body).map(Self::Cooldowns),
             _ => None,
         }
     }
@@ -96,14 +95,14 @@
     let start = bytes.len();
     bytes.extend([kind, 0, 0]);
     encode_into_std_write(body, bytes, config::standard())?;
-    let length = bytes.len() - start - HEAD_BYTES;
+    let length = bytes.len() - start - HEADER_BYTES;
     let length = u16::try_from(length).map_err(|_| EncodeError::Other("too long"))?;
-    bytes[start + 1..start + HEAD_BYTES].copy_from_slice(&length.to_le_bytes());
+    bytes[start + 1..start + HEADER_BYTES].copy_from_slice(&length.to_le_bytes());
     Ok(())
 }
 
-/// Reads a body; what stands behind it is of later builds.
-fn read<T: Decode<()>>(body: &[u8]) -> Option<T> {
+/// Decodes a body. Bytes behind the known fields are fields of later builds, and are ignored.
+fn decode_body<T: Decode<()>>(body: &[u8]) -> Option<T> {
     let limited = config::standard().with_limit::<{ crate::cluster::MAX_DECODED_BYTES }>();
     decode_from_slice(body, limited).ok().map(|(read, _)| read)
 }
--- a/src/cluster/messages/mod.rs
+++ b/src/cluster/messages/mod.rs
@@ -1,4 +1,4 @@
-//! Datagrams between daemons: how they are written, heard, and counted.
+//! Datagrams between daemons: their encoding, the receive loop, and counters of sent traffic.
 
 mod control_traffic;
 mod datagram;
--- a/src/cluster/messages/packet.rs
+++ b/src/cluster/messages/packet.rs
@@ -1,11 +1,11 @@
 use crate::cluster::*;
 
-/// A datagram with what stands behind its message.
+/// A datagram with the extensions behind its message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Packet {
-    /// The message, which all builds of its version read.
+    /// The message, which all builds that support its version read.
     pub datagram: Datagram,
-    /// What only later builds read.
+    /// The extensions, which builds without support for them ignore.
     pub extensions: Vec<Extension>,
 }
 
@@ -19,9 +19,8 @@
 }
 
 impl From<Extension> for Packet {
-    /// Makes a packet whose message says nothing: builds that know of no extensions take
-    /// it in without effect, where a kind of message that they don't know is a line in
-    /// their logs each time.
+    /// Creates a packet with an empty crash message: it has no effect on builds without
+    /// extensions, while each message of a kind that they don't know adds a line to their logs.
     fn from(extension: Extension) -> Self {
         Self {
             datagram: Datagram::Crashes(CrashesPart {
@@ -41,8 +40,8 @@
         self
     }
 
-    /// Encodes the packet. Extensions that do not fit any more are left out: the message
-    /// goes first, and what else stands there is told again.
+    /// Encodes the packet. Extensions that don't fit are left out: the message has precedence, and
+    /// extensions are sent again later.
     ///
     /// # Errors
     ///
@@ -60,8 +59,8 @@
         Ok(bytes)
     }
 
-    /// Encodes the packet as builds of a version understand it; nothing, if they know of no
-    /// such message. Those of the oldest version know of no extensions.
+    /// Encodes the packet for builds that use a version; none if that version has no such
+    /// message. Builds of the oldest version get no extensions, as they don't support them.
     ///
     /// # Errors
     ///
@@ -77,17 +76,16 @@
     ///
     /// # Errors
     ///
-    /// Returns why the bytes are none.
+    /// Returns an error if the bytes are malformed or of an unsupported version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
-        let (datagram, rest) = Datagram::decode_first(bytes)?;
+        let (datagram, extensions) = Datagram::decode_prefix(bytes)?;
         Ok(Self {
             datagram,
-            extensions: Extension::decode_all(rest),
+            extensions: Extension::decode_all(extensions),
         })
     }
 
-    /// Returns up to which kind of extension its sender knows all; 0 of a build that knows
-    /// none.
+    /// Returns the extension level that the sender names; 0 if it names none.
     pub fn level(&self) -> u8 {
         let levels = self.extensions.iter().map(|e| match e {
             Extension::Level(level) => *level,
