--- a/src/cluster/versions/mod.rs
+++ b/src/cluster/versions/mod.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of new versions: answers by version, and who leads.
+//! Rollouts of new versions: answer counts by version, and the duty that leads the rollouts.
 
 mod rollout_duty;
 mod versions_announcer;
--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -11,44 +11,44 @@
     },
 };
 
-/// A roll-out that this daemon leads.
+/// A rollout that this daemon leads.
 #[derive(Debug)]
-struct Led {
+struct LedRollout {
     order: u64,
     steps: RolloutSteps,
     evaluator: VersionEvaluator,
 }
 
-/// Leads the roll-outs while this daemon holds the duties: judges, decides on the next
-/// step, tells it, and writes it down. What is written is all that must last: a daemon
-/// that leads later goes on from there.
+/// Leads the rollouts while this daemon holds the duties: evaluates the new version, decides on the
+/// next step, announces it, and writes it to the status store. The written records are the only
+/// state that must outlast the leader: the next leader continues from them.
 pub struct RolloutDuty {
-    board: Arc<dyn StatusBoard>,
-    led: HashMap<String, Led>,
-    /// The fence under which what is written was read.
-    read_under: Option<u64>,
-    /// Records that the board has not taken yet, with their numbers.
+    store: Arc<dyn StatusBoard>,
+    led: HashMap<String, LedRollout>,
+    /// The fencing token under which the written records were read; none before the first read.
+    loaded_fence: Option<u64>,
+    /// Records that the status store has not accepted yet, with their numbers.
     unwritten: VecDeque<(u64, Rollout)>,
     last_number: u64,
 }
 
 impl RolloutDuty {
-    /// Makes the leader of a daemon.
-    pub fn new(board: Arc<dyn StatusBoard>) -> Self {
+    /// Creates the duty of a daemon, which writes to a status store.
+    pub fn new(store: Arc<dyn StatusBoard>) -> Self {
         Self {
-            board,
+            store,
             led: HashMap::new(),
-            read_under: None,
+            loaded_fence: None,
             unwritten: VecDeque::new(),
             last_number: 0,
         }
     }
 
-    /// Takes the steps that are due.
+    /// Performs the rollout steps that are due.
     ///
     /// # Errors
     ///
-    /// Returns how a call to the board failed; it is made again at the next turn.
+    /// Returns an error if a call to the status store failed. The call is repeated at the next turn.
     pub async fn turn(&mut self, gateway: &Gateway, fence: u64) -> Result<(), BackendError> {
         let open: Vec<Rollout> = {
             let rollouts = gateway.rollouts.lock();
@@ -60,11 +60,11 @@
         if open.is_empty() && self.unwritten.is_empty() {
             return Ok(());
         }
-        if self.read_under != Some(fence) {
+        if self.loaded_fence != Some(fence) {
             self.begin(gateway, fence).await?;
         }
         for rollout in open {
-            // The record may have told that it is over.
+            // The records read above may say that the rollout has ended.
             let known = gateway.rollouts.lock().get(&rollout.service).cloned();
             if let Some(rollout) = known.filter(|r| r.state == RolloutState::InProgress) {
                 self.lead(gateway, rollout, fence);
@@ -73,26 +73,26 @@
         self.write(fence).await
     }
 
-    /// Begins to lead: goes on from what is written. The board is taken over before it is
-    /// read: else a leader before could still write an outcome that is not seen here, and
-    /// the operator would read two that differ.
+    /// Begins to lead: continues from the written records. The status store is taken over before it
+    /// is read. Otherwise a former leader could still write an outcome after the read, which this
+    /// leader would not see, and the operator would read two different outcomes.
     async fn begin(&mut self, gateway: &Gateway, fence: u64) -> Result<(), BackendError> {
-        self.board.take_over(fence).await?;
-        gateway.apply_rollouts(&self.board.read().await?);
+        self.store.take_over(fence).await?;
+        gateway.apply_rollouts(&self.store.read().await?);
         self.led.clear();
         self.unwritten.clear();
         self.last_number = 0;
-        self.read_under = Some(fence);
+        self.loaded_fence = Some(fence);
         Ok(())
     }
 
     fn lead(&mut self, gateway: &Gateway, rollout: Rollout, fence: u64) {
-        let is_led = self.led.get(&rollout.service);
-        if is_led.is_none_or(|led| led.order != rollout.order) {
-            let most_unproved = gateway.settings.bounds.canary_share as f32;
-            let led = Led {
+        let current = self.led.get(&rollout.service);
+        if current.is_none_or(|led| led.order != rollout.order) {
+            let max_unproven_share = gateway.settings.bounds.canary_share as f32;
+            let led = LedRollout {
                 order: rollout.order,
-                steps: RolloutSteps::new(most_unproved, rollout.share),
+                steps: RolloutSteps::new(max_unproven_share, rollout.share),
                 evaluator: VersionEvaluator::default(),
             };
             self.led.insert(rollout.service.clone(), led);
@@ -113,7 +113,7 @@
         let state = led.steps.next(view);
         let share = led.steps.share();
         let is_step = state != rollout.state || share != rollout.share || rollout.fence != fence;
-        let told = Rollout {
+        let updated = Rollout {
             fence,
             step: rollout.step + u32::from(is_step),
             share,
@@ -122,7 +122,7 @@
             age_ms: 0,
             ..rollout
         };
-        gateway.apply_rollouts(std::slice::from_ref(&told));
+        gateway.apply_rollouts(std::slice::from_ref(&updated));
         if !is_step {
             return;
         }
@@ -130,8 +130,8 @@
         log::info!(
             target: "rollout",
             "step. service={} target={} state={} share={share} elapsed_ms={} deadline_ms={} judgement={:?} answers={} bad={} usual_rate={:.3} log_ratio={:.1} worst_answers={} worst_bad={} target_slots={} other_slots={} busy_others={}",
-            told.service,
-            told.target,
+            updated.service,
+            updated.target,
             state.as_str(),
             view.elapsed_ms,
             view.deadline_ms,
@@ -147,14 +147,14 @@
             view.busy_others
         );
         self.last_number += 1;
-        self.unwritten.push_back((self.last_number, told));
+        self.unwritten.push_back((self.last_number, updated));
     }
 
-    /// Writes what the board has not taken yet, in order: one that got no answer may have
-    /// been taken, and is sent again under its number.
+    /// Writes the records that the status store has not accepted yet, in order. A record whose write
+    /// got no answer may have been stored, and is sent again under the same number.
     async fn write(&mut self, fence: u64) -> Result<(), BackendError> {
         while let Some((number, rollout)) = self.unwritten.front() {
-            match self.board.write(rollout, fence, *number).await? {
+            match self.store.write(rollout, fence, *number).await? {
                 WriteOutcome::Taken => {
                     self.unwritten.pop_front();
                 }
@@ -168,9 +168,9 @@
     }
 
     fn renumber(&mut self, next: u64) {
-        for ((number, _), in_turn) in self.unwritten.iter_mut().zip(next..) {
-            *number = in_turn;
-            self.last_number = in_turn;
+        for ((number, _), new_number) in self.unwritten.iter_mut().zip(next..) {
+            *number = new_number;
+            self.last_number = new_number;
         }
     }
 }
--- a/src/cluster/versions/versions_announcer.rs
+++ b/src/cluster/versions/versions_announcer.rs
@@ -3,15 +3,15 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How often the answers of both versions are told during a roll-out: a bad version is
-/// found by the leader some of these after its answers came.
-const VERSIONS_EVERY: Duration = Duration::from_millis(300);
+/// The interval between announcements of answer counts during a rollout. The leader detects a bad
+/// version a few intervals after the answers that show it.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Tells the leader of roll-outs, and those ready to take its place, what answers this
-/// daemon saw.
+/// Announces the answer counts of this daemon to the leader of rollouts, and to the daemons that are
+/// ready to replace it.
 pub(in crate::cluster) async fn announce_versions(gateway: Arc<Gateway>) {
     loop {
-        tokio::time::sleep(VERSIONS_EVERY).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
         let listeners = duty_addresses(&gateway);
         for part in own_parts(&gateway) {
             for listener in &listeners {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns the services and orders of the roll-outs that are in progress.
+/// Returns the services and orders of the rollouts that are in progress.
 fn open_orders(gateway: &Gateway) -> Vec<(String, u64)> {
     let rollouts = gateway.rollouts.lock();
     let open = rollouts
--- a/src/cluster/versions/versions_part.rs
+++ b/src/cluster/versions/versions_part.rs
@@ -4,24 +4,25 @@
     std::collections::HashMap,
 };
 
-/// What a daemon tells the leader of a roll-out: the answers that it saw since the order,
-/// by route. Each telling holds all of them, so that a lost one does no harm.
+/// The answers that a daemon has counted since the order of a rollout, by route, as it announces them
+/// to the leader. Each announcement holds the totals, so that a lost one does no harm.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct VersionsPart {
     /// The daemon's name.
     pub name: String,
-    /// Which life of it.
+    /// The daemon's incarnation.
     pub incarnation: u64,
-    /// The service.
+    /// The service that is rolled out.
     pub service: String,
-    /// The order that they are counted from.
+    /// The rollout order since which answers are counted, by its offset in its source.
     pub order: u64,
-    /// The counts, by route.
+    /// The total counts, by route.
     pub counts: Vec<(u32, VersionCounts)>,
 }
 
+/// The newest totals of one daemon for one service.
 #[derive(Debug, Default)]
-struct Heard {
+struct DaemonCounts {
     incarnation: u64,
     order: u64,
     counts: HashMap<u32, VersionCounts>,
@@ -30,18 +31,19 @@
 /// Answer counts received during rollouts, by service.
 #[derive(Debug, Default)]
 pub struct VersionCountTable {
-    heard: HashMap<(String, String), Heard>,
-    /// What was heard since it was taken last, by service and order.
+    /// The newest totals, by service and daemon.
+    received: HashMap<(String, String), DaemonCounts>,
+    /// The counts that arrived since they were last taken, by service and order, and then by route.
     fresh: HashMap<(String, u64), HashMap<u32, VersionCounts>>,
 }
 
 impl VersionCountTable {
-    /// Takes in what a daemon told.
+    /// Applies the counts that a daemon announced: adds the difference to its previous totals.
     pub fn apply(&mut self, part: VersionsPart) {
         let key = (part.service.clone(), part.name);
-        let heard = self.heard.entry(key).or_default();
-        if heard.incarnation != part.incarnation || heard.order != part.order {
-            *heard = Heard {
+        let known = self.received.entry(key).or_default();
+        if known.incarnation != part.incarnation || known.order != part.order {
+            *known = DaemonCounts {
                 incarnation: part.incarnation,
                 order: part.order,
                 counts: HashMap::new(),
@@ -49,12 +51,12 @@
         }
         let fresh = self.fresh.entry((part.service, part.order)).or_default();
         for (route, counts) in part.counts {
-            let before = heard.counts.insert(route, counts).unwrap_or_default();
+            let before = known.counts.insert(route, counts).unwrap_or_default();
             fresh.entry(route).or_default().add(counts.since(before));
         }
     }
 
-    /// Returns what was heard of an order since this was last called.
+    /// Removes and returns the counts of an order that arrived since the last call.
     pub fn take(&mut self, service: &str, order: u64) -> Vec<(u32, VersionCounts)> {
         let fresh = self.fresh.remove(&(service.to_string(), order));
         let mut fresh: Vec<_> = fresh.unwrap_or_default().into_iter().collect();
@@ -62,10 +64,10 @@
         fresh
     }
 
-    /// Forgets what was heard of roll-outs that `is_open` doesn't name.
+    /// Removes the counts of rollouts for which `is_open` is false.
     pub fn retain(&mut self, is_open: impl Fn(&str, u64) -> bool) {
-        self.heard
-            .retain(|(service, _), heard| is_open(service, heard.order));
+        self.received
+            .retain(|(service, _), known| is_open(service, known.order));
         self.fresh
             .retain(|(service, order), _| is_open(service, *order));
     }
