--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -190,11 +190,11 @@
 async fn apply_usage(gateway: &Gateway, part: &UsagePart, from: SocketAddr, now_ms: u64) {
     let counts = part.counts.iter();
     let counts = counts.map(|(name, n)| (name.as_str().into(), u64::from(*n)));
-    let counts = [(part.window, counts.collect())];
+    let windows = [(part.window, counts.collect())];
     // This daemon's own counts, which another daemon forwarded back, are already included.
     if part.incarnation != gateway.incarnation {
         let mut usage = gateway.usage.lock();
-        usage.merge(&part.name, part.incarnation, &counts);
+        usage.merge(&part.name, part.incarnation, &windows);
         usage.record_contact(&part.name, part.incarnation, now_ms);
         if part.complete_before > 0 {
             usage.record_complete(&part.name, part.complete_before, now_ms);
--- a/src/cluster/messages/packet.rs
+++ b/src/cluster/messages/packet.rs
@@ -78,10 +78,10 @@
     ///
     /// Returns an error if the bytes are malformed or of an unsupported version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
-        let (datagram, extensions) = Datagram::decode_prefix(bytes)?;
+        let (datagram, extension_bytes) = Datagram::decode_prefix(bytes)?;
         Ok(Self {
             datagram,
-            extensions: Extension::decode_all(extensions),
+            extensions: Extension::decode_all(extension_bytes),
         })
     }
 
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -1,9 +1,9 @@
-//! What daemons tell each other fits into datagrams and is checked.
+//! Encoding and decoding of datagrams: sizes, splitting, extensions, and invalid bytes.
 
 use {crate::cluster_support::*, saddlepulley::cluster::*, std::collections::HashSet};
 
 #[test]
-fn a_datagram_is_the_same_after_its_way() {
+fn the_largest_digest_fits_and_decodes_to_what_was_sent() {
     let mut digest = digest_of("edge-zone-a-17", 99);
     digest.known = (0..MAX_DIGEST_DAEMONS)
         .map(|n| entry("edge-zone-b-1234", "zone-b", n))
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn what_does_not_fit_is_split_and_nothing_is_left_out() {
+fn a_split_list_fits_into_datagrams_and_loses_no_item() {
     let parts = split_into_parts((0..300).map(told_account).collect());
-    let told: usize = parts.iter().map(Vec::len).sum();
-    assert_eq!(told, 300);
+    let accounts: usize = parts.iter().map(Vec::len).sum();
+    assert_eq!(accounts, 300);
     for quotas in parts {
         let part = Datagram::Quotas(QuotasPart {
             name: "edge-zone-a-17".into(),
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn ends_of_upstreams_fit_whatever_their_names() {
+fn crashes_of_upstreams_with_long_names_fit_into_datagrams() {
     let ends = (0..24).map(|n| AnnouncedCrash {
         fingerprint: u128::MAX - n,
         upstream: format!("an-upstream-with-a-long-name-{n}~1764720000123"),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_is_no_datagram_of_ours_is_refused() {
+fn malformed_datagrams_and_unknown_versions_are_rejected() {
     assert!(Datagram::decode(&[]).is_err());
     let mut bytes = Datagram::Digest(digest_of("n", 1)).encode().unwrap();
     assert!(Datagram::decode(&bytes[..bytes.len() / 2]).is_err());
@@ -66,18 +66,18 @@
 }
 
 #[test]
-fn loads_change_once_all_of_their_parts_are_there() {
-    let mut told = ReceivedLoads::default();
-    assert!(told.apply(loads_part(1, 0, 1, &["u1", "u2"])));
-    assert!(!told.apply(loads_part(2, 1, 2, &["u4"])));
-    assert_eq!(told.loads.len(), 2, "the last whole counts");
-    assert!(told.apply(loads_part(2, 0, 2, &["u3"])));
-    let ids: HashSet<&str> = told.loads.iter().map(|(id, ..)| id.as_str()).collect();
+fn incomplete_or_outdated_loads_do_not_replace_complete_ones() {
+    let mut received = ReceivedLoads::default();
+    assert!(received.apply(loads_part(1, 0, 1, &["u1", "u2"])));
+    assert!(!received.apply(loads_part(2, 1, 2, &["u4"])));
+    assert_eq!(received.loads.len(), 2, "the last complete loads count");
+    assert!(received.apply(loads_part(2, 0, 2, &["u3"])));
+    let ids: HashSet<&str> = received.loads.iter().map(|(id, ..)| id.as_str()).collect();
     assert_eq!(ids, HashSet::from(["u3", "u4"]));
-    assert!(!told.apply(loads_part(1, 0, 1, &["u1"])), "an older one");
+    assert!(!received.apply(loads_part(1, 0, 1, &["u1"])), "outdated");
 }
 
-fn told_limit(n: usize) -> AnnouncedLimit {
+fn announced_limit(n: usize) -> AnnouncedLimit {
     AnnouncedLimit {
         upstream: format!("an-upstream-with-a-long-name-{n}~1764720000123"),
         per_s: Some(0.25),
@@ -91,13 +91,13 @@
         Extension::Level(EXTENSION_LEVEL),
         Extension::Limits(LimitsPart {
             among_hubs: true,
-            limits: vec![told_limit(1)],
+            limits: vec![announced_limit(1)],
         }),
         Extension::PermitQuery(PermitQuery {
             incarnation: u64::MAX,
             id: 7,
             is_forwarded: true,
-            limit: told_limit(2),
+            limit: announced_limit(2),
         }),
         Extension::PermitAnswer(PermitAnswer {
             incarnation: u64::MAX,
@@ -120,9 +120,9 @@
     ]
 }
 
-/// Builds that know of no extensions read the message, and don't look behind it.
+/// Builds without support for extensions read the message and ignore the bytes behind it.
 #[test]
-fn extensions_leave_the_message_as_it_is() {
+fn extensions_do_not_change_the_bytes_of_the_message() {
     let message = Datagram::Digest(digest_of("n", 1));
     let mut packet = Packet::from(message.clone());
     for extension in extensions() {
@@ -137,26 +137,26 @@
 }
 
 #[test]
-fn what_only_extensions_say_is_a_message_without_effect_to_others() {
+fn a_packet_of_one_extension_has_an_empty_message_for_builds_without_extensions() {
     for extension in extensions() {
         let bytes = Packet::from(extension).encode().unwrap();
         let Datagram::Crashes(part) = Datagram::decode(&bytes).unwrap() else {
-            panic!("a message that every build knows");
+            panic!("not a kind of message that every build knows");
         };
         assert!(part.ends.is_empty());
     }
 }
 
 #[test]
-fn unknown_extensions_and_later_fields_are_passed_over() {
+fn unknown_extensions_and_later_fields_are_skipped() {
     let mut bytes = Datagram::Digest(digest_of("n", 1)).encode().unwrap();
-    // A kind of a later build, and a known one whose later fields stand at its end.
+    // A kind of a later build, and a known kind with fields of a later build at its end.
     bytes.extend([200, 3, 0, 1, 2, 3]);
     bytes.extend([1, 4, 0, 9, 1, 2, 3]);
     let packet = Packet::decode(&bytes).unwrap();
     assert_eq!(packet.extensions, [Extension::Level(9)]);
     assert_eq!(packet.level(), 9);
-    // One that is cut off, and one that can't be read, harm nothing else.
+    // A truncated extension, and one that can't be decoded, don't affect the others.
     bytes.extend([2, 2, 0, 0xff, 0xff, 5, 0, 0, 2, 50, 0, 1]);
     let packet = Packet::decode(&bytes).unwrap();
     assert_eq!(
@@ -166,12 +166,12 @@
 }
 
 #[test]
-fn an_extension_that_does_not_fit_is_left_out_and_the_message_goes() {
+fn an_extension_that_does_not_fit_is_left_out_and_the_rest_is_sent() {
     let message = Datagram::Crashes(CrashesPart {
         among_hubs: true,
         ends: Vec::new(),
     });
-    let limits = (0..40).map(told_limit).collect();
+    let limits = (0..40).map(announced_limit).collect();
     let part = LimitsPart {
         among_hubs: true,
         limits,
@@ -184,8 +184,8 @@
 }
 
 #[test]
-fn limits_fit_whatever_the_names_of_their_upstreams() {
-    let parts = split_into_parts((0..24).map(told_limit).collect());
+fn limits_of_upstreams_with_long_names_fit_into_datagrams() {
+    let parts = split_into_parts((0..24).map(announced_limit).collect());
     assert_eq!(parts.iter().map(Vec::len).sum::<usize>(), 24);
     for limits in parts {
         let sent = Packet::from(Extension::Limits(LimitsPart {
@@ -199,12 +199,12 @@
 }
 
 #[test]
-fn a_told_rate_that_is_none_says_nothing() {
+fn an_announced_rate_that_is_invalid_is_ignored() {
     for per_s in [f64::NAN, f64::INFINITY, -1.0] {
-        let told = AnnouncedLimit {
+        let announced = AnnouncedLimit {
             per_s: Some(per_s),
-            ..told_limit(1)
+            ..announced_limit(1)
         };
-        assert_eq!(told.known(), None, "{per_s}");
+        assert_eq!(announced.known(), None, "{per_s}");
     }
 }
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -1,4 +1,4 @@
-//! What a hub knows of the daemons that report to it.
+//! The state that a hub keeps of the daemons that report to it, and the announcements between them.
 
 use {
     crate::cluster_support::*,
@@ -9,7 +9,7 @@
     },
 };
 
-fn report(sequence: u64, events: &[(u64, MemberEvent)], alone: u64) -> Report {
+fn report(sequence: u64, events: &[(u64, MemberEvent)], batch: u64) -> Report {
     Report {
         daemon: entry("m", "a", 9),
         incarnation: 1,
@@ -21,28 +21,31 @@
         status: DaemonStatus::default(),
         events: events.to_vec(),
         admitted_standalone: vec![("t".into(), 100.0)],
-        standalone_batch: alone,
+        standalone_batch: batch,
     }
 }
 
 #[test]
-fn what_a_report_tells_twice_is_taken_in_once() {
+fn repeated_events_of_a_report_are_applied_once() {
     let mut members = MemberTable::default();
     let event = |n: u64| {
         let upstream = format!("u{n}");
         (n, MemberEvent::Unreachable { upstream })
     };
-    let news = members.apply_report(&report(1, &[event(1)], 1), 0);
-    assert_eq!((news.events.len(), news.admitted_standalone.len()), (1, 1));
-    let news = members.apply_report(&report(2, &[event(1), event(2)], 1), 100);
-    assert_eq!(news.events, [event(2).1]);
-    assert!(news.admitted_standalone.is_empty());
+    let changes = members.apply_report(&report(1, &[event(1)], 1), 0);
+    assert_eq!(
+        (changes.events.len(), changes.admitted_standalone.len()),
+        (1, 1)
+    );
+    let changes = members.apply_report(&report(2, &[event(1), event(2)], 1), 100);
+    assert_eq!(changes.events, [event(2).1]);
+    assert!(changes.admitted_standalone.is_empty());
     assert_eq!(members.dependents(), 2);
     members.tick(3_000);
-    assert_eq!(members.dependents(), 1, "it fell silent");
+    assert_eq!(members.dependents(), 1, "the daemon is silent");
 }
 
-fn ask(id: u64) -> AdmissionQuery {
+fn query(id: u64) -> AdmissionQuery {
     AdmissionQuery {
         name: "n".into(),
         incarnation: 1,
@@ -63,17 +66,17 @@
 }
 
 #[test]
-fn a_placement_counts_from_the_answer_until_a_report_counts_it_in() {
+fn a_placement_counts_from_its_answer_until_announced_loads_include_it() {
     let mut members = MemberTable::default();
     let placed = HubDecision::Placed {
         upstream: "u1".into(),
         unread_tokens: 700,
         waiting_tokens: 0,
     };
-    let first = members.known_answer(&ask(5), 0);
+    let first = members.known_answer(&query(5), 0);
     assert_eq!(first, None);
-    members.record_answer(&ask(5), &placed, 0);
-    assert_eq!(members.known_answer(&ask(5), 10), Some(placed));
+    members.record_answer(&query(5), &placed, 0);
+    assert_eq!(members.known_answer(&query(5), 10), Some(placed));
     let waiting = |members: &MemberTable| {
         let mut sums = LoadSums::default();
         members.each_load(|id, active, tokens| add_load(&mut sums, id, active, tokens));
@@ -81,7 +84,11 @@
     };
     assert_eq!(waiting(&members), Some((1, 700)));
     members.apply_loads(loads_part(4, 0, 1, &["u1"]), 20);
-    assert_eq!(waiting(&members), Some((31, 1_200)), "not counted in yet");
+    assert_eq!(
+        waiting(&members),
+        Some((31, 1_200)),
+        "announced loads don't include the placement yet"
+    );
     members.apply_loads(loads_part(5, 0, 1, &["u1"]), 40);
     assert_eq!(waiting(&members), Some((30, 500)));
 }
@@ -89,7 +96,7 @@
 #[test]
 fn the_largest_report_fits_into_a_datagram() {
     let mut standalone = StandaloneQuotas::default();
-    let told = ReceivedQuota {
+    let received = ReceivedQuota {
         level: 1e9,
         demand: 1.0,
         at_ms: 0,
@@ -102,7 +109,7 @@
     for account in 0..300 {
         let account = ClientAccount::from(format!("tenant-{account}").as_str());
         standalone.record_demand(&account, 1e3, 0);
-        assert!(standalone.admit(&account, 123.4, Some(told), 1, &limit, 0));
+        assert!(standalone.admit(&account, 123.4, Some(received), 1, &limit, 0));
     }
     let mut log = EventLog::default();
     for n in 0..48 {
@@ -120,74 +127,78 @@
         let bytes = Datagram::Report(report).encode();
         assert!(bytes.is_ok(), "{bytes:?}");
     }
-    assert_eq!(units, 600, "each account is told twice");
+    assert_eq!(units, 600, "each account is announced twice");
 }
 
-/// A hub before many client accounts told each daemon that asks it all of them each time: at
-/// 333 accounts and 196 daemons that was most of what went out over its link.
+/// Guards against a hub that sends the state of all client accounts to each dependent each time: with
+/// 333 accounts and 196 daemons these messages made up most of the traffic on the hub's link.
 #[test]
-fn a_daemon_is_told_of_the_accounts_that_it_uses_and_by_turns_of_the_others() {
+fn a_daemon_gets_the_accounts_that_it_uses_each_time_and_the_others_in_turn() {
     for accounts in [40, 333, 2_000] {
         let mut members = MemberTable::default();
         members.apply_report(&report(1, &[], 0), 0);
         for used in [5, 17, 30] {
-            let mut asked = ask(used);
-            asked.name = "m".into();
-            asked.quota = Some(QuotaQuery {
+            let mut admission_query = query(used);
+            admission_query.name = "m".into();
+            admission_query.quota = Some(QuotaQuery {
                 account: format!("tenant-{used}"),
                 cost: 1.0,
                 max_wait_ms: 0,
             });
-            members.known_answer(&asked, 0);
+            members.known_answer(&admission_query, 0);
         }
-        let mut told_to_all = std::collections::HashSet::new();
+        let mut announced = std::collections::HashSet::new();
         let mut turns = 0;
-        while told_to_all.len() < accounts {
+        while announced.len() < accounts {
             turns += 1;
-            assert!(turns <= accounts, "all are told some time");
+            assert!(turns <= accounts, "each account is announced at some time");
             let all = (0..accounts).map(told_account).collect();
             let parts = members.quotas_for("m", all);
             assert_eq!(parts.len(), 1, "one datagram, at {accounts} accounts");
-            let names: Vec<&str> = parts[0].iter().map(|told| told.name.as_str()).collect();
+            let names: Vec<&str> = parts[0]
+                .iter()
+                .map(|account| account.name.as_str())
+                .collect();
             for used in ["tenant-5", "tenant-17", "tenant-30"] {
-                assert!(names.contains(&used), "{used} each time");
+                assert!(names.contains(&used), "{used} is announced each time");
             }
-            told_to_all.extend(names.into_iter().map(String::from));
+            announced.extend(names.into_iter().map(String::from));
         }
     }
 }
 
 #[test]
-fn a_daemon_that_uses_many_accounts_is_told_of_all_of_them() {
+fn a_daemon_that_uses_many_accounts_gets_all_of_them() {
     let mut members = MemberTable::default();
     members.apply_report(&report(1, &[], 0), 0);
     for used in 0..100 {
-        let mut asked = ask(used);
-        asked.name = "m".into();
-        asked.quota = Some(QuotaQuery {
+        let mut admission_query = query(used);
+        admission_query.name = "m".into();
+        admission_query.quota = Some(QuotaQuery {
             account: format!("tenant-{used}"),
             cost: 1.0,
             max_wait_ms: 0,
         });
-        members.known_answer(&asked, 0);
+        members.known_answer(&admission_query, 0);
     }
     let all = (0..333).map(told_account).collect();
-    let told: Vec<_> = members.quotas_for("m", all).into_iter().flatten().collect();
+    let announced: Vec<_> = members.quotas_for("m", all).into_iter().flatten().collect();
     let used = (0..100).map(|n| format!("tenant-{n}"));
     for name in used {
-        assert!(told.iter().any(|t| t.name == name), "{name}");
+        assert!(announced.iter().any(|t| t.name == name), "{name}");
     }
-    assert!(told.len() < 200, "{}", told.len());
+    assert!(announced.len() < 200, "{}", announced.len());
     members.tick(40_000);
     assert!(
         members.quotas_for("m", vec![told_account(1)]).is_empty(),
-        "it fell silent"
+        "the daemon is silent"
     );
 }
 
-/// What was told of an account long ago is as old as it is, though others were told since.
+/// Guards against an outdated state of an account that counts as new because the hub has announced
+/// other accounts since.
 #[test]
-fn each_account_is_as_old_as_it_was_told() {
+fn an_accounts_state_keeps_the_time_of_its_own_announcement() {
     let mut peers = PeerTable::new(entry("own", "a", 1));
     peers.apply_digest(digest_of("n", 1), 1_000);
     let mut part = QuotasPart {
@@ -201,6 +212,9 @@
     part.sequence = 2;
     part.quotas = vec![told_account(2)];
     assert!(peers.apply_quotas(&part, 9_000));
-    let told_at = |account: &str| peers.received_quota(&account.into()).unwrap().at_ms;
-    assert_eq!((told_at("tenant-1"), told_at("tenant-2")), (1_000, 9_000));
+    let received_at = |account: &str| peers.received_quota(&account.into()).unwrap().at_ms;
+    assert_eq!(
+        (received_at("tenant-1"), received_at("tenant-2")),
+        (1_000, 9_000)
+    );
 }
--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -1,12 +1,12 @@
-//! Daemons of landed builds and of this one understand each other.
+//! Daemons of released builds and of this build understand each other's messages.
 //!
-//! What callers saw: with three daemons of one build beside three of the next, a client
-//! account of 40 requests a second was let in 1.71 times what its quota allows. Each build
-//! dropped the datagrams of the other whole, for their version: two systems that didn't
-//! hear each other stood before the same upstreams.
+//! Guards against builds that reject each other's datagrams because of their version. With three
+//! daemons of one build and three of the next, a client account with a quota of 40 requests per
+//! second was admitted at 1.71 times its quota: the builds acted as two separate systems in front
+//! of the same upstreams.
 //!
-//! `landed/6` and `landed/7` hold one message of each kind as the builds with these
-//! versions wrote it.
+//! `landed/6` and `landed/7` hold one message of each kind as the builds with these versions wrote
+//! it.
 
 #[path = "landed/messages.rs"]
 mod messages;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_landed_builds_say_is_understood() {
+fn messages_of_released_builds_are_understood() {
     for version in LANDED {
         for (name, datagram) in datagrams() {
             if version == 6 && name == "crashes" {
@@ -45,15 +45,16 @@
     }
 }
 
-/// Byte for byte what they write themselves; behind it may stand what they don't look at.
+/// The messages equal byte for byte what the released builds write themselves. Bytes that these builds
+/// ignore may follow.
 #[test]
-fn landed_builds_are_told_what_they_understand() {
+fn released_builds_get_messages_that_they_understand() {
     for version in LANDED {
         for (name, datagram) in datagrams() {
             let packet = Packet::from(datagram).with(Extension::Level(EXTENSION_LEVEL));
             let bytes = packet.encode_for(version).unwrap();
             if version == 6 && name == "crashes" {
-                assert_eq!(bytes, None, "they know of no such message");
+                assert_eq!(bytes, None, "version 6 has no such message");
                 continue;
             }
             let theirs = landed(version, name);
@@ -64,10 +65,10 @@
     }
 }
 
-/// A daemon that was only told of was taken for one of an earlier build: it told its whole
-/// directory by offsets, and once more, packed, when it was heard.
+/// Guards against taking a daemon that only others have named for one of an earlier build: it sent
+/// its whole directory by offsets, and a second time, packed, after its first message arrived.
 #[test]
-fn one_that_has_not_told_its_build_is_asked_for_updates_first() {
+fn a_daemon_of_unknown_build_is_queried_for_updates_first() {
     let (new, landed) = (address(1), address(2));
     let mut table = PeerTable::new(entry("own", "a", 0));
     let mut digest = digest_of("hub", 1);
@@ -75,17 +76,23 @@
     table.apply_digest(digest, 0);
     assert!(table.live_addresses().contains(&new));
     let mut forms = FeedForms::default();
-    assert!(forms.supports_updates(new, table.level_at(new)), "told of");
+    assert!(
+        forms.supports_updates(new, table.level_at(new)),
+        "only named"
+    );
     assert!(forms.supports_updates(landed, table.level_at(landed)));
     forms.record_refused(landed);
     assert!(!forms.supports_updates(landed, table.level_at(landed)));
     assert!(forms.supports_updates(new, table.level_at(new)));
-    assert!(!forms.supports_updates(new, UPDATES_LEVEL - 1), "it told");
+    assert!(
+        !forms.supports_updates(new, UPDATES_LEVEL - 1),
+        "named its level"
+    );
     assert!(forms.supports_updates(landed, UPDATES_LEVEL), "replaced");
 }
 
 #[test]
-fn what_only_extensions_say_is_not_sent_to_builds_that_know_none() {
+fn a_packet_of_one_extension_is_not_sent_to_builds_without_extensions() {
     let packet = Packet::from(Extension::HasPermit);
     assert_eq!(packet.encode_for(6).unwrap(), None);
     assert_eq!(
@@ -110,7 +117,7 @@
 }
 
 #[test]
-fn news_and_configurations_are_the_same_in_all_builds() {
+fn feed_and_configuration_messages_are_the_same_in_all_builds() {
     assert_same(&feed_ask(), "feed-ask");
     assert_same(&feed_news(), "feed-news");
     assert_same(&config_ask(), "config-ask");
@@ -124,33 +131,34 @@
 }
 
 #[test]
-fn each_daemon_is_told_what_it_speaks() {
-    let mut spoken = PeerVersions::default();
+fn each_daemon_gets_messages_in_the_version_that_it_uses() {
+    let mut versions_in_use = PeerVersions::default();
     assert_eq!(
-        spoken.for_daemon(at(1), 0),
+        versions_in_use.for_daemon(at(1), 0),
         &[7, 6],
-        "nothing is known of it"
+        "its version is unknown"
     );
-    spoken.record(at(1), 6, 0);
-    spoken.record(at(2), 7, 0);
-    assert_eq!(spoken.for_daemon(at(1), 100), &[6]);
-    assert_eq!(spoken.for_daemon(at(2), 100), &[7]);
-    // It knows nothing of this daemon either, and tells it everything twice.
-    spoken.record(at(2), 6, 100);
-    assert_eq!(spoken.for_daemon(at(2), 100), &[7]);
-    // It was replaced by an earlier build, and by a later one.
-    spoken.record(at(2), 6, 4_000);
-    assert_eq!(spoken.for_daemon(at(2), 4_000), &[6]);
-    spoken.record(at(2), 7, 4_100);
-    assert_eq!(spoken.for_daemon(at(2), 4_100), &[7]);
-    // It has been silent for long: whatever is there now understands one of both.
-    assert_eq!(spoken.for_daemon(at(2), 60_000), &[7, 6]);
-    assert!(spoken.counts().eq([(6, 1), (7, 1)]));
-    spoken.tick(60_000);
-    assert!(spoken.counts().eq([(6, 0), (7, 0)]));
+    versions_in_use.record(at(1), 6, 0);
+    versions_in_use.record(at(2), 7, 0);
+    assert_eq!(versions_in_use.for_daemon(at(1), 100), &[6]);
+    assert_eq!(versions_in_use.for_daemon(at(2), 100), &[7]);
+    // It does not know the version of this daemon either, and sends everything in both.
+    versions_in_use.record(at(2), 6, 100);
+    assert_eq!(versions_in_use.for_daemon(at(2), 100), &[7]);
+    // It is replaced by an earlier build, and then by a later one.
+    versions_in_use.record(at(2), 6, 4_000);
+    assert_eq!(versions_in_use.for_daemon(at(2), 4_000), &[6]);
+    versions_in_use.record(at(2), 7, 4_100);
+    assert_eq!(versions_in_use.for_daemon(at(2), 4_100), &[7]);
+    // After a long silence its version is unknown again: any build understands one of both.
+    assert_eq!(versions_in_use.for_daemon(at(2), 60_000), &[7, 6]);
+    assert!(versions_in_use.counts().eq([(6, 1), (7, 1)]));
+    versions_in_use.tick(60_000);
+    assert!(versions_in_use.counts().eq([(6, 0), (7, 0)]));
 }
 
-/// Which messages a build understands, and whether it speaks in what others speak.
+/// The build of a simulated daemon: it determines which message versions the daemon understands, and
+/// whether it adapts to the versions of others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Build {
     Landed(u8),
@@ -167,31 +175,32 @@
 }
 
 const DAEMONS: usize = 6;
-const TELL_MS: u64 = 250;
-/// From when a daemon is replaced until all have to hear it, and it them.
-const HEARD_WITHIN_MS: u64 = 5_000;
+const SEND_INTERVAL_MS: u64 = 250;
+/// The time after the replacement of a daemon, or the end of a partition, within which daemons must
+/// receive each other's messages again.
+const MAX_DEAF_MS: u64 = 5_000;
 
-/// Daemons that tell each other each quarter of a second and are replaced by those of other
-/// builds, at the same addresses, forward and back; datagrams get lost, and a domain of two
-/// is cut off now and then.
+/// Simulates daemons that send to each other every quarter of a second, and are replaced by daemons
+/// of other builds at the same addresses, to a later build and back. Datagrams get lost, and a domain
+/// of two daemons is cut off from time to time.
 #[test]
-fn no_daemon_of_this_build_stays_deaf_to_any_other() {
+fn daemons_of_this_build_keep_receiving_from_replaced_daemons_of_any_build() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let old = LANDED[rng.random_range(0..2)];
         let mut builds = [Build::Landed(old); DAEMONS];
-        let mut spoken = vec![PeerVersions::default(); DAEMONS];
+        let mut versions_in_use = vec![PeerVersions::default(); DAEMONS];
         let mut changed_ms = [0; DAEMONS];
         let mut last_seen_ms = [[0; DAEMONS]; DAEMONS];
         let mut cut_until_ms = 0;
-        for now_ms in (0..90_000).step_by(TELL_MS as usize) {
+        for now_ms in (0..90_000).step_by(SEND_INTERVAL_MS as usize) {
             if rng.random_bool(0.02) {
                 let at = rng.random_range(0..DAEMONS);
                 builds[at] = match builds[at] {
                     Build::New => Build::Landed(old),
                     Build::Landed(_) => Build::New,
                 };
-                spoken[at] = PeerVersions::default();
+                versions_in_use[at] = PeerVersions::default();
                 changed_ms[at] = now_ms;
             }
             if now_ms >= cut_until_ms && rng.random_bool(0.01) {
@@ -201,7 +210,9 @@
                 for to in (0..DAEMONS).filter(|to| *to != from) {
                     let versions = match builds[from] {
                         Build::Landed(own) => vec![own],
-                        Build::New => spoken[from].for_daemon(at(to as u16), now_ms).to_vec(),
+                        Build::New => versions_in_use[from]
+                            .for_daemon(at(to as u16), now_ms)
+                            .to_vec(),
                     };
                     let is_cut = now_ms < cut_until_ms && (from < 2) != (to < 2);
                     for version in versions {
@@ -209,7 +220,7 @@
                             continue;
                         }
                         last_seen_ms[to][from] = now_ms;
-                        spoken[to].record(at(from as u16), version, now_ms);
+                        versions_in_use[to].record(at(from as u16), version, now_ms);
                     }
                 }
             }
@@ -221,8 +232,8 @@
                     let since = changed_ms[from].max(changed_ms[to]).max(cut_until_ms);
                     let deaf_ms = now_ms.saturating_sub(last_seen_ms[to][from].max(since));
                     assert!(
-                        deaf_ms <= HEARD_WITHIN_MS,
-                        "seed {seed} at {now_ms}: {to} ({:?}) hears nothing of {from} ({:?})",
+                        deaf_ms <= MAX_DEAF_MS,
+                        "seed {seed} at {now_ms}: {to} ({:?}) receives nothing from {from} ({:?})",
                         builds[to],
                         builds[from]
                     );
@@ -240,9 +251,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// A later build adds kinds of extensions and fields: what is known stays understood.
+    /// Guards against rejecting messages of later builds, which add kinds of extensions and fields.
     #[test]
-    fn unknown_kinds_and_fields_make_nobody_deaf(
+    fn unknown_kinds_and_fields_do_not_hide_known_ones(
         which in 0..13_usize,
         unknown in prop::collection::vec((100..=255_u8, prop::collection::vec(any::<u8>(), 0..20)), 0..4),
         later_field in prop::collection::vec(any::<u8>(), 0..20),
--- a/tests/decisions/rollout_duty.rs
+++ b/tests/decisions/rollout_duty.rs
@@ -1,5 +1,5 @@
-//! The leader of roll-outs and what it writes, on a board that refuses numbers and is
-//! taken over.
+//! The records that the leader of rollouts writes to a status store, which may reject their numbers
+//! and be taken over.
 
 use {
     async_trait::async_trait,
@@ -14,15 +14,15 @@
 };
 
 #[derive(Debug, Default)]
-struct Board {
+struct TestStore {
     calls: Mutex<Vec<String>>,
     written: Mutex<Vec<(u64, u64, RolloutState)>>,
-    /// The number that it wants next, if another than it is given.
-    wants: Mutex<Option<u64>>,
+    /// The number that the store expects next, if it is to reject another one.
+    expected: Mutex<Option<u64>>,
 }
 
 #[async_trait]
-impl StatusBoard for Board {
+impl StatusBoard for TestStore {
     async fn take_over(&self, fence: u64) -> Result<(), BackendError> {
         self.calls.lock().push(format!("take over {fence}"));
         Ok(())
@@ -40,9 +40,9 @@
         number: u64,
     ) -> Result<WriteOutcome, BackendError> {
         self.calls.lock().push(format!("write {number}"));
-        let wants = self.wants.lock().take();
-        if let Some(wanted) = wants.filter(|wanted| *wanted != number) {
-            return Ok(WriteOutcome::Renumber(wanted));
+        let expected = self.expected.lock().take();
+        if let Some(expected) = expected.filter(|expected| *expected != number) {
+            return Ok(WriteOutcome::Renumber(expected));
         }
         let taken = (fence, number, rollout.state);
         self.written.lock().push(taken);
@@ -75,38 +75,38 @@
     gateway
 }
 
-/// A leader before could still write an outcome after the next one had read: the operator
-/// then read two that differ.
+/// Guards against a former leader that writes an outcome after the next leader has read the records:
+/// the operator would read two different outcomes.
 #[tokio::test]
-async fn the_board_is_taken_over_before_it_is_read_and_once_a_fence() {
-    let (board, gateway) = (Arc::new(Board::default()), gateway());
-    let mut duty = RolloutDuty::new(board.clone());
+async fn the_status_store_is_taken_over_before_it_is_read_and_once_per_fence() {
+    let (store, gateway) = (Arc::new(TestStore::default()), gateway());
+    let mut duty = RolloutDuty::new(store.clone());
     duty.turn(&gateway, 7).await.unwrap();
     duty.turn(&gateway, 7).await.unwrap();
-    let calls = board.calls.lock().clone();
+    let calls = store.calls.lock().clone();
     assert_eq!(calls, ["take over 7", "read", "write 1"]);
     duty.turn(&gateway, 9).await.unwrap();
-    let calls = board.calls.lock()[3..].to_vec();
+    let calls = store.calls.lock()[3..].to_vec();
     assert_eq!(calls, ["take over 9", "read", "write 1"]);
 }
 
 #[tokio::test]
-async fn a_record_that_is_out_of_order_is_written_under_the_wanted_number() {
-    let (board, gateway) = (Arc::new(Board::default()), gateway());
-    *board.wants.lock() = Some(0);
-    let mut duty = RolloutDuty::new(board.clone());
+async fn a_record_with_a_rejected_number_is_written_under_the_expected_one() {
+    let (store, gateway) = (Arc::new(TestStore::default()), gateway());
+    *store.expected.lock() = Some(0);
+    let mut duty = RolloutDuty::new(store.clone());
     duty.turn(&gateway, 7).await.unwrap();
-    assert!(board.written.lock().is_empty());
+    assert!(store.written.lock().is_empty());
     duty.turn(&gateway, 7).await.unwrap();
-    let written = board.written.lock().clone();
+    let written = store.written.lock().clone();
     assert_eq!(written, [(7, 0, RolloutState::InProgress)]);
 }
 
 #[tokio::test]
-async fn without_a_roll_out_the_board_is_not_called() {
-    let (board, gateway) = (Arc::new(Board::default()), gateway());
+async fn without_a_rollout_the_status_store_is_not_called() {
+    let (store, gateway) = (Arc::new(TestStore::default()), gateway());
     *gateway.rollouts.lock() = RolloutTable::default();
-    let mut duty = RolloutDuty::new(board.clone());
+    let mut duty = RolloutDuty::new(store.clone());
     duty.turn(&gateway, 7).await.unwrap();
-    assert!(board.calls.lock().is_empty());
+    assert!(store.calls.lock().is_empty());
 }
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -1,4 +1,4 @@
-//! Decisions of the routed request path.
+//! Decisions on routed requests: directory, routes, retries, placement, and streams.
 
 use {
     http::HeaderMap,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn draining_is_final_and_old_entries_bring_nothing_back() {
+fn draining_is_final_and_outdated_entries_do_not_restore_upstreams() {
     let mut directory = UpstreamDirectory::default();
     let id = UpstreamId::from("b");
     directory.upsert(upstream("b", 1, false));
@@ -34,23 +34,26 @@
     directory.remove("b", 5);
     directory.read_to(6);
     directory.upsert(upstream("b", 4, false));
-    assert!(directory.get(&id).is_none(), "an old entry");
+    assert!(directory.get(&id).is_none(), "an outdated entry");
     directory.upsert(upstream("b", 6, false));
-    assert!(!directory.is_ready(&id), "a later one: it was leaving");
+    assert!(
+        !directory.is_ready(&id),
+        "a later entry, but the upstream was leaving"
+    );
     directory.upsert(upstream("c", 7, false));
     let id = UpstreamId::from("c");
     directory.remove("c", 7);
-    assert!(directory.is_ready(&id), "an older removal");
+    assert!(directory.is_ready(&id), "an outdated removal");
     directory.remove("c", 8);
     directory.read_to(9);
     directory.upsert(upstream("c", 7, false));
-    assert!(directory.get(&id).is_none(), "an old entry");
+    assert!(directory.get(&id).is_none(), "an outdated entry");
     directory.upsert(upstream("c", 9, false));
-    assert!(directory.is_ready(&id), "only the entry had gone");
+    assert!(directory.is_ready(&id), "only the entry was removed");
 }
 
 #[test]
-fn draining_said_in_an_old_entry_still_counts() {
+fn draining_in_an_outdated_entry_still_counts() {
     let mut directory = UpstreamDirectory::default();
     directory.upsert(upstream("b", 9, false));
     directory.upsert(upstream("b", 8, true));
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn a_listing_drops_what_it_lacks() {
+fn a_full_listing_removes_upstreams_that_it_lacks() {
     let mut directory = UpstreamDirectory::default();
     directory.upsert(upstream("a", 1, false));
     directory.upsert(upstream("b", 2, false));
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn a_file_of_one_daemon_may_take_upstreams_away_and_bring_them_back() {
+fn a_daemons_own_file_can_remove_upstreams_and_restore_them() {
     let mut directory = UpstreamDirectory::default();
     let id = UpstreamId::from("a");
     directory.replace_own(vec![upstream("a", 0, false), upstream("b", 0, false)]);
@@ -79,19 +82,19 @@
     assert!(directory.get(&id).is_none());
     directory.replace_own(vec![upstream("a", 0, false)]);
     assert!(directory.is_ready(&id));
-    // What another daemon's file holds is no news here.
+    // Upstreams from another daemon's file are ignored by a daemon with a source of its own.
     let mut other = UpstreamDirectory::default();
     other.replace_own(vec![upstream("c", 0, false)]);
     directory.apply(other.changes_since(None));
     assert!(directory.is_ready(&id));
     assert!(directory.get(&UpstreamId::from("c")).is_none());
-    // A daemon without a source goes by the other's.
-    let mut lacking = UpstreamDirectory::default();
-    lacking.apply(other.changes_since(None));
-    assert!(lacking.is_ready(&UpstreamId::from("c")));
+    // A daemon without a source applies them.
+    let mut sourceless = UpstreamDirectory::default();
+    sourceless.apply(other.changes_since(None));
+    assert!(sourceless.is_ready(&UpstreamId::from("c")));
     other.replace_own(Vec::new());
-    lacking.apply(other.changes_since(None));
-    assert!(!lacking.is_ready(&UpstreamId::from("c")));
+    sourceless.apply(other.changes_since(None));
+    assert!(!sourceless.is_ready(&UpstreamId::from("c")));
 }
 
 fn route(host: &str, prefix: &str, kind: RouteKind) -> Route {
@@ -115,7 +118,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn the_route_with_the_longest_matching_prefix_is_chosen() {
     let config = RoutingConfig {
         version: 1,
         routes: vec![
@@ -133,7 +136,7 @@
     let with_port = table.find_route("H:8080", "/a/x");
     assert!(
         with_port.is_some(),
-        "host names have no case, ports don't count"
+        "host names are case-insensitive, and ports are ignored"
     );
 }
 
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn what_may_have_run_goes_elsewhere_only_if_it_may_be_repeated() {
+fn a_request_that_may_have_run_is_retried_only_if_repeatable() {
     let situation = RetrySituation {
         may_have_run: true,
         repeatable: false,
@@ -179,8 +182,8 @@
 }
 
 #[test]
-fn repeats_of_all_daemons_stay_within_the_budget() {
-    // Eight daemons in outage: every request is repeated as often as allowed.
+fn retries_of_all_daemons_stay_within_the_budget() {
+    // Eight daemons during an outage: each retries every request as often as its allowance permits.
     let (ratio, slack, daemons) = (0.2, 52.0, 8);
     let mut retries = 0;
     let requests = 400;
@@ -195,7 +198,7 @@
         f64::from(retries) <= f64::from(requests) * ratio + slack,
         "{retries}"
     );
-    assert!(retries >= 60, "the budget is of use: {retries}");
+    assert!(retries >= 60, "the budget is used: {retries}");
 }
 
 fn candidate() -> Candidate {
@@ -221,7 +224,7 @@
 }
 
 #[test]
-fn a_upstream_that_has_the_prompt_is_chosen_unless_others_wait_there() {
+fn an_upstream_that_caches_the_prompt_is_chosen_unless_it_is_busy() {
     let home = Candidate {
         unread_tokens: 300,
         ..candidate()
@@ -239,7 +242,7 @@
 }
 
 #[test]
-fn one_that_is_avoided_is_chosen_only_if_there_is_no_other() {
+fn an_avoided_upstream_is_chosen_only_if_there_is_no_other() {
     let avoided = Candidate {
         avoided: true,
         ..candidate()
@@ -254,13 +257,16 @@
 }
 
 #[test]
-fn a_upstream_that_fails_requests_gets_fewer() {
+fn an_upstream_that_fails_requests_gets_fewer() {
     let mut load = UpstreamLoad::default();
     for _ in 0..10 {
         load.record_outcome(true, 100);
     }
     assert!(load.failure_rate(100) > 0.8);
-    assert!(load.failure_rate(20_000) < 0.05, "it gets another chance");
+    assert!(
+        load.failure_rate(20_000) < 0.05,
+        "past failures lose their weight"
+    );
     let failing = Candidate {
         failure_rate: load.failure_rate(100),
         ..candidate()
@@ -269,7 +275,7 @@
 }
 
 #[test]
-fn an_unreachable_upstream_is_left_alone_and_then_gets_one_request_at_a_time() {
+fn an_unreachable_upstream_is_avoided_and_then_gets_one_request_at_a_time() {
     let mut load = UpstreamLoad::default();
     load.record_unreachable(1_000);
     assert!(load.is_avoided(1_100));
@@ -281,15 +287,21 @@
 }
 
 #[test]
-fn a_stream_is_moved_from_a_upstream_that_is_silent_to_all() {
+fn a_stream_counts_as_stalled_if_its_upstream_is_silent_to_all_requests() {
     let limits = StallLimits::of(&route("h", "/", RouteKind::Streaming), true);
     assert!(limits.is_stalled(800, 800));
-    assert!(!limits.is_stalled(800, 100), "it serves others");
-    assert!(limits.is_stalled(2_500, 0), "but not this one for too long");
+    assert!(
+        !limits.is_stalled(800, 100),
+        "the upstream answers other requests"
+    );
+    assert!(
+        limits.is_stalled(2_500, 0),
+        "it has not answered this request for too long"
+    );
 }
 
 #[test]
-fn a_prompts_parts_are_read_until_one_is_not_at_hand() {
+fn only_the_leading_cached_parts_of_a_prompt_count() {
     let names = HeaderNames::default();
     let mut headers = HeaderMap::new();
     headers.insert(&names.token_count, "1460,80".parse().unwrap());
@@ -304,61 +316,61 @@
     let [first, second] = [0, 1].map(|n| prompt.parts[n].chain);
     assert_eq!(prompt.shared_chain(), Some(second));
     let mut caches = CacheMemory::default();
-    let kept = |caches: &CacheMemory, upstream: &str, now_ms| {
+    let cached = |caches: &CacheMemory, upstream: &str, now_ms| {
         let parts = prompt.parts.iter().map(|p| p.chain);
-        let kept = caches.kept_parts(parts, now_ms);
-        kept.get(&UpstreamId::from(upstream)).copied()
+        let cached = caches.kept_parts(parts, now_ms);
+        cached.get(&UpstreamId::from(upstream)).copied()
     };
     caches.record(&UpstreamId::from("u1"), [first].into_iter(), 0);
     caches.record(&UpstreamId::from("u2"), [second].into_iter(), 0);
     caches.record(&UpstreamId::from("u3"), [first, second].into_iter(), 0);
-    assert_eq!(kept(&caches, "u1", 10), Some(1));
+    assert_eq!(cached(&caches, "u1", 10), Some(1));
     assert_eq!(
-        kept(&caches, "u2", 10),
+        cached(&caches, "u2", 10),
         None,
         "the part before it is missing"
     );
-    assert_eq!(kept(&caches, "u3", 10), Some(2));
-    assert_eq!(kept(&caches, "u3", 20_000), None, "too long ago");
+    assert_eq!(cached(&caches, "u3", 10), Some(2));
+    assert_eq!(cached(&caches, "u3", 20_000), None, "recorded too long ago");
     caches.retain(|id| id.as_str() == "u1", 10);
-    assert_eq!(kept(&caches, "u3", 10), None, "it is gone");
-    assert_eq!(kept(&caches, "u1", 10), Some(1));
+    assert_eq!(cached(&caches, "u3", 10), None, "the upstream was removed");
+    assert_eq!(cached(&caches, "u1", 10), Some(1));
 }
 
 const EVENTS: &[u8] = b"id: 1\ndata: a\n\nid: 2\ndata: bb\n\ndata: no id\n\nid: 3\ndata: ccc\n\n";
 
 proptest! {
-    /// However a stream is cut into pieces, whole events come out, byte for byte.
+    /// However a stream is cut into chunks, only complete events are forwarded, byte for byte.
     #[test]
-    fn only_whole_events_pass(cuts in proptest::collection::vec(0..EVENTS.len(), 0..8)) {
+    fn only_complete_events_are_forwarded(cuts in proptest::collection::vec(0..EVENTS.len(), 0..8)) {
         let mut cuts = cuts;
         cuts.sort_unstable();
-        let mut border = EventSplitter::default();
-        let mut passed = Vec::new();
+        let mut splitter = EventSplitter::default();
+        let mut forwarded = Vec::new();
         let mut from = 0;
         for cut in cuts.into_iter().chain([EVENTS.len()]) {
-            if let Some(run) = border.push(&EVENTS[from..cut]) {
-                passed.extend_from_slice(&run.bytes);
+            if let Some(run) = splitter.push(&EVENTS[from..cut]) {
+                forwarded.extend_from_slice(&run.bytes);
             }
-            prop_assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
+            prop_assert!(forwarded.is_empty() || forwarded.ends_with(b"\n\n"));
             from = cut;
         }
-        prop_assert_eq!(passed, EVENTS);
-        prop_assert!(!border.is_inside_event());
+        prop_assert_eq!(forwarded, EVENTS);
+        prop_assert!(!splitter.is_inside_event());
     }
 }
 
 #[test]
-fn events_tell_their_first_and_last_ids() {
-    let mut border = EventSplitter::default();
-    let run = border.push(EVENTS).unwrap();
+fn a_batch_of_events_has_its_first_and_last_ids() {
+    let mut splitter = EventSplitter::default();
+    let run = splitter.push(EVENTS).unwrap();
     assert_eq!((run.first_id, run.last_id), (Some(1), Some(3)));
-    assert!(border.push(b"id: 4\ndata").is_none());
-    assert!(border.is_inside_event());
+    assert!(splitter.push(b"id: 4\ndata").is_none());
+    assert!(splitter.is_inside_event());
 }
 
 #[test]
-fn the_share_of_the_budget_shrinks_as_daemons_become_known() {
+fn the_share_of_the_retry_budget_shrinks_as_daemons_become_known() {
     let mut allowance = RetryAllowance::new(0.2, 6.0);
     allowance.set_share(2.0);
     let spent = (0..10).filter(|_| allowance.spend(0.0)).count();
@@ -366,20 +378,23 @@
 }
 
 #[test]
-fn a_domain_whose_upstreams_are_out_of_reach_is_left_alone_as_a_whole() {
+fn a_domain_with_several_unreachable_upstreams_is_avoided() {
     let mut reach = DomainReach::default();
     let domain = FailureDomain::from("far");
     let id = |n: u32| UpstreamId::from(n.to_string().as_str());
     for _ in 0..5 {
         reach.record_unreachable(&domain, &id(0), 100);
     }
-    assert!(!reach.is_avoided(&domain, 100), "one upstream may be dead");
+    assert!(
+        !reach.is_avoided(&domain, 100),
+        "a single upstream may have failed"
+    );
     reach.record_unreachable(&domain, &id(1), 200);
     reach.record_unreachable(&domain, &id(2), 300);
     assert!(reach.is_avoided(&domain, 400));
-    assert!(!reach.is_avoided(&domain, 900), "tried again");
+    assert!(!reach.is_avoided(&domain, 900), "retried after a pause");
     reach.record_unreachable(&domain, &id(3), 900);
-    assert!(reach.is_avoided(&domain, 1_700), "for longer now");
+    assert!(reach.is_avoided(&domain, 1_700), "the pause is longer now");
     reach.record_reached(&domain);
     assert!(!reach.is_avoided(&domain, 1_700));
 }
