--- a/tests/decisions/mixed_builds.rs
+++ b/tests/decisions/mixed_builds.rs
@@ -22,9 +22,9 @@
     std::{fmt::Debug, fs, net::SocketAddr, path::Path},
 };
 
-const LANDED: [u8; 2] = [6, 7];
+const RELEASED: [u8; 2] = [6, 7];
 
-fn landed(version: u8, name: &str) -> Vec<u8> {
+fn recorded_message(version: u8, name: &str) -> Vec<u8> {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/decisions/landed");
     let path = dir.join(format!("{version}/{name}.hex"));
     let text = fs::read_to_string(path).unwrap();
@@ -33,12 +33,12 @@
 
 #[test]
 fn messages_of_released_builds_are_understood() {
-    for version in LANDED {
+    for version in RELEASED {
         for (name, datagram) in datagrams() {
             if version == 6 && name == "crashes" {
                 continue;
             }
-            let packet = Packet::decode(&landed(version, name));
+            let packet = Packet::decode(&recorded_message(version, name));
             let packet = packet.unwrap_or_else(|e| panic!("{name} of {version}: {e}"));
             assert_eq!(packet, Packet::from(datagram), "{name} of {version}");
         }
@@ -49,7 +49,7 @@
 /// ignore may follow.
 #[test]
 fn released_builds_get_messages_that_they_understand() {
-    for version in LANDED {
+    for version in RELEASED {
         for (name, datagram) in datagrams() {
             let packet = Packet::from(datagram).with(Extension::Level(EXTENSION_LEVEL));
             let bytes = packet.encode_for(version).unwrap();
@@ -57,7 +57,7 @@
                 assert_eq!(bytes, None, "version 6 has no such message");
                 continue;
             }
-            let theirs = landed(version, name);
+            let theirs = recorded_message(version, name);
             let bytes = bytes.unwrap();
             assert!(bytes.len() >= theirs.len(), "{name} of {version}");
             assert_eq!(bytes[..theirs.len()], theirs, "{name} of {version}");
@@ -69,7 +69,7 @@
 /// its whole directory by offsets, and a second time, packed, after its first message arrived.
 #[test]
 fn a_daemon_of_unknown_build_is_queried_for_updates_first() {
-    let (new, landed) = (address(1), address(2));
+    let (new, released) = (address(1), address(2));
     let mut table = PeerTable::new(entry("own", "a", 0));
     let mut digest = digest_of("hub", 1);
     digest.known = vec![entry("new", "a", 1)];
@@ -80,15 +80,15 @@
         forms.supports_updates(new, table.level_at(new)),
         "only named"
     );
-    assert!(forms.supports_updates(landed, table.level_at(landed)));
-    forms.record_refused(landed);
-    assert!(!forms.supports_updates(landed, table.level_at(landed)));
+    assert!(forms.supports_updates(released, table.level_at(released)));
+    forms.record_refused(released);
+    assert!(!forms.supports_updates(released, table.level_at(released)));
     assert!(forms.supports_updates(new, table.level_at(new)));
     assert!(
         !forms.supports_updates(new, UPDATES_LEVEL - 1),
         "named its level"
     );
-    assert!(forms.supports_updates(landed, UPDATES_LEVEL), "replaced");
+    assert!(forms.supports_updates(released, UPDATES_LEVEL), "replaced");
 }
 
 #[test]
@@ -105,8 +105,8 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    for version in LANDED {
-        let theirs = landed(version, name);
+    for version in RELEASED {
+        let theirs = recorded_message(version, name);
         assert_eq!(encode(message).unwrap(), theirs, "{name} of {version}");
         assert_eq!(
             &decode::<T>(&theirs).unwrap(),
@@ -161,15 +161,15 @@
 /// whether it adapts to the versions of others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Build {
-    Landed(u8),
+    Released(u8),
     New,
 }
 
 impl Build {
     fn understands(self, version: u8) -> bool {
         match self {
-            Self::Landed(own) => own == version,
-            Self::New => LANDED.contains(&version),
+            Self::Released(own) => own == version,
+            Self::New => RELEASED.contains(&version),
         }
     }
 }
@@ -187,8 +187,8 @@
 fn daemons_of_this_build_keep_receiving_from_replaced_daemons_of_any_build() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let old = LANDED[rng.random_range(0..2)];
-        let mut builds = [Build::Landed(old); DAEMONS];
+        let old = RELEASED[rng.random_range(0..2)];
+        let mut builds = [Build::Released(old); DAEMONS];
         let mut versions_in_use = vec![PeerVersions::default(); DAEMONS];
         let mut changed_ms = [0; DAEMONS];
         let mut last_seen_ms = [[0; DAEMONS]; DAEMONS];
@@ -197,8 +197,8 @@
             if rng.random_bool(0.02) {
                 let at = rng.random_range(0..DAEMONS);
                 builds[at] = match builds[at] {
-                    Build::New => Build::Landed(old),
-                    Build::Landed(_) => Build::New,
+                    Build::New => Build::Released(old),
+                    Build::Released(_) => Build::New,
                 };
                 versions_in_use[at] = PeerVersions::default();
                 changed_ms[at] = now_ms;
@@ -209,7 +209,7 @@
             for from in 0..DAEMONS {
                 for to in (0..DAEMONS).filter(|to| *to != from) {
                     let versions = match builds[from] {
-                        Build::Landed(own) => vec![own],
+                        Build::Released(own) => vec![own],
                         Build::New => versions_in_use[from]
                             .for_daemon(at(to as u16), now_ms)
                             .to_vec(),
