--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -66,7 +66,7 @@
     among_hubs: bool,
     to: &BTreeSet<SocketAddr>,
 ) {
-    for ends in in_parts(crashes.iter().map(AnnouncedCrash::of).collect()) {
+    for ends in split_into_parts(crashes.iter().map(AnnouncedCrash::of).collect()) {
         if ends.is_empty() {
             continue;
         }
--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -70,7 +70,9 @@
         self.wait_for_changes(query).await;
         match make_reply(self, query).and_then(|reply| encode(&reply)) {
             Ok(bytes) => {
-                self.gateway.control.record(ControlKind::News, bytes.len());
+                self.gateway
+                    .control
+                    .record(ControlKind::Updates, bytes.len());
                 Response::new(full_body(bytes))
             }
             Err(e) => {
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -40,7 +40,7 @@
         // The next digest is sent early if this hub admitted more for an account at its limit than
         // the other hubs know of.
         let early = gateway.announce_early.notified();
-        let interval = Duration::from_millis(gateway.peers.lock().digest_every_ms());
+        let interval = Duration::from_millis(gateway.peers.lock().digest_interval_ms());
         let _ = tokio::time::timeout(interval - DIGEST_PAUSE, early).await;
         tokio::time::sleep(DIGEST_PAUSE).await;
     }
@@ -58,14 +58,14 @@
             peers.hub_addresses(),
             peers.listening_hubs(),
             peers.silent_neighbours(),
-            peers.digest_every_ms(),
+            peers.digest_interval_ms(),
         )
     };
     hubs.remove(&own);
     let digest = own_digest(gateway, gateway.domain().as_str(), interval_ms);
     let age_ms = gateway.hub_age_ms();
     let mut packets = vec![digest_packet(digest.clone())];
-    let quotas = in_parts(quota_announcer.due(gateway.tick_quotas(), listeners));
+    let quotas = split_into_parts(quota_announcer.due(gateway.tick_quotas(), listeners));
     let quotas = quotas_parts(gateway, quotas, sequence, age_ms);
     let loads = loads_parts(gateway, &gateway.led_loads(), sequence, 0);
     packets.extend(quotas.into_iter().chain(loads).map(Packet::from));
@@ -187,7 +187,7 @@
         active: *active,
         waiting_tokens: u32::try_from(*tokens).unwrap_or(u32::MAX),
     });
-    let parts = in_parts(announced.collect());
+    let parts = split_into_parts(announced.collect());
     let count = parts.len() as u32;
     let numbered = parts.into_iter().zip(0..);
     numbered
--- a/src/cluster/membership/mod.rs
+++ b/src/cluster/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who the other daemons are, and which of them are hubs.
+//! Membership: the other daemons, their liveness, and which of them are hubs.
 
 mod daemon_entry;
 mod peer;
@@ -8,6 +8,6 @@
 mod peer_quotas;
 mod peer_sources;
 mod peer_table;
-mod spoken_versions;
+mod peer_versions;
 
-pub use {daemon_entry::*, peer_loads::*, peer_table::*, spoken_versions::*};
+pub use {daemon_entry::*, peer_loads::*, peer_table::*, peer_versions::*};
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -50,7 +50,7 @@
         let Some(socket) = self.datagrams.get() else {
             return;
         };
-        let versions = self.spoken.lock().for_daemon(to, self.steady_ms());
+        let versions = self.peer_versions.lock().for_daemon(to, self.steady_ms());
         for version in versions {
             match encode_for(*version) {
                 Ok(Some(bytes)) => {
@@ -147,7 +147,7 @@
     /// Returns daemons to name to one of a failure domain.
     pub fn named_daemons(&self, domain: &str) -> Vec<DaemonEntry> {
         let mut rng = self.rng.lock().clone();
-        let named = self.peers.lock().named_for(domain, &mut rng);
+        let named = self.peers.lock().sample_daemons_for(domain, &mut rng);
         *self.rng.lock() = rng;
         named
     }
--- a/tests/decisions/fleet_start.rs
+++ b/tests/decisions/fleet_start.rs
@@ -106,7 +106,7 @@
         let mut digest = Digest::new(table.own().clone(), 1, self.sequence);
         digest.interval_ms = DIGEST_MS as u32;
         digest.status.is_hub = table.is_hub();
-        digest.known = table.named_for(domain, &mut self.rng);
+        digest.known = table.sample_daemons_for(domain, &mut self.rng);
         digest
     }
 
@@ -152,7 +152,7 @@
     fn query_seeds(&mut self, own: usize, age_ms: u64) {
         let draw = self.rng.random();
         let daemon = &mut self.daemons[own];
-        if age_ms >= STARTING_MS && daemon.table.hears_hubs() {
+        if age_ms >= STARTING_MS && daemon.table.has_live_hubs() {
             return;
         }
         let Some(query) = daemon.backoff.next_query(SEEDS, draw, self.now_ms) else {
--- a/tests/decisions/hubs.rs
+++ b/tests/decisions/hubs.rs
@@ -142,7 +142,7 @@
         let mut digest = Digest::new(table.own().clone(), 1, self.sequence);
         digest.interval_ms = 2 * ROUND_MS as u32;
         digest.status.is_hub = table.is_hub();
-        digest.known = table.named_for(for_domain, &mut self.rng);
+        digest.known = table.sample_daemons_for(for_domain, &mut self.rng);
         digest
     }
 
@@ -182,7 +182,7 @@
             .collect::<Vec<_>>()
         {
             self.tables[from].tick(1, self.now_ms);
-            if !self.tables[from].hears_hubs() || self.now_ms < 1_000 {
+            if !self.tables[from].has_live_hubs() || self.now_ms < 1_000 {
                 (0..SEEDS).for_each(|seed| self.report(from, seed));
             }
             if self.tables[from].is_hub() {
