--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -50,7 +50,7 @@
         let now_ms = self.gateway.steady_ms();
         let mut loads = self.gateway.loads.lock();
         let load = loads.entry(&self.upstream.id);
-        load.note_progress(now_ms);
+        load.record_progress(now_ms);
         load.waiting_tokens = load.waiting_tokens.saturating_sub(self.waiting_tokens);
         drop(loads);
         if std::mem::take(&mut self.waiting_tokens) > 0 {
--- a/src/upstreams/upstream_load.rs
+++ b/src/upstreams/upstream_load.rs
@@ -48,7 +48,7 @@
     }
 
     /// Notes that it sent something.
-    pub fn note_progress(&mut self, now_ms: u64) {
+    pub fn record_progress(&mut self, now_ms: u64) {
         self.last_progress_ms = now_ms;
         self.backoff_ms = 0;
         self.avoid_until_ms = 0;
--- a/tests/decisions/routed.rs
+++ b/tests/decisions/routed.rs
@@ -276,7 +276,7 @@
     assert!(!load.is_avoided(1_500));
     load.active = 1;
     assert!(load.is_avoided(1_500));
-    load.note_progress(1_600);
+    load.record_progress(1_600);
     assert!(!load.is_avoided(1_600));
 }
 
