--- a/src/upstreams/directory_notes.rs
+++ b/src/upstreams/directory_notes.rs
@@ -6,14 +6,14 @@
 /// What a daemon has just learned of upstreams: many often leave together, and
 /// one line each would make up most of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct DirectoryNotes {
+pub struct UnloggedChanges {
     /// Those that began to leave, with the offsets at which they said so.
     pub leaving: Vec<(UpstreamId, u64)>,
     /// Those whose entries went, with the offsets of these.
     pub removed_ids: Vec<(UpstreamId, u64)>,
 }
 
-impl DirectoryNotes {
+impl UnloggedChanges {
     /// Logs a line for each kind of news there is.
     pub fn log(&self, revision: u64) {
         for (what, upstreams) in [("leave", &self.leaving), ("gone", &self.removed_ids)] {
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        DirectoryChanges, DirectoryCursor, DirectoryNotes, DirectoryUpdate, NewestIncarnations,
-        PresentUpstream, ReadyUpstreams, Upstream, followed_view::FollowedView,
+        DirectoryChanges, DirectoryCursor, DirectoryUpdate, NewestIncarnations, PresentUpstream,
+        ReadyUpstreams, UnloggedChanges, Upstream, followed_view::FollowedView,
         removed_upstreams::RemovedUpstreams, revision_index::RevisionIndex,
     },
     crate::names::{ServiceName, UpstreamId},
@@ -57,7 +57,7 @@
     lapsed: HashMap<UpstreamId, u64>,
     revision: u64,
     /// What was learned and not logged yet.
-    notes: DirectoryNotes,
+    notes: UnloggedChanges,
     /// By service, the list of ready ones and the revision that it is of.
     ready_lists: Mutex<HashMap<ServiceName, (u64, Arc<ReadyUpstreams>)>>,
 }
@@ -177,7 +177,7 @@
     }
 
     /// Returns what was learned since this was last called.
-    pub fn take_notes(&mut self) -> DirectoryNotes {
+    pub fn take_notes(&mut self) -> UnloggedChanges {
         std::mem::take(&mut self.notes)
     }
 
