--- a/src/upstreams/mod.rs
+++ b/src/upstreams/mod.rs
@@ -1,7 +1,6 @@
 //! Upstreams: which there are, how they fare, and connections to them.
 
 mod directory_changes;
-mod directory_notes;
 mod directory_update;
 mod exchange;
 mod followed_view;
@@ -10,13 +9,14 @@
 mod removed_upstreams;
 mod revision_index;
 mod send_failure;
+mod unlogged_changes;
 mod upstream;
 mod upstream_directory;
 mod upstream_load;
 mod upstream_pool;
 
 pub use {
-    directory_changes::*, directory_notes::*, directory_update::*, exchange::*,
-    newest_incarnations::*, ready_upstreams::*, send_failure::*, upstream::*,
-    upstream_directory::*, upstream_load::*, upstream_pool::*,
+    directory_changes::*, directory_update::*, exchange::*, newest_incarnations::*,
+    ready_upstreams::*, send_failure::*, unlogged_changes::*, upstream::*, upstream_directory::*,
+    upstream_load::*, upstream_pool::*,
 };
