--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -12,7 +12,7 @@
         directory.expire_lapsed(now_ms);
         let revision = directory.revision();
         let changed = revision != before;
-        let notes = directory.take_notes();
+        let notes = directory.take_unlogged_changes();
         drop(directory);
         notes.log(revision);
         if changed {
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -177,7 +177,7 @@
     }
 
     /// Returns what was learned since this was last called.
-    pub fn take_notes(&mut self) -> UnloggedChanges {
+    pub fn take_unlogged_changes(&mut self) -> UnloggedChanges {
         std::mem::take(&mut self.notes)
     }
 
