--- a/src/gateway/left_upstream.rs
+++ b/src/gateway/left_upstream.rs
@@ -28,7 +28,7 @@
 
 fn address_of_left(gateway: &Gateway, id: &UpstreamId) -> Option<SocketAddr> {
     let directory = gateway.directory.read();
-    let is_left = directory.is_left_until_its_end(id);
+    let is_left = directory.is_leaving_until_exit(id);
     directory
         .get(id)
         .filter(|_| is_left)
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -52,7 +52,7 @@
                 .lock()
                 .record(id.clone(), announces_to_hubs);
         }
-        if self.directory.read().is_left_until_its_end(id) {
+        if self.directory.read().is_leaving_until_exit(id) {
             tokio::spawn(watch_for_end(self.clone(), id.clone()));
         }
     }
--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -167,7 +167,7 @@
 
     /// Returns whether an upstream has said that it leaves and nothing but its end can tell
     /// that this is over.
-    pub fn is_left_until_its_end(&self, id: &UpstreamId) -> bool {
+    pub fn is_leaving_until_exit(&self, id: &UpstreamId) -> bool {
         self.left.contains(id)
     }
 
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -449,10 +449,10 @@
     let mut directory = UpstreamDirectory::default();
     directory.replace_own(vec![upstream(1, 0)]);
     directory.mark_leaving(&id);
-    assert!(directory.is_left_until_its_end(&id));
+    assert!(directory.is_leaving_until_exit(&id));
     directory.mark_ended(&id);
     assert!(directory.is_ready(&id));
-    assert!(!directory.is_left_until_its_end(&id));
+    assert!(!directory.is_leaving_until_exit(&id));
     // Where lives are told apart, the end of one is no new one.
     let mut shared = UpstreamDirectory::default();
     shared.replace(vec![upstream(1, 3)], 6, None);
