--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -194,7 +194,7 @@
                 true => (BootInstant::now() + STALL_CHECK).min(give_up_at),
                 false => give_up_at,
             };
-            let next = timeout_at(wake_at, sent.answer.next_piece()).await;
+            let next = timeout_at(wake_at, sent.answer.next_chunk()).await;
             let Ok(piece) = next else {
                 if BootInstant::now() >= give_up_at {
                     return Err(SendFailure::MayHaveRun("the time is up".into()));
--- a/src/upstreams/exchange.rs
+++ b/src/upstreams/exchange.rs
@@ -57,7 +57,7 @@
     ///
     /// Returns [`SendFailure::MayHaveRun`] or [`SendFailure::CutOff`] if the answer breaks
     /// off.
-    pub async fn next_piece(&mut self) -> Option<Result<Bytes, SendFailure>> {
+    pub async fn next_chunk(&mut self) -> Option<Result<Bytes, SendFailure>> {
         loop {
             match self.body.frame().await {
                 None => {
@@ -85,7 +85,7 @@
     /// too large.
     pub async fn read_all(&mut self, most: usize) -> Result<Bytes, SendFailure> {
         let mut whole = bytes::BytesMut::new();
-        while let Some(piece) = self.next_piece().await {
+        while let Some(piece) = self.next_chunk().await {
             whole.extend_from_slice(&piece?);
             if whole.len() > most {
                 self.connection = None;
