--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -45,7 +45,7 @@
         self.may_have_run |= !failure.is_not_run();
         let situation = RetrySituation {
             may_have_run: self.may_have_run,
-            repeatable: context.route.is_repeatable(),
+            repeatable: context.route.is_retryable(),
             sends: self.sends,
             max_sends: context.route.max_attempts,
             tried: self.tried.len(),
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -270,7 +270,7 @@
     }
 
     fn can_move(&self) -> bool {
-        self.context.route.is_repeatable()
+        self.context.route.is_retryable()
             && self.attempts.sends + 1 < self.context.route.max_attempts
     }
 
--- a/src/gateway/forward_whole.rs
+++ b/src/gateway/forward_whole.rs
@@ -46,7 +46,7 @@
                 gateway.record_outcome(&upstream.id, failed);
                 let time_ms = sent.elapsed().as_secs_f64() * 1_000.0;
                 gateway.record_answer(context, upstream, (!failed).then_some(time_ms));
-                let retry = failed && context.route.is_repeatable();
+                let retry = failed && context.route.is_retryable();
                 let failure = SendFailure::MayHaveRun(head.status.to_string());
                 if retry && attempts.may_go_on(gateway, context, &upstream.id, failure) {
                     continue;
@@ -83,7 +83,7 @@
         Ok((sent.answer.head.clone(), body))
     };
     let last = attempts.sends + 1 >= context.route.max_attempts;
-    if last || !context.route.is_repeatable() {
+    if last || !context.route.is_retryable() {
         return whole.await;
     }
     let max_wait = (context.target_latency() * SLOW_FACTOR).max(MIN_PATIENCE);
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -154,7 +154,7 @@
     placement: &Placement,
 ) -> Result<UpstreamConnection, SendFailure> {
     let upstream = &placement.upstream;
-    let max_idle = match context.route.is_repeatable() {
+    let max_idle = match context.route.is_retryable() {
         _ if placement.is_repeat => Duration::ZERO,
         true => ANY_REST,
         false => FRESH,
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -73,7 +73,7 @@
 
 impl Route {
     /// Returns whether a request that may have run may be sent again.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::NonIdempotent => false,
