--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -138,7 +138,7 @@
             view.assessment,
             led.evaluator.all().answers,
             led.evaluator.all().bad,
-            worst.usual_rate(),
+            worst.baseline_rate(),
             worst.log_ratio(),
             worst.answers,
             worst.bad,
--- a/src/rollouts/evidence.rs
+++ b/src/rollouts/evidence.rs
@@ -77,7 +77,7 @@
         self.answers += u64::from(answers);
         self.bad += u64::from(bad);
         let (bad, well) = (f64::from(bad), f64::from(answers - bad));
-        let usual = self.usual_rate();
+        let usual = self.baseline_rate();
         for (log_ratio, part) in self.log_ratios.iter_mut().zip(ALTERNATIVES) {
             let worse = usual + (1.0 - usual) * part;
             let step = bad * (worse / usual).ln() + well * ((1.0 - worse) / (1.0 - usual)).ln();
@@ -87,7 +87,7 @@
 
     /// Returns the highest rate of bad answers that still counts as like the old
     /// versions'.
-    pub fn usual_rate(&self) -> f64 {
+    pub fn baseline_rate(&self) -> f64 {
         let rates = self.usual.iter().zip(ERRORS);
         let rates = rates.map(|(usual, errors)| usual.rate(errors));
         (rates.fold(0.0, f64::max) + MARGIN).min(MAX_USUAL)
