--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -119,7 +119,7 @@
         }
         let mut outcomes = self.outcomes.lock();
         let meter = outcomes.entry(context.service.clone()).or_default();
-        meter.of_order(order).record(route, is_target, time_ms);
+        meter.for_order(order).record(route, is_target, time_ms);
     }
 
     /// Returns the slots of a service's ready upstreams of a version, and of the others.
--- a/src/rollouts/outcome_meter.rs
+++ b/src/rollouts/outcome_meter.rs
@@ -31,7 +31,7 @@
 
 impl OutcomeMeter {
     /// Begins anew with another order; usual times stay.
-    pub fn of_order(&mut self, order: u64) -> &mut Self {
+    pub fn for_order(&mut self, order: u64) -> &mut Self {
         if self.order != order {
             self.order = order;
             self.counts.clear();
