--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -94,7 +94,7 @@
             // of them is surplus.
             let in_rollout = {
                 let rollouts = gateway.rollouts.lock();
-                rollouts.moving_to(service.name.as_str()).is_some()
+                rollouts.in_progress_target(service.name.as_str()).is_some()
             };
             if let Some(scaling) = service.autoscaling.as_ref().filter(|_| !in_rollout) {
                 orders.extend(self.orders_of(gateway, service, scaling));
--- a/src/rollouts/rollout_table.rs
+++ b/src/rollouts/rollout_table.rs
@@ -93,7 +93,7 @@
     }
 
     /// Returns the version that a service is moving to, if it is.
-    pub fn moving_to(&self, service: &str) -> Option<&str> {
+    pub fn in_progress_target(&self, service: &str) -> Option<&str> {
         let rollout = self.get(service)?;
         (rollout.state == RolloutState::InProgress).then_some(&*rollout.target)
     }
