--- a/src/routing/service.rs
+++ b/src/routing/service.rs
@@ -7,7 +7,7 @@
 /// What a model service's upstreams can hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EngineShape {
+pub struct EngineCapacity {
     /// How many requests an upstream runs at once.
     pub slots: u32,
     /// How many tokens its memory holds.
@@ -45,7 +45,7 @@
     pub max_connections: u32,
     /// Set for model services.
     #[serde(default)]
-    pub engine: Option<EngineShape>,
+    pub engine: Option<EngineCapacity>,
     /// Set if its upstreams are ordered by the system.
     #[serde(default)]
     pub autoscaling: Option<Autoscaling>,
