--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -42,7 +42,7 @@
 
     /// Returns what to tell other daemons of roll-outs.
     pub fn announced_rollouts(&self) -> Vec<Rollout> {
-        self.rollouts.lock().told(self.steady_ms())
+        self.rollouts.lock().rollouts_to_announce(self.steady_ms())
     }
 
     /// Returns which ready upstreams a request must not go to for the sake of a
--- a/src/rollouts/rollout_table.rs
+++ b/src/rollouts/rollout_table.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns what to tell others, the newest orders first.
-    pub fn told(&self, now_ms: u64) -> Vec<Rollout> {
+    pub fn rollouts_to_announce(&self, now_ms: u64) -> Vec<Rollout> {
         let known = self.known.values();
         let told = known.map(|k| Rollout {
             age_ms: now_ms.saturating_sub(k.said_ms).min(u64::from(u32::MAX)) as u32,
