--- a/src/upstreams/directory_changes.rs
+++ b/src/upstreams/directory_changes.rs
@@ -4,25 +4,26 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The position up to which a daemon knows another's directory.
+/// The state of another daemon's directory that a follower knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryCursor {
-    /// The revision that was told.
+    /// The revision of the directory that was sent.
     pub revision: u64,
-    /// The directory's position then.
+    /// The directory's position in the source at that revision.
     pub position: u64,
 }
 
-/// What has changed in a directory since it was told last.
+/// The changes of a directory since the last ones that were sent, for daemons whose builds
+/// go by the offsets of the source.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryChanges {
-    /// What is told with this.
+    /// The state of the sender's directory that the follower knows after these changes.
     pub cursor: DirectoryCursor,
-    /// From this offset of the source on, up to the position, these are all upstreams
-    /// that there are; 0 if it is the whole directory.
+    /// The listed upstreams are all whose offsets lie between this offset of the source and
+    /// the position; 0 if the full directory is listed.
     pub all_since: u64,
-    /// Upstreams as they are now.
+    /// The upstreams in their current state.
     pub upstreams: Vec<Upstream>,
-    /// Upstreams that are gone.
+    /// The upstreams that were removed.
     pub removed_ids: Vec<UpstreamId>,
 }
--- a/src/upstreams/directory_update.rs
+++ b/src/upstreams/directory_update.rs
@@ -4,26 +4,27 @@
     serde::{Deserialize, Serialize},
 };
 
-/// An upstream that is there.
+/// An upstream that is present in a directory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PresentUpstream {
-    /// What it says of itself.
+    /// The upstream's own record.
     pub upstream: Upstream,
-    /// From which offset of the source on it is known to have been there all the time; 0
-    /// if it was there when the directory was first read.
+    /// The offset of the source since which the upstream is known to have been present
+    /// without a break; 0 if it was present when the directory was first read.
     pub since: u64,
 }
 
-/// What a daemon tells one that follows it. That an upstream still lives is no news: the
-/// follower keeps what it was told until it is told otherwise.
+/// An update of a directory that a daemon sends to a follower. A heartbeat of an upstream
+/// is no change and is not sent: the follower keeps each upstream until an update changes
+/// or removes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryUpdate {
-    /// What is told with this.
+    /// The state of the sender's directory that the follower knows after this update.
     pub cursor: DirectoryCursor,
-    /// Whether these are all upstreams that there are, or only those that changed.
+    /// True if the update lists all upstreams, false if only those that changed.
     pub is_complete: bool,
-    /// Upstreams as they are now.
+    /// The upstreams in their current state.
     pub upstreams: Vec<PresentUpstream>,
-    /// Upstreams that are gone.
+    /// The upstreams that were removed.
     pub removed_ids: Vec<UpstreamId>,
 }
--- a/src/upstreams/exchange.rs
+++ b/src/upstreams/exchange.rs
@@ -8,7 +8,7 @@
     std::{error::Error, io, sync::Arc, time::Duration},
 };
 
-/// An answer whose body is still being read. Dropping it before the end
+/// A response whose body is still being read. Dropping it before the end of the body
 /// closes the connection, which cancels the request at its upstream.
 #[derive(Debug)]
 pub struct OpenAnswer {
@@ -21,11 +21,12 @@
 }
 
 impl OpenAnswer {
-    /// Sends a request over a connection and waits for the answer's head.
+    /// Sends a request over a connection and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have run.
+    /// Returns [`SendFailure::NotSent`] if no byte of the request was written, and
+    /// otherwise [`SendFailure::MayHaveRun`] or [`SendFailure::CutOff`].
     pub async fn open(
         pool: &Arc<UpstreamPool>,
         upstream: &UpstreamId,
@@ -34,11 +35,11 @@
     ) -> Result<Self, SendFailure> {
         let answer = connection.sender.try_send_request(request).await;
         let answer = answer.map_err(|mut e| {
-            // The message comes back only if no byte of it was written.
-            let unsent = e.take_message().is_some();
-            match unsent {
+            // hyper returns the message only if no byte of it was written.
+            let is_unsent = e.take_message().is_some();
+            match is_unsent {
                 true => SendFailure::NotSent(e.error().to_string()),
-                false => broken(e.error()),
+                false => classify_error(e.error()),
             }
         })?;
         let (head, body) = answer.into_parts();
@@ -51,11 +52,11 @@
         })
     }
 
-    /// Returns the next piece of the body, or none at its end.
+    /// Returns the next chunk of the body, or none at its end.
     ///
     /// # Errors
     ///
-    /// Returns [`SendFailure::MayHaveRun`] or [`SendFailure::CutOff`] if the answer breaks
+    /// Returns [`SendFailure::MayHaveRun`] or [`SendFailure::CutOff`] if the response breaks
     /// off.
     pub async fn next_chunk(&mut self) -> Option<Result<Bytes, SendFailure>> {
         loop {
@@ -66,7 +67,7 @@
                 }
                 Some(Err(e)) => {
                     self.connection = None;
-                    return Some(Err(broken(&e)));
+                    return Some(Err(classify_error(&e)));
                 }
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
@@ -77,51 +78,56 @@
         }
     }
 
-    /// Reads the whole body, up to `most` bytes.
+    /// Reads the full body, up to `max_bytes` bytes.
     ///
     /// # Errors
     ///
     /// Returns [`SendFailure::MayHaveRun`] or [`SendFailure::CutOff`] if it breaks off or is
     /// too large.
-    pub async fn read_all(&mut self, most: usize) -> Result<Bytes, SendFailure> {
-        let mut whole = bytes::BytesMut::new();
-        while let Some(piece) = self.next_chunk().await {
-            whole.extend_from_slice(&piece?);
-            if whole.len() > most {
+    pub async fn read_all(&mut self, max_bytes: usize) -> Result<Bytes, SendFailure> {
+        let mut full_body = bytes::BytesMut::new();
+        while let Some(chunk) = self.next_chunk().await {
+            full_body.extend_from_slice(&chunk?);
+            if full_body.len() > max_bytes {
                 self.connection = None;
-                return Err(SendFailure::MayHaveRun("the answer is too large".into()));
+                return Err(SendFailure::MayHaveRun(
+                    "the response body is too large".into(),
+                ));
             }
         }
-        Ok(whole.freeze())
+        Ok(full_body.freeze())
     }
 
-    /// The whole answer was read: the connection can be used again.
+    /// Returns the connection to the pool once the full body is read, unless the upstream
+    /// closes it after this response.
     fn release(&mut self) {
         let Some(connection) = self.connection.take() else {
             return;
         };
-        if closes(&self.head.headers) || has_no_length(&self.head.headers) {
+        if has_connection_close(&self.head.headers) || has_no_length(&self.head.headers) {
             return;
         }
-        let kept = keep_alive(&self.head.headers);
-        self.pool.put(&self.upstream, connection, kept);
+        let idle_timeout = keep_alive_timeout(&self.head.headers);
+        self.pool.put(&self.upstream, connection, idle_timeout);
     }
 }
 
-/// Tells a connection that its upstream ended from an answer that is none, and from a
-/// path on which nothing is heard any more.
-fn broken(e: &hyper::Error) -> SendFailure {
+/// Classifies an error of a connection: [`SendFailure::MayHaveRun`] if the response can't
+/// be parsed or the connection timed out, as on a network path that lost all packets;
+/// [`SendFailure::CutOff`] if the connection ended, as it does when the upstream's process
+/// ends.
+fn classify_error(e: &hyper::Error) -> SendFailure {
     let cause = e
         .source()
         .and_then(|cause| cause.downcast_ref::<io::Error>());
-    let is_silence = cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut);
-    match e.is_parse() || is_silence {
+    let is_timeout = cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut);
+    match e.is_parse() || is_timeout {
         true => SendFailure::MayHaveRun(e.to_string()),
         false => SendFailure::CutOff(e.to_string()),
     }
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let connection = headers.get(header::CONNECTION);
     connection.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"))
 }
@@ -131,8 +137,8 @@
         && !headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Reads how long the upstream keeps an idle connection.
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+/// Returns how long the upstream keeps an idle connection open, by its `Keep-Alive` header.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let mut parts = text.split(',').map(str::trim);
     let seconds = parts.find_map(|p| p.strip_prefix("timeout="))?;
--- a/src/upstreams/followed_view.rs
+++ b/src/upstreams/followed_view.rs
@@ -4,52 +4,53 @@
     std::collections::{HashMap, HashSet},
 };
 
-/// Which of the known upstreams the daemon that is followed has told of, and which are
-/// known from elsewhere: of these, it should have told those that stand before its
-/// position in the source, if they were still there.
+/// Splits the known upstreams into those that the followed daemon has announced and those
+/// that are known from others only. Of the latter, the followed daemon would have
+/// announced those with an offset before its position in the source if they were still
+/// present.
 #[derive(Debug, Default)]
 pub(super) struct FollowedView {
-    told: HashSet<UpstreamId>,
+    announced: HashSet<UpstreamId>,
     known_from_others: HashSet<UpstreamId>,
 }
 
 impl FollowedView {
-    /// Notes that an upstream is known.
-    pub(super) fn note_known(&mut self, id: &UpstreamId) {
-        if !self.told.contains(id) {
+    /// Records that an upstream is known.
+    pub(super) fn record_known(&mut self, id: &UpstreamId) {
+        if !self.announced.contains(id) {
             self.known_from_others.insert(id.clone());
         }
     }
 
-    /// Notes that an upstream is known no more.
-    pub(super) fn note_forgotten(&mut self, id: &UpstreamId) {
+    /// Records that an upstream is no longer known.
+    pub(super) fn record_forgotten(&mut self, id: &UpstreamId) {
         self.known_from_others.remove(id);
     }
 
-    /// Takes in whom news tell of, beside those that are known.
-    pub(super) fn take_in(
+    /// Applies an update of the followed daemon; `known` are all known upstreams.
+    pub(super) fn apply(
         &mut self,
-        news: &DirectoryUpdate,
+        update: &DirectoryUpdate,
         known: &HashMap<UpstreamId, ServiceName>,
     ) {
-        if news.is_complete {
-            self.told.clear();
+        if update.is_complete {
+            self.announced.clear();
             self.known_from_others.extend(known.keys().cloned());
         }
-        for id in &news.removed_ids {
-            self.told.remove(id);
+        for id in &update.removed_ids {
+            self.announced.remove(id);
             if known.contains_key(id) {
                 self.known_from_others.insert(id.clone());
             }
         }
-        for present in &news.upstreams {
+        for present in &update.upstreams {
             let id = &present.upstream.id;
             self.known_from_others.remove(id);
-            self.told.insert(id.clone());
+            self.announced.insert(id.clone());
         }
     }
 
-    /// Returns those that are known, and not by the daemon that is followed.
+    /// Returns the known upstreams that the followed daemon has not announced.
     pub(super) fn known_from_others(&self) -> impl Iterator<Item = &UpstreamId> {
         self.known_from_others.iter()
     }
--- a/src/upstreams/mod.rs
+++ b/src/upstreams/mod.rs
@@ -1,4 +1,5 @@
-//! Upstreams: which there are, how they fare, and connections to them.
+//! Upstreams: the directory of known upstreams, their loads and failures as this daemon
+//! sees them, and pooled connections to them.
 
 mod directory_changes;
 mod directory_update;
--- a/src/upstreams/newest_incarnations.rs
+++ b/src/upstreams/newest_incarnations.rs
@@ -7,24 +7,24 @@
 }
 
 impl NewestIncarnations {
-    /// Returns an upstream's newest life.
+    /// Returns an upstream's newest incarnation.
     pub fn get(&self, upstream: &str) -> Option<&UpstreamId> {
         self.by_upstream.get(upstream)
     }
 
-    /// Returns whether a later life of the same upstream is known.
-    pub fn is_over(&self, id: &UpstreamId) -> bool {
+    /// Returns true if a later incarnation of the same upstream is known.
+    pub fn is_superseded(&self, id: &UpstreamId) -> bool {
         let newest = self.get(id.upstream());
         newest.is_some_and(|newest| newest.started_ms() > id.started_ms())
     }
 
-    /// Notes a life; returns the one before if it was another.
+    /// Records an incarnation as the newest; returns the previous one if it differs.
     pub fn record(&mut self, id: &UpstreamId) -> Option<UpstreamId> {
         let before = self.by_upstream.insert(id.upstream().into(), id.clone());
         before.filter(|before| before != id)
     }
 
-    /// Forgets an upstream whose newest life is this one.
+    /// Removes an upstream if this incarnation is its newest.
     pub fn forget(&mut self, id: &UpstreamId) {
         if self.get(id.upstream()) == Some(id) {
             self.by_upstream.remove(id.upstream());
--- a/src/upstreams/ready_upstreams.rs
+++ b/src/upstreams/ready_upstreams.rs
@@ -5,20 +5,20 @@
     std::sync::Arc,
 };
 
-/// The upstreams of a service that may get new work, as of a revision of the
-/// directory. Worked out once a revision, not once a request: hashing and looking up each
-/// of them anew would be most of what a choice costs.
+/// The upstreams of a service that may get new requests, as of one revision of the
+/// directory. The list is computed once per revision and not per request: hashing and
+/// looking up each upstream for each request would be most of the cost of a placement.
 #[derive(Debug, Default)]
 pub struct ReadyUpstreams {
-    /// The upstreams.
+    /// The upstreams, in the order in which they were passed in.
     pub upstreams: Vec<Arc<Upstream>>,
-    /// The hashes of their names, in the same order.
+    /// The hashes of their ids, in the same order.
     pub hashes: Vec<u64>,
     index: RapidHashMap<UpstreamId, usize>,
 }
 
 impl ReadyUpstreams {
-    /// Makes the list of some upstreams.
+    /// Hashes and indexes a list of upstreams.
     pub fn new(upstreams: Vec<Arc<Upstream>>) -> Self {
         let ids = upstreams.iter().map(|u| u.id.clone());
         Self {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the place of an upstream in the list.
+    /// Returns the index of an upstream in the list.
     pub fn index_of(&self, id: &UpstreamId) -> Option<usize> {
         self.index.get(id).copied()
     }
--- a/src/upstreams/removed_upstreams.rs
+++ b/src/upstreams/removed_upstreams.rs
@@ -3,40 +3,40 @@
 /// Incarnations of removed upstreams, in the order of their removal.
 #[derive(Debug, Default)]
 pub(super) struct RemovedUpstreams {
-    went: RevisionIndex,
-    /// Those that had said that they leave: these lives never come back.
+    removals: RevisionIndex,
+    /// Those that had announced that they leave: these incarnations never come back.
     had_left: HashSet<UpstreamId>,
-    /// All that went after this revision are here.
+    /// All removals after this revision are recorded here.
     all_since: u64,
 }
 
 impl RemovedUpstreams {
-    /// Notes that a life went with a revision of the directory.
+    /// Records that a revision of the directory removed an incarnation.
     pub(super) fn record(&mut self, id: &UpstreamId, was_leaving: bool, revision: u64) {
-        self.went.record(id, revision);
+        self.removals.record(id, revision);
         if was_leaving {
             self.had_left.insert(id.clone());
         }
     }
 
-    /// Notes that a life that is gone had said that it leaves.
+    /// Records that a removed incarnation had announced that it leaves.
     pub(super) fn record_left(&mut self, id: &UpstreamId) {
-        if self.went.contains(id) {
+        if self.removals.contains(id) {
             self.had_left.insert(id.clone());
         }
     }
 
-    /// Forgets a life: it is back.
+    /// Removes an incarnation, which is present again.
     pub(super) fn forget(&mut self, id: &UpstreamId) {
-        self.went.forget(id);
+        self.removals.forget(id);
         self.had_left.remove(id);
     }
 
-    /// Forgets those that went first until at most `most` are left; returns them.
-    pub(super) fn forget_first(&mut self, most: usize) -> Vec<UpstreamId> {
+    /// Drops the oldest removals until at most `max` are left; returns the dropped ones.
+    pub(super) fn forget_oldest(&mut self, max: usize) -> Vec<UpstreamId> {
         let mut forgotten = Vec::new();
-        while self.went.len() > most
-            && let Some((revision, id)) = self.went.forget_first()
+        while self.removals.len() > max
+            && let Some((revision, id)) = self.removals.forget_oldest()
         {
             self.had_left.remove(&id);
             self.all_since = revision;
@@ -45,18 +45,18 @@
         forgotten
     }
 
-    /// Returns whether a life had said that it leaves.
+    /// Returns true if an incarnation was removed after it had announced that it leaves.
     pub(super) fn had_left(&self, id: &UpstreamId) -> bool {
         self.had_left.contains(id)
     }
 
-    /// Returns whether all are here that went after a revision.
+    /// Returns true if all removals after a revision are recorded.
     pub(super) fn has_all_since(&self, revision: u64) -> bool {
         revision >= self.all_since
     }
 
-    /// Returns those that went after a revision.
+    /// Returns the incarnations that were removed after a revision.
     pub(super) fn since(&self, revision: u64) -> impl Iterator<Item = &UpstreamId> {
-        self.went.since(revision)
+        self.removals.since(revision)
     }
 }
--- a/src/upstreams/send_failure.rs
+++ b/src/upstreams/send_failure.rs
@@ -1,22 +1,22 @@
 use displaydoc::Display;
 
-/// How sending a request to an upstream failed, by what is known of its run.
+/// A failure to send a request to an upstream, by what is known about its execution.
 #[derive(Clone, Debug, PartialEq, Eq, Display, thiserror::Error)]
 pub enum SendFailure {
-    /// not sent: {0}
+    /// request not sent: {0}
     NotSent(String),
-    /// refused by the upstream, not run (status {0})
+    /// request refused by the upstream and not run: status {0}
     Refused(u16),
-    /// another upstream has the address, not run
+    /// request not run: the address belongs to another upstream
     Misdirected,
-    /// may have run: {0}
+    /// request may have run: {0}
     MayHaveRun(String),
-    /// may have run, the connection ended under it: {0}
+    /// request may have run: the connection ended before the response did: {0}
     CutOff(String),
 }
 
 impl SendFailure {
-    /// Returns what is known of the run, as a word.
+    /// Returns the name of the failure for logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::NotSent(_) => "not-sent",
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns whether the request certainly did not run there.
+    /// Returns true if the request certainly did not run at the upstream.
     pub fn is_not_run(&self) -> bool {
         !matches!(self, Self::MayHaveRun(_) | Self::CutOff(_))
     }
--- a/src/upstreams/unlogged_changes.rs
+++ b/src/upstreams/unlogged_changes.rs
@@ -1,32 +1,34 @@
 use crate::names::UpstreamId;
 
-/// How many upstreams a log line names.
-const NAMED: usize = 40;
+/// Maximum number of upstreams that one log line lists.
+const MAX_LOGGED_IDS: usize = 40;
 
-/// What a daemon has just learned of upstreams: many often leave together, and
-/// one line each would make up most of the log.
+/// Changes of the directory that are not logged yet. Many upstreams often leave together,
+/// and one line for each would make up most of the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UnloggedChanges {
-    /// Those that began to leave, with the offsets at which they said so.
+    /// Upstreams that began to leave, with the offsets of the records that say so.
     pub leaving: Vec<(UpstreamId, u64)>,
-    /// Those whose entries went, with the offsets of these.
+    /// Removed upstreams, with the offsets of their last entries.
     pub removed_ids: Vec<(UpstreamId, u64)>,
 }
 
 impl UnloggedChanges {
-    /// Logs a line for each kind of news there is.
+    /// Logs one line for each kind of change that occurred.
     pub fn log(&self, revision: u64) {
         for (what, upstreams) in [("leave", &self.leaving), ("gone", &self.removed_ids)] {
             if upstreams.is_empty() {
                 continue;
             }
-            let named = upstreams.iter().take(NAMED);
-            let named: Vec<String> = named.map(|(id, offset)| format!("{id}@{offset}")).collect();
+            let listed = upstreams.iter().take(MAX_LOGGED_IDS);
+            let listed: Vec<String> = listed
+                .map(|(id, offset)| format!("{id}@{offset}"))
+                .collect();
             log::info!(
                 target: "upstreams",
                 "{what}. count={} directory={revision} upstreams={}",
                 upstreams.len(),
-                named.join(",")
+                listed.join(",")
             );
         }
     }
--- a/src/upstreams/upstream.rs
+++ b/src/upstreams/upstream.rs
@@ -4,31 +4,31 @@
     std::net::SocketAddr,
 };
 
-/// What an upstream says of itself.
+/// An upstream as its own record in the source describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Which life of it.
+    /// The id of this incarnation.
     pub id: UpstreamId,
-    /// The service that it belongs to.
+    /// The service that the upstream belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that the upstream listens on.
     pub address: SocketAddr,
-    /// The failure domain that it stands in.
+    /// The failure domain that the upstream runs in.
     #[serde(alias = "zone")]
     pub domain: FailureDomain,
-    /// The version of its software.
+    /// The version of the upstream's software.
     #[serde(default)]
     pub version: UpstreamVersion,
-    /// How many requests it works on at once.
+    /// The number of requests that the upstream runs at once.
     pub slots: u32,
-    /// Whether it is about to leave: no new work.
+    /// True if the upstream is about to leave and takes no new requests.
     #[serde(default)]
     pub draining: bool,
-    /// Whether it may be taken away at short notice.
+    /// True if the machine may be reclaimed at short notice.
     #[serde(default)]
     pub reclaimable: bool,
-    /// Where in its source this stands: what is said later has a higher one.
+    /// The offset of this record in the source; later records have higher offsets.
     #[serde(default, alias = "heartbeat")]
     pub offset: u64,
 }
--- a/src/upstreams/upstream_pool.rs
+++ b/src/upstreams/upstream_pool.rs
@@ -11,14 +11,14 @@
     tokio::{net::TcpStream, task::AbortHandle},
 };
 
-/// How long sent bytes may stay unacknowledged, or unread by the other side, before
-/// a connection to an upstream or a daemon is given up.
+/// Maximum time for which sent bytes may stay unacknowledged, or unread by the other side,
+/// before a connection to an upstream or a daemon is closed.
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 const KEEPALIVE_PROBE: Duration = Duration::from_secs(1);
-/// How long a connection rests at most before it is closed.
+/// Maximum time for which the pool keeps an idle connection.
 const MAX_IDLE: Duration = Duration::from_secs(20);
 const MAX_IDLE_PER_UPSTREAM: usize = 32;
-/// The most of a head that is read from an upstream, in bytes.
+/// Maximum size of a response head from an upstream, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// A connection to an upstream. Dropping it closes it.
@@ -29,7 +29,7 @@
 }
 
 impl UpstreamConnection {
-    /// Returns whether neither side has closed it, as far as is known.
+    /// Returns true if neither side is known to have closed the connection.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
@@ -48,19 +48,19 @@
     until: BootInstant,
 }
 
-/// Connections to upstreams that rest until they are used again.
+/// Idle connections to upstreams, kept for reuse.
 #[derive(Debug, Default)]
 pub struct UpstreamPool {
     idle: Mutex<HashMap<UpstreamId, Vec<IdleConnection>>>,
 }
 
 impl UpstreamPool {
-    /// Takes a connection that has rested for less than `max_idle`.
+    /// Takes a usable connection that has been idle for less than `max_idle`.
     pub fn take(&self, id: &UpstreamId, max_idle: Duration) -> Option<UpstreamConnection> {
         let mut idle = self.idle.lock();
-        let rested = idle.get_mut(id)?;
+        let idle_connections = idle.get_mut(id)?;
         let now = BootInstant::now();
-        while let Some(entry) = rested.pop() {
+        while let Some(entry) = idle_connections.pop() {
             let connection = entry.connection;
             let usable = connection.sender.is_ready() && !connection.sender.is_closed();
             if usable && now < entry.until && now - entry.since < max_idle {
@@ -70,37 +70,45 @@
         None
     }
 
-    /// Lets a connection rest, for as long as its upstream said that it keeps it.
-    pub fn put(&self, id: &UpstreamId, connection: UpstreamConnection, kept: Option<Duration>) {
+    /// Keeps an idle connection for at most `MAX_IDLE`, and for at most 80% of the keep-alive
+    /// time that its upstream named.
+    pub fn put(
+        &self,
+        id: &UpstreamId,
+        connection: UpstreamConnection,
+        keep_alive: Option<Duration>,
+    ) {
         let now = BootInstant::now();
-        let rest = kept.map_or(MAX_IDLE, |kept| kept.mul_f64(0.8).min(MAX_IDLE));
+        let idle_time =
+            keep_alive.map_or(MAX_IDLE, |keep_alive| keep_alive.mul_f64(0.8).min(MAX_IDLE));
         let mut idle = self.idle.lock();
-        let rested = idle.entry(id.clone()).or_default();
-        if rested.len() >= MAX_IDLE_PER_UPSTREAM {
-            rested.remove(0);
+        let idle_connections = idle.entry(id.clone()).or_default();
+        if idle_connections.len() >= MAX_IDLE_PER_UPSTREAM {
+            idle_connections.remove(0);
         }
-        rested.push(IdleConnection {
+        idle_connections.push(IdleConnection {
             connection,
             since: now,
-            until: now + rest,
+            until: now + idle_time,
         });
     }
 
-    /// Closes the resting connections of upstreams that `is_known` doesn't
-    /// know, and those that have rested for too long.
+    /// Closes the idle connections of upstreams for which `is_known` is false, and those that
+    /// have been idle for too long.
     pub fn sweep(&self, is_known: impl Fn(&UpstreamId) -> bool) {
         let now = BootInstant::now();
-        self.idle.lock().retain(|id, rested| {
-            rested.retain(|entry| now < entry.until && !entry.connection.sender.is_closed());
-            is_known(id) && !rested.is_empty()
+        self.idle.lock().retain(|id, idle_connections| {
+            idle_connections
+                .retain(|entry| now < entry.until && !entry.connection.sender.is_closed());
+            is_known(id) && !idle_connections.is_empty()
         });
     }
 
-    /// Opens a connection.
+    /// Opens a connection to an upstream.
     ///
     /// # Errors
     ///
-    /// Returns [`SendFailure::NotSent`].
+    /// Returns [`SendFailure::NotSent`] if the connection can't be opened within `timeout`.
     pub async fn connect(
         address: SocketAddr,
         timeout: Duration,
@@ -108,10 +116,10 @@
         let not_sent = |e: &dyn std::fmt::Display| SendFailure::NotSent(e.to_string());
         let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
             .await
-            .map_err(|_| not_sent(&"no connection in time"))?
+            .map_err(|_| not_sent(&"connection timed out"))?
             .map_err(|e| not_sent(&e))?;
         set_socket_options(&stream, UNACKNOWLEDGED_TIMEOUT).map_err(|e| not_sent(&e))?;
-        // A request that is taken back must not arrive later.
+        // A reset on close keeps a cancelled request from arriving later.
         reset_on_close(&stream).map_err(|e| not_sent(&e))?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
@@ -119,7 +127,7 @@
             .await
             .map_err(|e| not_sent(&e))?;
         let task = tokio::spawn(async move {
-            // An error of the connection reaches the request that is on it.
+            // The request that uses the connection gets its error.
             let _ = connection.await;
         });
         Ok(UpstreamConnection {
@@ -129,13 +137,13 @@
     }
 }
 
-/// Makes a dead peer known after a time. A peer that lives and doesn't read is one of
-/// them, also for probes that it acknowledges: the kernel counts from when its window
-/// closed.
+/// Sets the socket options that detect a dead peer: a connection fails after `dead_after`
+/// without progress. This includes a live peer that doesn't read, even if it acknowledges
+/// window probes: the kernel counts from the time when the peer's receive window closed.
 ///
 /// # Errors
 ///
-/// Returns the error of the socket.
+/// Returns the error of the socket call that failed.
 pub fn set_socket_options(stream: &TcpStream, dead_after: Duration) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
