--- a/src/upstreams/upstream_directory.rs
+++ b/src/upstreams/upstream_directory.rs
@@ -12,73 +12,78 @@
     },
 };
 
-/// How many lives of upstreams that are gone are remembered at least. Their entries don't
-/// come back without this: it tells other daemons of them one by one, and keeps a life
-/// that was leaving from new work for good.
-const MIN_GONE: usize = 4_096;
-/// How many are remembered for each upstream that is known, where that is more: a whole
-/// directory may be replaced before a daemon that was cut off hears of any of it.
-const GONE_PER_KNOWN: usize = 2;
-
-/// The upstreams that are known, by service.
+/// Minimum number of removed incarnations that are remembered. They are needed to send
+/// removals to other daemons one by one, and to keep an incarnation that was leaving from
+/// getting new requests ever again. The directory's position keeps old entries of removed
+/// upstreams from coming back without them.
+const MIN_REMOVED: usize = 4_096;
+/// Number of removed incarnations that are remembered per known upstream, where that is
+/// more: all upstreams may be replaced before a daemon that was cut off receives the first
+/// change.
+const REMOVED_PER_KNOWN: usize = 2;
+
+/// The known upstreams, by service.
 ///
-/// All that a shared source says stands in one order, that of its offsets. The directory
-/// remembers up to which offset it knows everything: an entry from before that it lacks
-/// is gone, whoever tells of it and however late, also if nothing was ever heard of that
-/// upstream here. If only those that were known were remembered, a removal that is heard
-/// before its entry would be undone by an older listing.
+/// The records of a shared source are ordered by their offsets. The directory holds the
+/// position in the source before which it has applied everything: an entry from before the
+/// position that the directory lacks has been removed, no matter which daemon sends it and
+/// how late, and even if this daemon never knew that upstream. If the directory only
+/// remembered the removals of upstreams that it knew, a removal that arrives before its
+/// entry would be undone by an older listing.
 ///
-/// Beside that, draining is final for one life of an upstream, and a later life ends the
-/// one before.
+/// Draining is final for an incarnation of an upstream, and a later incarnation replaces
+/// the one before.
 #[derive(Debug, Default)]
 pub struct UpstreamDirectory {
     by_service: HashMap<ServiceName, BTreeMap<UpstreamId, Arc<Upstream>>>,
     service_of: HashMap<UpstreamId, ServiceName>,
-    lives: NewestIncarnations,
-    /// Before this offset of the source everything is taken in.
+    incarnations: NewestIncarnations,
+    /// Offset of the source before which every record is applied.
     position: u64,
-    /// Before this offset it is known of each upstream where its last word stands, also of
-    /// those that only say that they live.
-    exact_to: u64,
-    /// From which offset on each is known to have been there, unless it was from the first.
+    /// Offset before which the offset of each upstream's last record is known, including
+    /// records that are mere heartbeats.
+    exact_before: u64,
+    /// The offset since which each upstream is known to have been present without a break;
+    /// absent for upstreams that were present when the directory was first read.
     since: HashMap<UpstreamId, u64>,
-    /// What the daemon that is followed has told of.
+    /// The upstreams that the followed daemon has announced.
     followed: FollowedView,
-    /// Whether it is fed by a source that no other daemon has.
+    /// True if this daemon reads a source that no other daemon has, such as a file.
     has_own_source: bool,
-    /// Of such a source, the upstreams whose answers said that they leave: nothing else
-    /// tells that one is another life.
-    left: HashSet<UpstreamId>,
+    /// The upstreams of such a source whose responses said that they leave. Only their exit
+    /// shows that a later entry is another incarnation.
+    leaving_until_exit: HashSet<UpstreamId>,
     removed_ids: RemovedUpstreams,
-    /// With which revision each changed last.
+    /// The revision that last changed each upstream.
     changed: RevisionIndex,
-    /// Entries that went while their source was away, with until when they may
-    /// come back, in milliseconds of the daemon's steady clock.
+    /// Entries that went missing while their source was unavailable, with the time until
+    /// which they may come back, in milliseconds of the daemon's steady clock.
     lapsed: HashMap<UpstreamId, u64>,
     revision: u64,
-    /// What was learned and not logged yet.
-    notes: UnloggedChanges,
-    /// By service, the list of ready ones and the revision that it is of.
+    /// Changes that are not logged yet.
+    unlogged: UnloggedChanges,
+    /// The cached list of ready upstreams of each service, and the revision it is of.
     ready_lists: Mutex<HashMap<ServiceName, (u64, Arc<ReadyUpstreams>)>>,
 }
 
 impl UpstreamDirectory {
-    /// Takes in what an upstream says, read in order; returns whether it changed anything
-    /// that matters for routing.
+    /// Applies a record of an upstream, read from the source in order; returns true if it
+    /// changed anything that matters for routing.
     pub fn upsert(&mut self, upstream: Upstream) -> bool {
         let since = match self.get(&upstream.id) {
             Some(_) => self.since(&upstream.id),
             None => upstream.offset,
         };
-        self.take_in_one(upstream, since)
+        self.merge(upstream, since)
     }
 
-    /// Takes in an upstream that is known to have been there since an offset. If that is
-    /// later than was known here, it may have gone and come back between, unheard: that is
-    /// a change, which those have to be told that heard it go.
-    fn take_in_one(&mut self, mut upstream: Upstream, since: u64) -> bool {
+    /// Merges an upstream that is known to have been present since an offset. If that offset
+    /// is later than the one known here, the upstream may have been removed and added again
+    /// without this daemon's knowledge. That counts as a change, so that it is sent to
+    /// followers that applied the removal.
+    fn merge(&mut self, mut upstream: Upstream, since: u64) -> bool {
         let id = upstream.id.clone();
-        if self.removed_ids.had_left(&id) || self.lives.is_over(&id) {
+        if self.removed_ids.had_left(&id) || self.incarnations.is_superseded(&id) {
             return false;
         }
         let known = self.get(&id).cloned();
@@ -88,23 +93,24 @@
             _ => {}
         }
         self.removed_ids.forget(&id);
-        if let Some(before) = self.lives.record(&id) {
+        if let Some(before) = self.incarnations.record(&id) {
             self.forget(&before);
         }
-        let leaves = upstream.draining && known.as_ref().is_none_or(|known| !known.draining);
-        if leaves {
-            self.notes.leaving.push((id.clone(), upstream.offset));
+        let starts_leaving =
+            upstream.draining && known.as_ref().is_none_or(|known| !known.draining);
+        if starts_leaving {
+            self.unlogged.leaving.push((id.clone(), upstream.offset));
         }
         let had_lapsed = self.lapsed.remove(&id).is_some();
         if let Some(known) = known {
-            upstream.draining |= self.leaves_for_good(&known);
+            upstream.draining |= self.leaves_permanently(&known);
             upstream.offset = upstream.offset.max(known.offset);
             let same_but_offset = Upstream {
                 offset: known.offset,
                 ..upstream.clone()
             } == *known;
-            let may_have_gone = since > self.since(&id);
-            if same_but_offset && !had_lapsed && !may_have_gone {
+            let may_have_been_removed = since > self.since(&id);
+            if same_but_offset && !had_lapsed && !may_have_been_removed {
                 self.store(upstream);
                 return false;
             }
@@ -114,45 +120,46 @@
             self.since.insert(id.clone(), since);
         }
         self.store(upstream);
-        self.note_changed(&id);
+        self.record_change(&id);
         true
     }
 
-    /// Returns whether an upstream that is known leaves, whatever its source goes on to say.
-    fn leaves_for_good(&self, known: &Upstream) -> bool {
+    /// Returns true if a known upstream stays marked as leaving, whatever later records of
+    /// the source say.
+    fn leaves_permanently(&self, known: &Upstream) -> bool {
         match self.has_own_source {
-            true => self.left.contains(&known.id),
+            true => self.leaving_until_exit.contains(&known.id),
             false => known.draining,
         }
     }
 
-    /// Takes in that an upstream itself says that it leaves; returns whether that was not
-    /// known. Its entry may say otherwise for as long as it stands there: the source may be
-    /// away, or may not have taken the word.
+    /// Marks an upstream as leaving by its own announcement; returns true if that was not
+    /// known. The upstream's entry may still say otherwise: the source may be unavailable,
+    /// or may not have accepted the upstream's write.
     pub fn mark_leaving(&mut self, id: &UpstreamId) -> bool {
         let Some(known) = self.get(id).cloned() else {
             self.removed_ids.record_left(id);
             return false;
         };
         if self.has_own_source {
-            self.left.insert(id.clone());
+            self.leaving_until_exit.insert(id.clone());
         }
         if known.draining {
             return false;
         }
-        self.notes.leaving.push((id.clone(), known.offset));
+        self.unlogged.leaving.push((id.clone(), known.offset));
         self.store(Upstream {
             draining: true,
             ..(*known).clone()
         });
-        self.note_changed(id);
+        self.record_change(id);
         true
     }
 
-    /// Takes in that an upstream has ended that had said that it leaves, where only the
-    /// daemon's own source tells of upstreams: what is there next is another life.
+    /// Records the exit of an upstream that had announced that it leaves, if this daemon has
+    /// a source of its own: the next process at that entry is another incarnation.
     pub fn mark_ended(&mut self, id: &UpstreamId) {
-        if !self.left.remove(id) {
+        if !self.leaving_until_exit.remove(id) {
             return;
         }
         let known = self.get(id).cloned();
@@ -161,38 +168,38 @@
                 draining: false,
                 ..(*known).clone()
             });
-            self.note_changed(id);
+            self.record_change(id);
         }
     }
 
-    /// Returns whether an upstream has said that it leaves and nothing but its end can tell
-    /// that this is over.
+    /// Returns true if an upstream has announced that it leaves and only its exit can end
+    /// this state.
     pub fn is_leaving_until_exit(&self, id: &UpstreamId) -> bool {
-        self.left.contains(id)
+        self.leaving_until_exit.contains(id)
     }
 
-    fn note_changed(&mut self, id: &UpstreamId) {
+    fn record_change(&mut self, id: &UpstreamId) {
         self.revision += 1;
         self.changed.record(id, self.revision);
     }
 
-    /// Returns what was learned since this was last called.
+    /// Returns the changes since the last call, for the log.
     pub fn take_unlogged_changes(&mut self) -> UnloggedChanges {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.unlogged)
     }
 
-    /// Takes in that the source says at an offset that an upstream's entry is gone.
+    /// Applies a removal of an upstream's entry, at an offset of the source.
     pub fn remove(&mut self, upstream: &str, offset: u64) {
-        if let Some(id) = self.said_before(upstream, offset) {
+        if let Some(id) = self.known_before(upstream, offset) {
             self.forget(&id);
         }
     }
 
-    /// Takes in that an entry is missing from an offset on that may only have lapsed
-    /// while its source was away: it counts as gone if it isn't back by `until_ms`. One
-    /// that was leaving is gone at once.
+    /// Records that an entry is missing from the source at an offset. As it may only have
+    /// expired while the source was unavailable, the upstream is removed only if the entry
+    /// isn't back by `until_ms`. An upstream that was leaving is removed at once.
     pub fn lapse(&mut self, upstream: &str, offset: u64, until_ms: u64) {
-        let Some(id) = self.said_before(upstream, offset) else {
+        let Some(id) = self.known_before(upstream, offset) else {
             return;
         };
         match self.is_ready(&id) {
@@ -203,10 +210,9 @@
         }
     }
 
-    /// Returns the life of an upstream that is known, if its entry is older than an
-    /// offset.
-    fn said_before(&self, upstream: &str, offset: u64) -> Option<UpstreamId> {
-        let id = self.lives.get(upstream)?;
+    /// Returns the known incarnation of an upstream if its entry is older than an offset.
+    fn known_before(&self, upstream: &str, offset: u64) -> Option<UpstreamId> {
+        let id = self.incarnations.get(upstream)?;
         let known = self.get(id)?;
         (known.offset < offset).then(|| id.clone())
     }
@@ -219,72 +225,75 @@
         self.changed.forget(id);
         self.since.remove(id);
         self.lapsed.remove(id);
-        self.left.remove(id);
-        self.followed.note_forgotten(id);
+        self.leaving_until_exit.remove(id);
+        self.followed.record_forgotten(id);
         let removed = self.by_service.get_mut(&service).and_then(|b| b.remove(id));
         let Some(upstream) = removed else {
             return;
         };
-        self.notes.removed_ids.push((id.clone(), upstream.offset));
-        // What a file lists again is there again.
-        let left_for_good = upstream.draining && !self.has_own_source;
-        self.removed_ids.record(id, left_for_good, self.revision);
-        let most = MIN_GONE.max(GONE_PER_KNOWN * self.service_of.len());
-        for forgotten in self.removed_ids.forget_first(most) {
-            self.lives.forget(&forgotten);
+        self.unlogged
+            .removed_ids
+            .push((id.clone(), upstream.offset));
+        // An upstream that a file lists again is present again.
+        let had_left = upstream.draining && !self.has_own_source;
+        self.removed_ids.record(id, had_left, self.revision);
+        let max_removed = MIN_REMOVED.max(REMOVED_PER_KNOWN * self.service_of.len());
+        for forgotten in self.removed_ids.forget_oldest(max_removed) {
+            self.incarnations.forget(&forgotten);
         }
     }
 
-    /// Removes the entries that lapsed and did not come back in time.
+    /// Removes the lapsed entries that did not come back in time.
     pub fn expire_lapsed(&mut self, now_ms: u64) {
-        let is_over = |(_, until_ms): &(&UpstreamId, &u64)| now_ms >= **until_ms;
-        let over: Vec<_> = self.lapsed.iter().filter(is_over).collect();
-        let over: Vec<UpstreamId> = over.into_iter().map(|(id, _)| id.clone()).collect();
-        for id in over {
+        let has_expired = |(_, until_ms): &(&UpstreamId, &u64)| now_ms >= **until_ms;
+        let expired: Vec<_> = self.lapsed.iter().filter(has_expired).collect();
+        let expired: Vec<UpstreamId> = expired.into_iter().map(|(id, _)| id.clone()).collect();
+        for id in expired {
             self.forget(&id);
         }
     }
 
-    /// Notes that everything before an offset of the source is read.
+    /// Records that all records before an offset of the source are applied.
     pub fn read_to(&mut self, position: u64) {
         self.position = self.position.max(position);
-        self.exact_to = self.exact_to.max(position);
+        self.exact_before = self.exact_before.max(position);
     }
 
-    /// Takes in a whole listing of the shared source, as it was before an offset. What
-    /// it lacks is gone, or has lapsed if that may be so until `lapsed_until_ms`.
+    /// Applies a full listing of the shared source, as of an offset. Upstreams missing from
+    /// it are removed; with `lapsed_until_ms` they only lapse and may come back until then.
     pub fn replace(&mut self, listing: Vec<Upstream>, position: u64, lapsed_until_ms: Option<u64>) {
-        for id in self.lacked_by(&listing) {
+        for id in self.missing_from(&listing) {
             match lapsed_until_ms {
                 Some(until_ms) => self.lapse(id.upstream(), position, until_ms),
                 None => self.remove(id.upstream(), position),
             }
         }
-        self.take_in(listing);
+        self.merge_listing(listing);
         self.read_to(position);
     }
 
-    /// Takes in all upstreams of a source that no other daemon has: what it lacks is
-    /// gone.
+    /// Applies a full listing of a source that no other daemon has. Upstreams missing from
+    /// it are removed.
     pub fn replace_own(&mut self, listing: Vec<Upstream>) {
         self.has_own_source = true;
-        for id in self.lacked_by(&listing) {
+        for id in self.missing_from(&listing) {
             self.forget(&id);
         }
-        self.take_in(listing);
+        self.merge_listing(listing);
     }
 
-    fn lacked_by(&self, listing: &[Upstream]) -> Vec<UpstreamId> {
-        // An older life in the place of a later one is a late word of it: the upstream
-        // is there.
+    fn missing_from(&self, listing: &[Upstream]) -> Vec<UpstreamId> {
+        // An older incarnation in place of a later one is an outdated record: the upstream
+        // is present.
         let listed: HashSet<&str> = listing.iter().map(|u| u.id.upstream()).collect();
         let known = self.service_of.keys();
-        let lacked = known.filter(|id| !listed.contains(id.upstream()));
-        lacked.cloned().collect()
+        let missing = known.filter(|id| !listed.contains(id.upstream()));
+        missing.cloned().collect()
     }
 
-    /// Takes in upstreams of whose earlier words some may not have been heard.
-    fn take_in(&mut self, upstreams: Vec<Upstream>) {
+    /// Merges listed upstreams, of which this daemon may have missed earlier records. An
+    /// upstream with a newer record than the known one counts as present only since that.
+    fn merge_listing(&mut self, upstreams: Vec<Upstream>) {
         let is_first = self.position == 0;
         for upstream in upstreams {
             let since = match self.get(&upstream.id) {
@@ -292,7 +301,7 @@
                 _ if is_first => 0,
                 _ => upstream.offset,
             };
-            self.take_in_one(upstream, since);
+            self.merge(upstream, since);
         }
     }
 
@@ -307,8 +316,8 @@
         }
     }
 
-    /// Returns what has changed since it was told last; everything, if that can't be
-    /// told one by one.
+    /// Returns the changes since a follower's cursor, or the full directory if the changes
+    /// since then are not all remembered.
     pub fn update_since(&self, last: Option<DirectoryCursor>) -> DirectoryUpdate {
         let (upstreams, removed_ids) = match last.filter(|_| !self.sends_full(last)) {
             None => (self.all().map(|u| self.present(u)).collect(), Vec::new()),
@@ -330,12 +339,13 @@
         }
     }
 
-    /// Returns whether what has changed since it was told last can't be told one by one.
+    /// Returns true if a follower with this cursor has to be sent the full directory, as the
+    /// changes since then are not all remembered.
     pub fn sends_full(&self, last: Option<DirectoryCursor>) -> bool {
         !last.is_some_and(|t| t.position > 0 && self.has_all_since(t.revision))
     }
 
-    /// Returns what is told with the news of this moment.
+    /// Returns the cursor of a follower that gets an update now.
     pub fn cursor(&self) -> DirectoryCursor {
         DirectoryCursor {
             revision: self.revision,
@@ -343,21 +353,22 @@
         }
     }
 
-    /// Takes in news of the daemon that is followed, as of its position. What is known from
-    /// elsewhere and should have been told by then is gone, too.
-    pub fn apply_update(&mut self, news: DirectoryUpdate) {
-        let position = news.cursor.position;
+    /// Applies an update of the followed daemon. Upstreams that are known only from others
+    /// and have an older offset than the daemon's position are removed too: it would have
+    /// announced them if they were still present.
+    pub fn apply_update(&mut self, update: DirectoryUpdate) {
+        let position = update.cursor.position;
         if position == 0 {
-            let told = news.upstreams.into_iter();
-            return self.take_unshared(told.map(|present| present.upstream).collect());
+            let announced = update.upstreams.into_iter();
+            return self.apply_unshared(announced.map(|present| present.upstream).collect());
         }
-        self.followed.take_in(&news, &self.service_of);
-        for present in news.upstreams {
-            self.take_in_one(present.upstream, present.since);
+        self.followed.apply(&update, &self.service_of);
+        for present in update.upstreams {
+            self.merge(present.upstream, present.since);
         }
-        let elsewhere = self.followed.known_from_others();
-        let lacked = elsewhere.filter(|id| self.get(id).is_some_and(|u| u.offset < position));
-        for id in lacked.cloned().collect::<Vec<_>>() {
+        let from_others = self.followed.known_from_others();
+        let missing = from_others.filter(|id| self.get(id).is_some_and(|u| u.offset < position));
+        for id in missing.cloned().collect::<Vec<_>>() {
             self.forget(&id);
         }
         self.position = self.position.max(position);
@@ -367,18 +378,17 @@
         revision <= self.revision && self.removed_ids.has_all_since(revision)
     }
 
-    /// Returns the same for a daemon of a build that goes by offsets: it is told of each
-    /// word of an upstream, and takes those that it knows of and isn't told of for gone.
+    /// Returns the changes for a daemon whose build goes by offsets: it is sent each record of
+    /// an upstream, and removes the upstreams that it knows and isn't sent.
     pub fn changes_since(&self, last: Option<DirectoryCursor>) -> DirectoryChanges {
-        // Where words were passed over that only said that an upstream lives, it would take
-        // live ones for gone.
-        let can_tell =
-            |t: &DirectoryCursor| self.has_all_since(t.revision) && self.exact_to >= t.position;
-        let last = last.filter(can_tell).unwrap_or_default();
+        // If heartbeats were left out since then, the daemon would remove live upstreams.
+        let can_list_changes =
+            |t: &DirectoryCursor| self.has_all_since(t.revision) && self.exact_before >= t.position;
+        let last = last.filter(can_list_changes).unwrap_or_default();
         let is_complete = last.position == 0;
         let position = match is_complete {
             true => self.position,
-            false => self.exact_to,
+            false => self.exact_before,
         };
         let is_change = |upstream: &&Arc<Upstream>| {
             is_complete
@@ -401,29 +411,29 @@
         }
     }
 
-    /// Returns an upstream with the offset that it is known to live at.
+    /// Returns an upstream with the latest offset at which it is known to be present.
     fn at_position(&self, upstream: &Upstream, position: u64) -> Upstream {
         let mut upstream = upstream.clone();
-        if self.exact_to < position && !self.lapsed.contains_key(&upstream.id) {
+        if self.exact_before < position && !self.lapsed.contains_key(&upstream.id) {
             upstream.offset = upstream.offset.max(position.saturating_sub(1));
         }
         upstream
     }
 
-    /// Takes in what has changed in the directory of a daemon of such a build, as of its
-    /// position. What has lapsed here is gone, too, if another that heard the source all
-    /// the time says so: only this daemon may have been cut off. Changes count from what was
-    /// taken in of that daemon before: what it passed over since, by a listing, it can't
-    /// name as gone, so what it doesn't have of that part of the source is gone, too.
+    /// Applies the changes of a daemon whose build goes by offsets. An entry that lapsed here
+    /// is removed if that daemon lacks it: only this daemon may have been cut off from the
+    /// source. The changes start at what was last applied of that daemon. It can't list
+    /// removals that it skipped since by reading a listing, so an upstream of that part of
+    /// the source that it doesn't list is removed too.
     pub fn apply(&mut self, changes: DirectoryChanges) {
         let position = changes.cursor.position;
         if position == 0 {
-            return self.take_unshared(changes.upstreams);
+            return self.apply_unshared(changes.upstreams);
         }
-        let lacked = self.lacked_by(&changes.upstreams).into_iter();
+        let missing = self.missing_from(&changes.upstreams).into_iter();
         let is_announced =
             |id: &UpstreamId| self.get(id).is_some_and(|u| u.offset >= changes.all_since);
-        let mut removed_ids: Vec<UpstreamId> = lacked.filter(is_announced).collect();
+        let mut removed_ids: Vec<UpstreamId> = missing.filter(is_announced).collect();
         removed_ids.extend(changes.removed_ids);
         for id in removed_ids {
             let is_older = self.get(&id).is_some_and(|known| known.offset < position);
@@ -431,41 +441,41 @@
                 self.forget(&id);
             }
         }
-        self.take_in(changes.upstreams);
+        self.merge_listing(changes.upstreams);
         self.read_to(position);
     }
 
-    /// Takes in all upstreams of a source that isn't shared, from a daemon that has one.
-    /// One that has a source itself goes by that.
-    fn take_unshared(&mut self, listing: Vec<Upstream>) {
+    /// Applies all upstreams of a source that isn't shared, sent by the daemon that reads it.
+    /// Ignored if this daemon has a source itself.
+    fn apply_unshared(&mut self, listing: Vec<Upstream>) {
         if self.position > 0 || self.has_own_source {
             return;
         }
-        for id in self.lacked_by(&listing) {
+        for id in self.missing_from(&listing) {
             self.forget(&id);
         }
-        self.take_in(listing);
+        self.merge_listing(listing);
     }
 
-    /// Returns an upstream that is not gone.
+    /// Returns a known upstream.
     pub fn get(&self, id: &UpstreamId) -> Option<&Arc<Upstream>> {
         let service = self.service_of.get(id)?;
         self.by_service.get(service)?.get(id)
     }
 
-    /// Returns whether an upstream may get new work.
+    /// Returns true if an upstream may get new requests.
     pub fn is_ready(&self, id: &UpstreamId) -> bool {
         self.get(id).is_some_and(|b| !b.draining)
     }
 
-    /// Returns the upstreams of a service that may get new work.
+    /// Returns the upstreams of a service that may get new requests.
     pub fn ready(&self, service: &ServiceName) -> impl Iterator<Item = &Arc<Upstream>> {
         let all = self.by_service.get(service).into_iter();
         all.flat_map(|b| b.values()).filter(|b| !b.draining)
     }
 
-    /// Returns the upstreams of a service that may get new work, as a list that is
-    /// the same until the directory changes.
+    /// Returns the upstreams of a service that may get new requests, as a list that is
+    /// shared until the directory changes.
     pub fn ready_list(&self, service: &ServiceName) -> Arc<ReadyUpstreams> {
         let mut lists = self.ready_lists.lock();
         if let Some((revision, list)) = lists.get(service)
@@ -478,22 +488,22 @@
         list
     }
 
-    /// Returns all upstreams that are not gone.
+    /// Returns all known upstreams.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Upstream>> {
         self.by_service.values().flat_map(|b| b.values())
     }
 
-    /// Returns how many upstreams are known.
+    /// Returns the number of known upstreams.
     pub fn known(&self) -> usize {
         self.service_of.len()
     }
 
-    /// Returns a number that rises with each change.
+    /// Returns the revision of the directory, which rises with each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the offset of the source before which everything is taken in.
+    /// Returns the offset of the source before which every record is applied.
     pub fn position(&self) -> u64 {
         self.position
     }
@@ -508,7 +518,7 @@
         let id = upstream.id.clone();
         let known = self.service_of.insert(id, upstream.service.clone());
         if known.is_none() {
-            self.followed.note_known(&upstream.id);
+            self.followed.record_known(&upstream.id);
         }
         self.by_service
             .entry(upstream.service.clone())
