--- a/src/rollouts/evaluator.rs
+++ b/src/rollouts/evaluator.rs
@@ -3,41 +3,42 @@
     std::collections::HashMap,
 };
 
-/// How rarely a good version may be called bad: once in so many looks at one route, as a
-/// natural logarithm (1 in 100,000; a roll-out takes some hundred looks at each of up to
-/// 33 routes).
+/// Natural logarithm of the likelihood ratio from which a version counts as bad. It bounds
+/// the rate at which a good version is called bad to 1 in 100,000 assessments of one route;
+/// a rollout takes a few hundred assessments of each of up to 33 routes.
 const LOG_ALPHA: f64 = 11.5;
-/// From which evidence on a version that gets most requests already is taken for bad: each
-/// further look costs far more bad answers than before.
+/// Log likelihood ratio from which a version that already gets most requests counts as
+/// bad: each further assessment costs far more bad answers than at a small share.
 const LOG_STRONG_SUSPICION: f64 = 6.0;
-/// From which evidence on a version gets no more than its first share until more is known:
-/// without, one of which a fifth of the answers failed got 13.8% of 80 requests a second
-/// until it was found (`decisions/rollouts`).
+/// Log likelihood ratio from which a version's share stays within the bound for unproven
+/// versions until more is known. Without this limit, a version that failed a fifth of its
+/// answers got 13.8% of 80 requests a second before it was found to be bad.
 const LOG_SUSPICION: f64 = 3.0;
-/// How many answers a version must have given to be called good.
-const PROVED_ANSWERS: u64 = 100;
-/// How many, to get more than its first small share.
-const FIRST_ANSWERS: u64 = 60;
+/// Minimum number of answers before a version counts as good.
+const MIN_ANSWERS_GOOD: u64 = 100;
+/// Minimum number of answers before a version gets more than its first small share.
+const MIN_ANSWERS_SO_FAR_GOOD: u64 = 60;
 
 /// The assessment of a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Assessment {
-    /// Too little.
+    /// There are too few answers to assess the version.
     Unknown,
-    /// Something speaks against it, but not enough.
+    /// There is some evidence against the version, but not enough to call it bad.
     Suspected,
-    /// Much speaks against it, but not enough while it gets few requests.
+    /// There is strong evidence against the version, which is enough to call it bad only if
+    /// it gets most requests.
     StronglySuspected,
-    /// Nothing speaks against it, by a few answers.
+    /// There is no evidence against the version after a few answers.
     SoFarGood,
-    /// Nothing speaks against it, by enough answers.
+    /// There is no evidence against the version after enough answers.
     Good,
-    /// It is worse than the old ones.
+    /// The version is worse than the old ones.
     Bad,
 }
 
-/// Judges a new version by its answers, over all routes and for each of them: one may be
-/// bad on one route only.
+/// Assesses a new version by its answers, over all routes and for each route: a version may
+/// be bad on a single route.
 #[derive(Clone, Debug, Default)]
 pub struct VersionEvaluator {
     all: Evidence,
@@ -45,7 +46,7 @@
 }
 
 impl VersionEvaluator {
-    /// Takes in the answers of a moment, by route.
+    /// Records a batch of answers of the same moment, by route.
     pub fn record(&mut self, batch: &[(u32, VersionCounts)]) {
         let mut sum = VersionCounts::default();
         for (route, counts) in batch {
@@ -55,7 +56,7 @@
         self.all.record(sum);
     }
 
-    /// Returns what is known.
+    /// Returns the assessment by the answers so far.
     pub fn assessment(&self) -> Assessment {
         if self.worst().log_ratio() >= LOG_ALPHA {
             return Assessment::Bad;
@@ -67,13 +68,14 @@
             return Assessment::Suspected;
         }
         match self.all.answers {
-            n if n >= PROVED_ANSWERS => Assessment::Good,
-            n if n >= FIRST_ANSWERS => Assessment::SoFarGood,
+            n if n >= MIN_ANSWERS_GOOD => Assessment::Good,
+            n if n >= MIN_ANSWERS_SO_FAR_GOOD => Assessment::SoFarGood,
             _ => Assessment::Unknown,
         }
     }
 
-    /// Returns what speaks most against the version.
+    /// Returns the strongest evidence against the version: that of its worst route or that
+    /// over all routes.
     pub fn worst(&self) -> &Evidence {
         let routes = self.routes.values();
         let worst = routes.max_by(|a, b| a.log_ratio().total_cmp(&b.log_ratio()));
--- a/src/rollouts/mod.rs
+++ b/src/rollouts/mod.rs
@@ -1,9 +1,10 @@
-//! Roll-outs of new versions of a service's upstreams: the share of requests that a new
-//! version gets, how it is judged beside the old ones, and when it is completed or
-//! rolled back.
+//! Rollouts of new versions of a service's upstreams: the share of requests that a new
+//! version gets, its assessment against the old versions, and the decision to complete the
+//! rollout or to roll it back.
 //!
-//! Everything here is pure: time is passed in, and nothing is sent. One daemon at a time
-//! leads a roll-out (`cluster/rollout_duty.rs`); all follow the share that it tells.
+//! This module is pure: callers pass the time in, and nothing is sent. One daemon at a time
+//! leads a rollout (the rollout duty in `cluster`); all daemons follow the share that the
+//! leader announces.
 
 mod evaluator;
 mod evidence;
--- a/src/rollouts/outcome_meter.rs
+++ b/src/rollouts/outcome_meter.rs
@@ -1,36 +1,36 @@
 use {super::VersionCounts, std::collections::HashMap};
 
-/// How many times the usual time of a route an answer takes that counts as slow: bad
-/// versions are several times slower, and prompts differ by less than that mostly.
+/// Multiple of a route's mean latency above which an answer counts as slow. Bad versions
+/// are several times slower, while the latencies of different prompts mostly differ by less.
 const SLOW_FACTOR: f64 = 2.5;
-/// How many answers tell a route's usual time.
-const KNOWN_AFTER: u32 = 8;
-/// How much one more answer moves a route's usual time.
-const WEIGHT: f64 = 0.05;
-/// How many routes are counted apart; the others are counted together.
+/// Minimum number of answers before a route's mean latency is used.
+const MIN_LATENCY_SAMPLES: u32 = 8;
+/// Weight of the newest answer in a route's mean latency.
+const LATENCY_WEIGHT: f64 = 0.05;
+/// Maximum number of routes that are counted separately; all others are counted together.
 const MAX_ROUTES: usize = 32;
-/// The key of all routes that are not counted apart.
+/// The key under which all routes that are not counted separately are counted.
 pub const OTHER_ROUTES: u32 = 0;
 
-/// How a route's requests usually fare at the versions that are there.
+/// Mean latency of a route's answers at the old versions, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
-struct UsualTime {
+struct RouteLatency {
     mean_ms: f64,
     answers: u32,
 }
 
-/// Counts the answers that one daemon saw during a service's roll-out, by route and
+/// Counts the answers that one daemon saw during a service's rollout, by route and
 /// version.
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeMeter {
-    /// The order that the counts are of.
+    /// The offset of the rollout order to which the counts belong.
     order: u64,
     counts: HashMap<u32, VersionCounts>,
-    usual: HashMap<u32, UsualTime>,
+    latency: HashMap<u32, RouteLatency>,
 }
 
 impl OutcomeMeter {
-    /// Begins anew with another order; usual times stay.
+    /// Clears the counts if they belong to another order; the latencies stay.
     pub fn for_order(&mut self, order: u64) -> &mut Self {
         if self.order != order {
             self.order = order;
@@ -39,14 +39,14 @@
         self
     }
 
-    /// Notes an answer; `time_ms` is the time to its head or first event, none if it
-    /// failed.
+    /// Records an answer; `time_ms` is the time to its head or first event, or none if the
+    /// request failed.
     pub fn record(&mut self, route: u32, is_target: bool, time_ms: Option<f64>) {
         let is_counted = self.counts.contains_key(&route) || self.counts.len() < MAX_ROUTES;
         let route = if is_counted { route } else { OTHER_ROUTES };
-        let usual = self.usual.entry(route).or_default();
-        let limit_ms = usual.mean_ms * SLOW_FACTOR;
-        let is_known = usual.answers >= KNOWN_AFTER;
+        let latency = self.latency.entry(route).or_default();
+        let limit_ms = latency.mean_ms * SLOW_FACTOR;
+        let is_known = latency.answers >= MIN_LATENCY_SAMPLES;
         let is_bad = time_ms.is_none_or(|ms| is_known && ms > limit_ms);
         let counts = self.counts.entry(route).or_default();
         match is_target {
@@ -54,13 +54,13 @@
             false => {
                 counts.others.record(is_bad);
                 if let Some(ms) = time_ms {
-                    usual.record(ms);
+                    latency.record(ms);
                 }
             }
         }
     }
 
-    /// Returns the counts since the order, by route.
+    /// Returns the counts of an order, by route; none if the counts belong to another order.
     pub fn counts(&self, order: u64) -> Vec<(u32, VersionCounts)> {
         if self.order != order {
             return Vec::new();
@@ -71,10 +71,10 @@
     }
 }
 
-impl UsualTime {
+impl RouteLatency {
     fn record(&mut self, ms: f64) {
         self.answers = self.answers.saturating_add(1);
-        let weight = (1.0 / f64::from(self.answers)).max(WEIGHT);
+        let weight = (1.0 / f64::from(self.answers)).max(LATENCY_WEIGHT);
         self.mean_ms += weight * (ms - self.mean_ms);
     }
 }
--- a/src/rollouts/rollout.rs
+++ b/src/rollouts/rollout.rs
@@ -3,20 +3,20 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How far a roll-out is.
+/// The state of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Encode, Decode)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// The new version is judged beside the old ones.
+    /// The new version gets a share of the requests and is assessed against the old ones.
     InProgress,
-    /// The new version gets all requests; the old ones stop at once.
+    /// The new version gets all requests, and the old ones stop at once.
     Completed,
     /// The new version gets no requests.
     RolledBack,
 }
 
 impl RolloutState {
-    /// Returns the state as a word.
+    /// Returns the name of the state.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::InProgress => "in_progress",
@@ -31,41 +31,41 @@
 pub struct RolloutOrder {
     /// The service.
     pub service: String,
-    /// The version.
+    /// The new version.
     pub target: String,
-    /// Within how long it is to be decided, in seconds.
+    /// The time within which the rollout has to be decided, in seconds.
     pub deadline_s: f64,
-    /// Rises with the order's place in its source, from 1: a later one takes its place.
+    /// The order's position in its source, from 1: a later order replaces an earlier one.
     pub offset: u64,
 }
 
-/// A roll-out as its leader told it last.
+/// A rollout as its leader last announced it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Encode, Decode)]
 pub struct Rollout {
     /// The service.
     pub service: String,
-    /// The version that it moves to.
+    /// The version that the service moves to.
     pub target: String,
-    /// Within how long it is to be decided, in seconds from when it began.
+    /// The time within which the rollout has to be decided, in seconds from its start.
     pub deadline_s: f64,
-    /// Where the order stands in its source.
+    /// The offset of the order in its source.
     pub order: u64,
-    /// The leader's fence: one that leads later has a higher one.
+    /// The leader's fencing token: a later leader has a higher one.
     pub fence: u64,
-    /// Rises with each step of a leader.
+    /// The number of the leader's step; rises with each step.
     pub step: u32,
     /// The share of requests that the new version gets, 0 to 1.
     pub share: f32,
-    /// How far it is.
+    /// The state of the rollout.
     pub state: RolloutState,
-    /// When its first leader took it up, in Unix milliseconds; 0 if none did.
+    /// When its first leader started the rollout, in Unix milliseconds; 0 if none did.
     pub started_ms: u64,
-    /// How long ago the leader said so, in milliseconds.
+    /// The time since the leader announced this, in milliseconds.
     pub age_ms: u32,
 }
 
 impl Rollout {
-    /// Starts a roll-out that no daemon leads yet: the new version gets nothing.
+    /// Makes a rollout that no daemon leads yet: the new version gets no requests.
     pub fn ordered(order: &RolloutOrder) -> Self {
         Self {
             service: order.service.clone(),
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Returns what decides which of two words on a service's roll-out is the newer one.
+    /// Returns the rank that orders announcements of a service's rollout: a newer one has a
+    /// higher rank.
     pub fn rank(&self) -> (u64, u64, u32) {
         (self.order, self.fence, self.step)
     }
--- a/src/rollouts/version_counts.rs
+++ b/src/rollouts/version_counts.rs
@@ -1,11 +1,11 @@
 use bincode::{Decode, Encode};
 
-/// How answers of some upstreams were.
+/// Counts of the answers of a set of upstreams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct AnswerCounts {
-    /// How many there were, failures included.
+    /// Number of answers, including failures.
     pub answers: u32,
-    /// How many of them failed, broke off, or were much slower than usual.
+    /// Number of answers that failed, broke off, or were much slower than usual.
     pub bad: u32,
 }
 
@@ -16,7 +16,7 @@
         self.bad += u32::from(is_bad);
     }
 
-    /// Returns what came since an earlier count.
+    /// Returns the counts since an earlier count.
     pub fn since(self, before: Self) -> Self {
         Self {
             answers: self.answers.saturating_sub(before.answers),
@@ -31,17 +31,17 @@
     }
 }
 
-/// The answers to one route's requests during a roll-out, by version.
+/// The answers to one route's requests during a rollout, by version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct VersionCounts {
-    /// Those of the new version.
+    /// Answers of the new version.
     pub target: AnswerCounts,
-    /// Those of all others.
+    /// Answers of all other versions.
     pub others: AnswerCounts,
 }
 
 impl VersionCounts {
-    /// Returns what came since an earlier count.
+    /// Returns the counts since an earlier count.
     pub fn since(self, before: Self) -> Self {
         Self {
             target: self.target.since(before.target),
