--- a/src/routing/account_terms.rs
+++ b/src/routing/account_terms.rs
@@ -3,27 +3,27 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A client account, its keys and its quota.
+/// A client account with its keys and its quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountTerms {
-    /// The name.
+    /// The name of the client account.
     pub name: ClientAccount,
-    /// The keys that name the client account.
+    /// The API keys that identify the client account.
     pub keys: Vec<String>,
-    /// The rank of its requests; goes before the route's.
+    /// The priority of the account's requests; overrides the route's.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// The quota: units a second over all daemons; 0 for no limit.
+    /// The quota: units per second over all daemons; 0 for no limit.
     #[serde(default)]
     pub rate_per_s: f64,
-    /// What may come on top of the rate at once, in units.
+    /// The burst allowed on top of the rate, in units.
     #[serde(default)]
     pub burst: f64,
-    /// What a request without a token count costs, in units.
+    /// The cost of a request without a token count, in units.
     #[serde(default = "one_unit")]
     pub plain_cost: f64,
-    /// Whether requests cost their tokens; else each costs one unit.
+    /// True if a request costs its number of tokens; otherwise each costs one unit.
     #[serde(default)]
     pub counts_tokens: bool,
 }
@@ -33,7 +33,7 @@
 }
 
 impl AccountTerms {
-    /// Returns what a request costs, given its tokens if it names them.
+    /// Returns the cost of a request in units; `tokens` is its token count, if it names one.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match tokens {
             _ if !self.counts_tokens => 1.0,
--- a/src/routing/client_limits.rs
+++ b/src/routing/client_limits.rs
@@ -1,16 +1,16 @@
 use serde::{Deserialize, Serialize};
 
-/// What a client may send, and how long it may take or stay idle.
+/// Limits on the size of client requests and on the time that clients may take.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClientLimits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a body may take to arrive, in milliseconds.
+    /// The maximum time for a body to arrive, in milliseconds.
     pub body_timeout_ms: u64,
-    /// How long a connection may rest between two requests, in milliseconds.
+    /// The maximum idle time of a connection between two requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! The routing configuration: which request goes to which service, for whom.
+//! The routing configuration: the routes from requests to services, and the client accounts.
 
 mod account_terms;
 mod client_limits;
--- a/src/routing/packed_config.rs
+++ b/src/routing/packed_config.rs
@@ -7,64 +7,63 @@
     std::io::{self, Read, Write},
 };
 
-/// The most that is unpacked, in bytes: what is larger is a fault of the one who sent
-/// it.
-const MAX_UNPACKED: usize = 64 * 1024 * 1024;
+/// Maximum size of unpacked data, in bytes. Larger data is a fault of the sender.
+const MAX_UNPACKED_BYTES: usize = 64 * 1024 * 1024;
 
-/// How something could not be packed or unpacked.
+/// A failure to pack or unpack data for other daemons.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum PackError {
-    /// can't be compressed or decompressed: {0}
+    /// compression or decompression failed: {0}
     Compress(#[from] io::Error),
-    /// can't be encoded: {0}
+    /// encoding failed: {0}
     Encode(#[from] bincode::error::EncodeError),
-    /// not understood: {0}
+    /// decoding failed: {0}
     Decode(#[from] bincode::error::DecodeError),
 }
 
-/// Packs what is told to other daemons: their links are small, and most of a large
-/// configuration or directory is the same again in each item.
+/// Encodes and compresses a value for other daemons. The links between daemons are slow, and
+/// most of a large configuration or directory repeats in each item.
 ///
 /// # Errors
 ///
-/// Returns what can't be encoded.
-pub fn pack(told: &impl Serialize) -> Result<Bytes, PackError> {
-    let plain = bincode::serde::encode_to_vec(told, bincode::config::standard())?;
+/// Returns an error if the value can't be encoded or compressed.
+pub fn pack(value: &impl Serialize) -> Result<Bytes, PackError> {
+    let plain = bincode::serde::encode_to_vec(value, bincode::config::standard())?;
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(&plain)?;
     Ok(encoder.finish()?.into())
 }
 
-/// Unpacks what another daemon told.
+/// Decompresses and decodes a value that another daemon packed.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the bytes.
+/// Returns an error if the bytes can't be decompressed or decoded.
 pub fn unpack<T: DeserializeOwned>(packed: &[u8]) -> Result<T, PackError> {
     let mut plain = Vec::new();
     DeflateDecoder::new(packed)
-        .take(MAX_UNPACKED as u64)
+        .take(MAX_UNPACKED_BYTES as u64)
         .read_to_end(&mut plain)?;
-    // Bytes that claim to be longer than they are would end the process.
-    let bounded = bincode::config::standard().with_limit::<MAX_UNPACKED>();
-    let (told, _) = bincode::serde::decode_from_slice(&plain, bounded)?;
-    Ok(told)
+    // Without the limit, a false length in the bytes makes the process run out of memory.
+    let bounded = bincode::config::standard().with_limit::<MAX_UNPACKED_BYTES>();
+    let (value, _) = bincode::serde::decode_from_slice(&plain, bounded)?;
+    Ok(value)
 }
 
-/// Packs a configuration.
+/// Packs a routing configuration.
 ///
 /// # Errors
 ///
-/// Returns what can't be encoded.
+/// Returns an error if the configuration can't be encoded or compressed.
 pub fn pack_config(config: &RoutingConfig) -> Result<Bytes, PackError> {
     pack(config)
 }
 
-/// Unpacks a configuration.
+/// Unpacks a routing configuration.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the bytes.
+/// Returns an error if the bytes can't be decompressed or decoded.
 pub fn unpack_config(packed: &[u8]) -> Result<RoutingConfig, PackError> {
     unpack(packed)
 }
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -3,16 +3,16 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What may be repeated of a route's requests, and how its answers come.
+/// The kind of a route: how often its requests may run, and the form of its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// Requests may run more than once.
+    /// Requests may run more than once, so that they can be retried.
     Idempotent,
     /// Requests run at most once.
     NonIdempotent,
-    /// Answers are series of events; requests run at most once, unless the
-    /// route's streams can be resumed.
+    /// Answers are streams of events; requests run at most once, unless the route's streams
+    /// can be resumed.
     Streaming,
 }
 
@@ -27,52 +27,52 @@
     }
 }
 
-/// A service with its share of a route's requests.
+/// A service with its weight among the services of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its weight among the route's services.
+    /// The relative share of the route's requests that the service gets.
     pub weight: u32,
 }
 
-/// A rule that sends requests of a host below a path prefix to services.
+/// A rule that routes the requests for a host and a path prefix to services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The name.
+    /// The name of the route.
     pub name: String,
-    /// The host that requests name.
+    /// The host that the requests name.
     pub host: String,
-    /// The prefix of their paths; begins and ends with a slash.
+    /// The prefix of the request paths; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// The kind of the route.
     pub kind: RouteKind,
-    /// The longest that a request may be held, in milliseconds.
+    /// The maximum time for which a request is held, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is wanted, in milliseconds.
+    /// The target latency of an answer, in milliseconds.
     pub target_latency_ms: u64,
-    /// The rank; 0 is the most urgent.
+    /// The priority of the requests; 0 is the most urgent.
     #[serde(default)]
     pub priority: u8,
-    /// Where the requests go.
+    /// The services that get the requests, by weight.
     pub services: Vec<WeightedService>,
-    /// How many upstreams one request may be sent to.
+    /// The maximum number of upstreams to which one request is sent.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// True if requests need no API key.
     #[serde(default)]
     pub public: bool,
-    /// Whether a broken stream may be taken up at another upstream.
+    /// True if a broken stream may be resumed at another upstream.
     #[serde(default)]
     pub resumable: bool,
-    /// The longest wanted pause between events, in milliseconds.
+    /// The target for the longest gap between events, in milliseconds.
     #[serde(default)]
     pub event_gap_ms: Option<u64>,
 }
 
 impl Route {
-    /// Returns whether a request that may have run may be sent again.
+    /// Returns true if a request that may have run may be sent again.
     pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Picks a service by weight; `point` is a number drawn for the request.
+    /// Picks a service by weight; `point` is a random number drawn for the request.
     pub fn pick_service(&self, point: u64) -> Option<&ServiceName> {
         let total: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
         let mut left = point.checked_rem(total)?;
--- a/src/routing/route_table.rs
+++ b/src/routing/route_table.rs
@@ -4,11 +4,11 @@
     std::{collections::HashMap, sync::Arc},
 };
 
-/// A configuration, indexed for look-ups.
+/// A routing configuration, indexed for lookups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     config: Arc<RoutingConfig>,
-    /// By host, the routes with the longest prefix first.
+    /// The routes of each host, longest path prefix first.
     by_host: HashMap<String, Vec<Arc<Route>>>,
     by_key: HashMap<String, Arc<AccountTerms>>,
     services: HashMap<ServiceName, Arc<Service>>,
@@ -48,12 +48,12 @@
         &self.config
     }
 
-    /// Returns the version.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.config.version
     }
 
-    /// Finds the route with the longest prefix that begins the path.
+    /// Finds the route of a host with the longest prefix of the path.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(host) {
@@ -63,17 +63,17 @@
         routes.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
-    /// Finds the client account that holds a key.
+    /// Finds the client account of an API key.
     pub fn find_account(&self, key: &str) -> Option<&Arc<AccountTerms>> {
         self.by_key.get(key)
     }
 
-    /// Finds a service.
+    /// Finds a service by its name.
     pub fn find_service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// Returns whether requests need a key.
+    /// Returns true if requests need an API key, that is, if there are client accounts.
     pub fn needs_keys(&self) -> bool {
         !self.config.accounts.is_empty()
     }
--- a/src/routing/service.rs
+++ b/src/routing/service.rs
@@ -4,33 +4,33 @@
     std::collections::BTreeMap,
 };
 
-/// What a model service's upstreams can hold.
+/// The capacity of each upstream of a model service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineCapacity {
-    /// How many requests an upstream runs at once.
+    /// The number of requests that an upstream runs at once.
     pub slots: u32,
-    /// How many tokens its memory holds.
+    /// The number of tokens that the upstream's memory holds.
     pub memory_tokens: u64,
 }
 
-/// Within which bounds, and at which prices, a service's upstreams are ordered.
+/// The bounds and the prices for ordering a service's upstreams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Autoscaling {
-    /// The least upstreams of a domain.
+    /// The minimum number of upstreams per failure domain.
     #[serde(alias = "min_per_zone")]
     pub min_per_domain: u32,
-    /// The most upstreams of a domain.
+    /// The maximum number of upstreams per failure domain.
     #[serde(alias = "max_per_zone")]
     pub max_per_domain: u32,
-    /// How long a new upstream takes to serve, in seconds.
+    /// The time from the order of an upstream until it serves, in seconds.
     pub boot_s: f64,
-    /// What a reclaimable upstream costs, as a share of an on-demand one;
-    /// none, if none are offered.
+    /// The price of a reclaimable upstream as a share of an on-demand one's; none if no
+    /// reclaimable upstreams are offered.
     #[serde(default)]
     pub reclaimable_price: Option<f64>,
-    /// What a second of an upstream costs, by domain.
+    /// The price of an upstream per second, by failure domain.
     #[serde(default, alias = "zone_prices")]
     pub domain_prices: BTreeMap<FailureDomain, f64>,
 }
@@ -39,14 +39,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The name.
+    /// The name of the service.
     pub name: ServiceName,
-    /// How many connections an upstream takes from all daemons together.
+    /// The maximum number of connections of an upstream, over all daemons.
     pub max_connections: u32,
-    /// Set for model services.
+    /// The capacity of each upstream; set for model services only.
     #[serde(default)]
     pub engine: Option<EngineCapacity>,
-    /// Set if its upstreams are ordered by the system.
+    /// The autoscaling bounds; set if the system orders the service's upstreams.
     #[serde(default)]
     pub autoscaling: Option<Autoscaling>,
 }
