--- a/src/routing/packed_config.rs
+++ b/src/routing/packed_config.rs
@@ -21,8 +21,8 @@
     Decode(#[from] bincode::error::DecodeError),
 }
 
-/// Encodes and compresses a value for other daemons. The links between daemons are slow, and
-/// most of a large configuration or directory repeats in each item.
+/// Encodes and compresses a value for other daemons. The links between daemons have little
+/// bandwidth, and most of a large configuration or directory repeats in each item.
 ///
 /// # Errors
 ///
@@ -44,7 +44,8 @@
     DeflateDecoder::new(packed)
         .take(MAX_UNPACKED_BYTES as u64)
         .read_to_end(&mut plain)?;
-    // Without the limit, a false length in the bytes makes the process run out of memory.
+    // Without the limit, a false length in the bytes leads to an allocation that ends the
+    // process.
     let bounded = bincode::config::standard().with_limit::<MAX_UNPACKED_BYTES>();
     let (value, _) = bincode::serde::decode_from_slice(&plain, bounded)?;
     Ok(value)
--- a/src/routing/service.rs
+++ b/src/routing/service.rs
@@ -24,7 +24,7 @@
     /// The maximum number of upstreams per failure domain.
     #[serde(alias = "max_per_zone")]
     pub max_per_domain: u32,
-    /// The time from the order of an upstream until it serves, in seconds.
+    /// The time until a new upstream serves requests, in seconds.
     pub boot_s: f64,
     /// The price of a reclaimable upstream as a share of an on-demand one's; none if no
     /// reclaimable upstreams are offered.
