--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -1,4 +1,4 @@
-//! What one daemon's directory of upstreams tells another.
+//! The directory of upstreams: records, listings, and updates between daemons.
 
 use {
     bytes::Bytes,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_lapsed_entry_gets_work_until_its_time_is_over_unless_it_was_leaving() {
+fn a_lapsed_entry_gets_requests_until_it_expires_unless_it_was_leaving() {
     let mut directory = UpstreamDirectory::default();
     let mut leaving = upstream(2, 5);
     leaving.draining = true;
@@ -72,11 +72,15 @@
         assert_eq!(state(&own), state(&theirs), "after step {step}");
     }
     assert_ne!(theirs.changes_since(known).all_since, 0);
-    assert_eq!(theirs.changes_since(None).all_since, 0, "the whole");
+    assert_eq!(
+        theirs.changes_since(None).all_since,
+        0,
+        "the full directory"
+    );
 }
 
 #[test]
-fn an_older_whole_listing_takes_nothing_away() {
+fn an_older_full_listing_removes_nothing() {
     let mut own = UpstreamDirectory::default();
     own.replace(vec![upstream(0, 5), upstream(1, 6)], 7, None);
     let mut theirs = UpstreamDirectory::default();
@@ -84,30 +88,39 @@
     leaving.draining = true;
     theirs.replace(vec![leaving], 6, None);
     own.apply(theirs.changes_since(None));
-    assert!(own.is_ready(&upstream(1, 0).id), "not yet known there");
+    assert!(
+        own.is_ready(&upstream(1, 0).id),
+        "not yet known to the other daemon"
+    );
     assert!(!own.is_ready(&upstream(0, 0).id), "leaving is final");
 }
 
 #[test]
-fn older_entries_bring_nothing_back_that_is_gone_elsewhere() {
+fn older_entries_do_not_bring_back_an_upstream_that_another_daemon_removed() {
     let mut theirs = UpstreamDirectory::default();
     theirs.replace(vec![upstream(0, 5), upstream(1, 6)], 7, None);
     let mut own = UpstreamDirectory::default();
     own.apply(theirs.changes_since(None));
     let known = theirs.changes_since(None).cursor;
-    // An entry that says nothing new is no change that is told.
+    // An entry without new content is no change that is sent.
     theirs.upsert(upstream(0, 9));
     theirs.remove(upstream(0, 0).id.as_str(), 10);
     theirs.read_to(11);
     own.apply(theirs.changes_since(Some(known)));
     own.upsert(upstream(0, 9));
-    assert!(!own.is_ready(&upstream(0, 0).id), "an old entry");
+    assert!(
+        !own.is_ready(&upstream(0, 0).id),
+        "an entry older than the removal"
+    );
     own.upsert(upstream(0, 11));
-    assert!(own.is_ready(&upstream(0, 0).id), "it lives");
+    assert!(
+        own.is_ready(&upstream(0, 0).id),
+        "an entry newer than the removal"
+    );
 }
 
 #[test]
-fn one_that_was_leaving_never_comes_back() {
+fn an_incarnation_that_was_leaving_never_comes_back() {
     let mut directory = UpstreamDirectory::default();
     let mut leaving = upstream(0, 5);
     leaving.draining = true;
@@ -118,27 +131,36 @@
 }
 
 #[test]
-fn a_whole_listing_drops_what_it_lacks_and_should_have() {
+fn a_full_listing_removes_missing_upstreams_but_not_newer_ones() {
     let mut own = UpstreamDirectory::default();
     let listing = vec![upstream(0, 5), upstream(1, 6), upstream(2, 8)];
     own.replace(listing, 9, None);
     let mut theirs = UpstreamDirectory::default();
     theirs.replace(vec![upstream(0, 5)], 8, None);
     own.apply(theirs.changes_since(None));
-    assert!(own.get(&upstream(1, 0).id).is_none(), "it was gone there");
-    assert!(own.is_ready(&upstream(2, 0).id), "it is new");
+    assert!(
+        own.get(&upstream(1, 0).id).is_none(),
+        "the other daemon had removed it"
+    );
+    assert!(
+        own.is_ready(&upstream(2, 0).id),
+        "it is newer than the listing"
+    );
     let known = theirs.changes_since(None).cursor;
     theirs.upsert(upstream(2, 8));
     theirs.read_to(9);
     own.apply(theirs.changes_since(Some(known)));
-    assert!(own.is_ready(&upstream(2, 0).id), "and stays");
+    assert!(
+        own.is_ready(&upstream(2, 0).id),
+        "the other daemon has it too"
+    );
 }
 
-/// Users saw requests sent 4 s after an upstream's entry had gone. A follower was
-/// told that the entry went before it had heard of the entry at all, and remembered
-/// nothing; a daemon that the source had turned away then told it of the entry.
+/// Guards against requests that are sent to an upstream seconds after its entry is removed
+/// (4 s in one case). A follower receives the removal before the entry and doesn't remember
+/// it; a daemon that the source had refused to serve then sends it the old entry.
 #[test]
-fn a_removal_that_was_heard_before_its_entry_holds() {
+fn a_removal_received_before_its_entry_is_not_undone() {
     let mut reader = UpstreamDirectory::default();
     reader.replace(vec![upstream(0, 1)], 2, None);
     let mut own = UpstreamDirectory::default();
@@ -155,24 +177,26 @@
     assert!(!own.is_ready(&upstream(1, 0).id));
 }
 
-/// A daemon that alone was cut off from the source takes what is missing at its return
-/// for lapsed; one that was not knows better.
+/// A daemon that was cut off from the source counts entries that are missing afterwards as
+/// lapsed. If only that daemon was cut off, the directory of another one shows that they
+/// were removed.
 #[test]
-fn what_lapsed_here_is_gone_if_another_says_so() {
+fn a_lapsed_entry_is_removed_if_another_daemon_lacks_it() {
     let mut own = UpstreamDirectory::default();
     own.replace(vec![upstream(0, 1), upstream(1, 2)], 3, None);
     own.replace(vec![upstream(0, 1)], 6, Some(2_000));
-    assert!(own.is_ready(&upstream(1, 0).id), "it may have lapsed");
+    assert!(own.is_ready(&upstream(1, 0).id), "it may have lapsed only");
     let mut other = UpstreamDirectory::default();
     other.replace(vec![upstream(0, 1)], 6, None);
     own.apply(other.changes_since(None));
     assert!(!own.is_ready(&upstream(1, 0).id));
 }
 
-/// While many upstreams were replaced at once, what had gone was forgotten as a whole: all
-/// followers were told the whole directory anew, and a life that had left could come back.
+/// Guards against a memory of removals that is cleared while many upstreams are replaced at
+/// once: then all followers are sent the full directory again, and an incarnation that had
+/// left can come back.
 #[test]
-fn what_went_is_remembered_while_a_whole_fleet_is_replaced() {
+fn removals_are_remembered_while_all_upstreams_are_replaced() {
     for fleet in [1_000, 10_000_u32] {
         let listing = (0..fleet).map(|n| upstream(n, u64::from(n) + 1));
         let mut theirs = UpstreamDirectory::default();
@@ -193,22 +217,25 @@
                 let changes = theirs.changes_since(Some(known));
                 assert_ne!(
                     changes.all_since, 0,
-                    "told one by one, after {n} of {fleet}"
+                    "sent one by one, after {n} of {fleet}"
                 );
                 known = changes.cursor;
                 own.apply(changes);
             }
         }
-        assert!(!theirs.upsert(upstream(fleet - 1, position)), "it had left");
+        assert!(
+            !theirs.upsert(upstream(fleet - 1, position)),
+            "it was leaving when it was removed"
+        );
         assert_eq!(own.all().count(), fleet as usize);
         assert!(own.all().all(|u| own.is_ready(&u.id)));
     }
 }
 
-/// Only those that went first are forgotten, and with them what a daemon that heard nothing
-/// since could be told one by one.
+/// Only the oldest removals are forgotten. A follower whose last update is older than these
+/// is sent the full directory, as its changes can no longer be listed one by one.
 #[test]
-fn what_went_first_is_forgotten_first() {
+fn the_oldest_removals_are_forgotten_first() {
     let mut theirs = UpstreamDirectory::default();
     theirs.replace(vec![upstream(0, 1)], 2, None);
     let early = theirs.changes_since(None).cursor;
@@ -222,51 +249,55 @@
             late = theirs.changes_since(None).cursor;
         }
     }
-    assert_eq!(theirs.changes_since(Some(early)).all_since, 0, "the whole");
+    assert_eq!(
+        theirs.changes_since(Some(early)).all_since,
+        0,
+        "the full directory"
+    );
     let changes = theirs.changes_since(Some(late));
     assert_ne!(changes.all_since, 0);
     assert_eq!(changes.removed_ids.len(), 999);
 }
 
-/// Followers were told each word of each upstream, also those that only say that it lives:
-/// with 10,000 upstreams before 196 followers 31 MB a second out of one reader.
+/// Guards against updates that carry each heartbeat of each upstream: with 10,000 upstreams
+/// and 196 followers, one reader sent 31 MB per second.
 #[test]
-fn that_upstreams_live_is_not_told_to_those_that_follow() {
+fn heartbeats_of_upstreams_are_not_sent_to_followers() {
     for fleet in [300, 3_000, 10_000_u32] {
         let mut theirs = UpstreamDirectory::default();
         let listing = (0..fleet).map(|n| upstream(n, u64::from(n) + 1)).collect();
         let mut position = u64::from(fleet) + 1;
         theirs.replace(listing, position, None);
         let mut own = UpstreamDirectory::default();
-        let whole = theirs.update_since(None);
-        assert!(whole.is_complete);
-        let mut known = whole.cursor;
-        own.apply_update(whole);
+        let full = theirs.update_since(None);
+        assert!(full.is_complete);
+        let mut known = full.cursor;
+        own.apply_update(full);
         for n in 0..fleet {
             theirs.upsert(upstream(n, position));
             position += 1;
             theirs.read_to(position);
         }
-        let news = theirs.update_since(Some(known));
+        let update = theirs.update_since(Some(known));
         assert_eq!(
-            (news.upstreams.len(), news.removed_ids.len()),
+            (update.upstreams.len(), update.removed_ids.len()),
             (0, 0),
             "of {fleet}"
         );
-        known = news.cursor;
-        own.apply_update(news);
+        known = update.cursor;
+        own.apply_update(update);
         let mut leaving = upstream(3, position);
         leaving.draining = true;
         theirs.upsert(leaving);
         theirs.remove(upstream(4, 0).id.as_str(), position + 1);
         theirs.read_to(position + 2);
-        let news = theirs.update_since(Some(known));
+        let update = theirs.update_since(Some(known));
         assert_eq!(
-            (news.upstreams.len(), news.removed_ids.len()),
+            (update.upstreams.len(), update.removed_ids.len()),
             (1, 1),
             "of {fleet}"
         );
-        own.apply_update(news);
+        own.apply_update(update);
         assert!(!own.is_ready(&upstream(3, 0).id));
         assert!(own.get(&upstream(4, 0).id).is_none());
         assert_eq!(own.known(), fleet as usize - 1);
@@ -274,32 +305,37 @@
     }
 }
 
-/// One that was cut off and comes back under the same name between two listings may have
-/// been taken for gone by those that read on.
+/// An upstream that was cut off and comes back under the same name between two listings may
+/// have been removed meanwhile by the daemons that kept reading the source.
 #[test]
-fn what_a_listing_passed_over_is_told_as_a_change() {
+fn an_upstream_that_came_back_between_listings_is_sent_as_a_change() {
     let mut theirs = UpstreamDirectory::default();
     theirs.replace(vec![upstream(0, 1)], 2, None);
     let mut own = UpstreamDirectory::default();
-    let whole = theirs.update_since(None);
-    let known = whole.cursor;
-    own.apply_update(whole);
+    let full = theirs.update_since(None);
+    let known = full.cursor;
+    own.apply_update(full);
     own.remove(upstream(0, 0).id.as_str(), 5);
     own.read_to(6);
     theirs.replace(vec![upstream(0, 6)], 8, None);
     own.apply_update(theirs.update_since(Some(known)));
-    assert!(own.is_ready(&upstream(0, 0).id), "it is back");
+    assert!(own.is_ready(&upstream(0, 0).id), "it is present again");
 }
 
-/// A whole directory is told packed.
+/// A full directory is sent in packed form.
 #[test]
-fn news_are_the_same_after_their_way() {
+fn a_packed_update_is_unchanged_after_encoding_and_decoding() {
     let mut theirs = UpstreamDirectory::default();
     let listing = (0..2_000).map(|n| upstream(n, u64::from(n) + 1)).collect();
     theirs.replace(listing, 2_001, None);
-    let news = theirs.update_since(None);
-    let packed = pack_upstreams(&news.upstreams, &news.removed_ids).unwrap();
-    assert!(packed.len() < 40 * news.upstreams.len(), "{}", packed.len());
+    let directory_update = theirs.update_since(None);
+    let packed =
+        pack_upstreams(&directory_update.upstreams, &directory_update.removed_ids).unwrap();
+    assert!(
+        packed.len() < 40 * directory_update.upstreams.len(),
+        "{}",
+        packed.len()
+    );
     let by_offsets = encode(&theirs.changes_since(None)).unwrap();
     assert!(packed.len() * 2 < by_offsets.len(), "{}", by_offsets.len());
     let update = FeedUpdate {
@@ -309,19 +345,20 @@
         config: None,
         config_position: Some(12),
         rollouts: Vec::new(),
-        cursor: news.cursor,
-        is_complete: news.is_complete,
+        cursor: directory_update.cursor,
+        is_complete: directory_update.is_complete,
         packed,
     };
-    let heard: FeedUpdate = decode(&encode(&update).unwrap()).unwrap();
-    assert_eq!(heard, update);
-    assert_eq!(heard.directory().unwrap(), news);
+    let received: FeedUpdate = decode(&encode(&update).unwrap()).unwrap();
+    assert_eq!(received, update);
+    assert_eq!(received.directory().unwrap(), directory_update);
 }
 
-/// Readers that follow each other in a ring told each other, and all that follow them, the
-/// same upstreams for as long as these lived: each had read a later word than the next.
+/// Guards against endless updates among readers that follow each other in a ring: if a later
+/// heartbeat counts as a change, each reader has a later one than the next, and they send
+/// each other and all their followers the same upstreams again and again.
 #[test]
-fn news_go_round_among_readers_once() {
+fn readers_in_a_ring_do_not_send_the_same_update_again() {
     const READERS_OF_ALL: usize = 5;
     let fleet = 500_u32;
     let mut readers: Vec<_> = (0..READERS_OF_ALL)
@@ -329,7 +366,7 @@
         .collect();
     let mut position = 1;
     for reader in &mut readers {
-        // They begin one after the other, and each finds later words.
+        // The readers start one after the other, and each finds later records.
         let listing = (0..fleet).map(|n| upstream(n, position + u64::from(n)));
         reader.replace(listing.collect(), position + u64::from(fleet), None);
         position += u64::from(fleet);
@@ -337,7 +374,7 @@
     let mut known = [None; READERS_OF_ALL];
     let mut told = Vec::new();
     for _ in 0..20 {
-        // Each upstream says that it lives, which half of them hear before the others.
+        // Each upstream sends a heartbeat, which some of the readers get before the others.
         let mut late = Vec::new();
         for n in 0..fleet {
             late.push(upstream(n, position));
@@ -352,10 +389,10 @@
                 readers[own].read_to(position);
             }
             let other = (own + 1) % READERS_OF_ALL;
-            let news = readers[other].update_since(known[own]);
-            known[own] = Some(news.cursor);
-            count += news.upstreams.len();
-            readers[own].apply_update(news);
+            let update = readers[other].update_since(known[own]);
+            known[own] = Some(update.cursor);
+            count += update.upstreams.len();
+            readers[own].apply_update(update);
         }
         for reader in &mut readers {
             late.iter().for_each(|u| {
@@ -368,46 +405,52 @@
     assert!(told[3..].iter().all(|count| *count == 0), "{told:?}");
 }
 
-/// A wave of leaving upstreams was gathered and packed anew for each of 196 followers, at
-/// 10,000 upstreams for a second of a whole core; requests waited behind it.
+/// Guards against updates that are collected and packed separately for each follower. When
+/// many of 10,000 upstreams left at once, with 196 followers, that took a full core for a
+/// second, and requests had to wait.
 #[test]
-fn news_are_packed_once_for_all_that_know_the_same() {
+fn an_update_is_packed_once_for_all_followers_with_the_same_revision() {
     const FOLLOWERS: u64 = 196;
-    let mut kept = PackedUpdates::default();
+    let mut packed_updates = PackedUpdates::default();
     let mut packed_times = 0;
     let mut told = |revision: u64, since: Option<u64>| {
         let fresh = || {
             packed_times += 1;
             Bytes::from(format!("{since:?} to {revision}"))
         };
-        let bytes = kept.get(revision, since).unwrap_or_else(fresh);
-        kept.keep(revision, since, bytes.clone());
+        let bytes = packed_updates.get(revision, since).unwrap_or_else(fresh);
+        packed_updates.keep(revision, since, bytes.clone());
         assert_eq!(bytes, format!("{since:?} to {revision}"));
     };
     for revision in 10..20 {
         for follower in 0..FOLLOWERS {
-            // Some are a revision behind, and one asks for the whole.
+            // Some followers are a revision behind, and one queries the full directory.
             let since = (follower > 0).then_some(revision - 1 - follower % 2);
             told(revision, since);
         }
         told(revision - 1, Some(3));
     }
-    assert_eq!(packed_times, 10 * 3 + 10, "older ones are not kept");
+    assert_eq!(
+        packed_times,
+        10 * 3 + 10,
+        "updates to older revisions are not kept"
+    );
 }
 
-/// Its entry says that it is ready, and is written anew with each heartbeat.
+/// The entry of an upstream that is leaving may still say that it is ready, and is written
+/// again with each heartbeat.
 #[test]
-fn the_word_of_an_upstream_that_leaves_is_taken_back_by_its_entry() {
+fn an_entry_does_not_undo_that_an_upstream_is_leaving() {
     let id = upstream(1, 0).id;
     let mut own = UpstreamDirectory::default();
     own.replace(vec![upstream(1, 3), upstream(2, 4)], 6, None);
     assert!(own.mark_leaving(&id));
-    assert!(!own.mark_leaving(&id), "it is known");
+    assert!(!own.mark_leaving(&id), "known already");
     own.upsert(upstream(1, 7));
     own.replace(vec![upstream(1, 9), upstream(2, 8)], 12, None);
     assert!(!own.is_ready(&id));
     assert!(own.is_ready(&upstream(2, 0).id));
-    // Those that follow it learn it, whatever they heard of the entry.
+    // Its followers receive the change, even if they have newer records of the entry.
     let mut follower = UpstreamDirectory::default();
     follower.replace(vec![upstream(1, 20), upstream(2, 21)], 22, None);
     follower.apply_update(own.update_since(None));
@@ -415,24 +458,27 @@
 }
 
 #[test]
-fn one_that_said_that_it_leaves_while_its_entry_was_away_comes_back_with_it() {
+fn an_upstream_that_announced_leaving_after_its_removal_gets_no_requests() {
     let id = upstream(1, 0).id;
     let mut directory = UpstreamDirectory::default();
     directory.replace(vec![upstream(1, 3)], 6, None);
     directory.remove(id.as_str(), 8);
-    assert!(!directory.mark_leaving(&id), "it is gone");
+    assert!(!directory.mark_leaving(&id), "the entry is removed");
     directory.upsert(upstream(1, 9));
     assert!(!directory.is_ready(&id));
 }
 
 #[test]
-fn a_file_that_lists_one_again_that_left_is_passed_over() {
+fn reading_a_file_again_does_not_undo_that_an_upstream_is_leaving() {
     let id = upstream(1, 0).id;
     let mut directory = UpstreamDirectory::default();
     directory.replace_own(vec![upstream(1, 0)]);
     assert!(directory.mark_leaving(&id));
     directory.replace_own(vec![upstream(1, 0)]);
-    assert!(!directory.is_ready(&id), "the file is only read again");
+    assert!(
+        !directory.is_ready(&id),
+        "a file that is read again shows no new incarnation"
+    );
     directory.replace_own(Vec::new());
     directory.replace_own(vec![upstream(1, 0)]);
     assert!(directory.is_ready(&id));
@@ -444,7 +490,7 @@
 }
 
 #[test]
-fn an_upstream_of_a_file_that_ended_is_left_out_for_good() {
+fn an_upstream_of_a_file_is_ready_again_after_its_exit() {
     let id = upstream(1, 0).id;
     let mut directory = UpstreamDirectory::default();
     directory.replace_own(vec![upstream(1, 0)]);
@@ -453,7 +499,7 @@
     directory.mark_ended(&id);
     assert!(directory.is_ready(&id));
     assert!(!directory.is_leaving_until_exit(&id));
-    // Where lives are told apart, the end of one is no new one.
+    // In a shared source, where ids name incarnations, an exit does not undo the leaving.
     let mut shared = UpstreamDirectory::default();
     shared.replace(vec![upstream(1, 3)], 6, None);
     shared.mark_leaving(&id);
--- a/tests/decisions/directory_exploration.rs
+++ b/tests/decisions/directory_exploration.rs
@@ -1,7 +1,7 @@
-//! Three daemons learn of upstreams from one source and from each other, in any order:
-//! whole listings and news that are old when they arrive, parts of the log, removals
-//! that are heard before their entries. Whatever the order, each knows just what the
-//! source says up to where it has read or been told.
+//! Random schedules of three daemons that learn of upstreams from one source and from each
+//! other: full listings and updates that are outdated when they arrive, parts of the log,
+//! and removals that arrive before their entries. In any order, each daemon knows exactly
+//! the state of the source as of the position up to which it has read or received updates.
 
 use {
     rand::{Rng, SeedableRng},
@@ -20,29 +20,29 @@
 const DAEMONS: usize = 3;
 const UPSTREAMS: usize = 4;
 
-/// What a record of the source says of an upstream.
+/// The state of an upstream in a record of the source.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Said {
+enum Record {
     Ready(u64),
     Draining(u64),
-    /// Its entry is dropped, or what stands there is none.
+    /// The entry is removed or is not valid.
     Nothing,
 }
 
 #[derive(Debug, Default)]
 struct Source {
-    log: Vec<(usize, Said)>,
+    log: Vec<(usize, Record)>,
 }
 
 fn key(upstream: usize) -> String {
     format!("b{upstream}")
 }
 
-fn upstream(of: usize, said: Said, offset: usize) -> Option<Upstream> {
-    let (started_ms, draining) = match said {
-        Said::Ready(incarnation) => (incarnation, false),
-        Said::Draining(incarnation) => (incarnation, true),
-        Said::Nothing => return None,
+fn upstream(of: usize, record: Record, offset: usize) -> Option<Upstream> {
+    let (started_ms, draining) = match record {
+        Record::Ready(incarnation) => (incarnation, false),
+        Record::Draining(incarnation) => (incarnation, true),
+        Record::Nothing => return None,
     };
     Some(Upstream {
         id: UpstreamId::of_incarnation(&key(of), started_ms),
@@ -58,37 +58,38 @@
 }
 
 impl Source {
-    fn newest(&self, end: usize) -> BTreeMap<usize, (usize, Said)> {
+    fn newest(&self, end: usize) -> BTreeMap<usize, (usize, Record)> {
         let records = self.log[..end].iter().enumerate();
         records
-            .map(|(offset, (of, said))| (*of, (offset, *said)))
+            .map(|(offset, (of, record))| (*of, (offset, *record)))
             .collect()
     }
 
     fn listing(&self) -> (Vec<Upstream>, usize) {
         let newest = self.newest(self.log.len());
         let listed = newest.into_iter();
-        let listed = listed.filter_map(|(of, (offset, said))| upstream(of, said, offset));
+        let listed = listed.filter_map(|(of, (offset, record))| upstream(of, record, offset));
         (listed.collect(), self.log.len())
     }
 
-    /// Appends what an upstream may say next: a life that drains is never ready again.
+    /// Appends a possible next record of an upstream: an incarnation that drains is never
+    /// ready again.
     fn append(&mut self, rng: &mut ChaCha8Rng) {
         let of = rng.random_range(0..UPSTREAMS);
         let mine = self.log.iter().filter(|(other, _)| *other == of);
-        let said: Vec<Said> = mine.map(|(_, said)| *said).collect();
-        let incarnation = |said: &Said| match said {
-            Said::Ready(incarnation) | Said::Draining(incarnation) => Some(*incarnation),
-            Said::Nothing => None,
+        let records: Vec<Record> = mine.map(|(_, record)| *record).collect();
+        let incarnation = |record: &Record| match record {
+            Record::Ready(incarnation) | Record::Draining(incarnation) => Some(*incarnation),
+            Record::Nothing => None,
         };
-        let newest = said.iter().filter_map(incarnation).max().unwrap_or(0);
-        let has_drained = said.contains(&Said::Draining(newest));
+        let newest = records.iter().filter_map(incarnation).max().unwrap_or(0);
+        let has_drained = records.contains(&Record::Draining(newest));
         let next = match rng.random_range(0..5) {
-            0 => Said::Nothing,
-            1 => Said::Ready(newest + 1),
-            2 if newest > 0 => Said::Draining(newest),
-            _ if newest > 0 && !has_drained => Said::Ready(newest),
-            _ => Said::Ready(newest + 1),
+            0 => Record::Nothing,
+            1 => Record::Ready(newest + 1),
+            2 if newest > 0 => Record::Draining(newest),
+            _ if newest > 0 && !has_drained => Record::Ready(newest),
+            _ => Record::Ready(newest + 1),
         };
         self.log.push((of, next));
     }
@@ -97,23 +98,23 @@
 #[derive(Debug, Default)]
 struct Daemon {
     directory: UpstreamDirectory,
-    /// Where it reads on in the log.
+    /// The next offset of the log that it reads.
     cursor: Option<usize>,
-    /// A listing that is on its way to it.
+    /// A listing in transit to it.
     listing: Option<(Vec<Upstream>, usize)>,
-    /// Another daemon's news that are on their way to it.
-    news: Option<(usize, HeartbeatPayload)>,
-    /// Whose news it took in last, and what these told.
+    /// An update in transit to it, with the daemon that sent it.
+    update: Option<(usize, Update)>,
+    /// The daemon whose update it applied last, and the cursor of that update.
     known: Option<(usize, DirectoryCursor)>,
-    /// Whether it is of a build that goes by offsets.
-    is_landed: bool,
+    /// True if its build goes by offsets.
+    goes_by_offsets: bool,
 }
 
 #[derive(Debug)]
-enum HeartbeatPayload {
-    /// As builds that go by offsets are told, and tell.
-    Landed(DirectoryChanges),
-    New(DirectoryUpdate),
+enum Update {
+    /// The form that builds that go by offsets send and receive.
+    ByOffsets(DirectoryChanges),
+    ByRevisions(DirectoryUpdate),
 }
 
 struct World {
@@ -128,9 +129,9 @@
             0 | 1 => self.source.append(rng),
             2 => self.daemons[own].listing = Some(self.source.listing()),
             3 => self.apply_listing(own),
-            4 | 5 => self.read_on(own, rng),
-            6 => self.ask(own, rng.random_range(0..DAEMONS)),
-            _ => self.apply_batch(own),
+            4 | 5 => self.read_log(own, rng),
+            6 => self.query(own, rng.random_range(0..DAEMONS)),
+            _ => self.apply_pending_update(own),
         }
     }
 
@@ -142,14 +143,14 @@
         }
     }
 
-    fn read_on(&mut self, own: usize, rng: &mut ChaCha8Rng) {
+    fn read_log(&mut self, own: usize, rng: &mut ChaCha8Rng) {
         let daemon = &mut self.daemons[own];
         let Some(from) = daemon.cursor else {
             return;
         };
         let end = rng.random_range(from..=self.source.log.len());
-        for (offset, (of, said)) in self.source.log[..end].iter().enumerate().skip(from) {
-            match upstream(*of, *said, offset) {
+        for (offset, (of, record)) in self.source.log[..end].iter().enumerate().skip(from) {
+            match upstream(*of, *record, offset) {
                 Some(upstream) => {
                     daemon.directory.upsert(upstream);
                 }
@@ -160,31 +161,32 @@
         daemon.cursor = Some(end);
     }
 
-    fn ask(&mut self, own: usize, other: usize) {
+    fn query(&mut self, own: usize, other: usize) {
         if own == other {
             return;
         }
         let known = self.daemons[own].known.filter(|(from, _)| *from == other);
-        let known = known.map(|(_, told)| told);
+        let known = known.map(|(_, cursor)| cursor);
         let theirs = &self.daemons[other].directory;
-        let news = match self.daemons[own].is_landed || self.daemons[other].is_landed {
-            true => HeartbeatPayload::Landed(theirs.changes_since(known)),
-            false => HeartbeatPayload::New(theirs.update_since(known)),
+        let update = match self.daemons[own].goes_by_offsets || self.daemons[other].goes_by_offsets
+        {
+            true => Update::ByOffsets(theirs.changes_since(known)),
+            false => Update::ByRevisions(theirs.update_since(known)),
         };
-        self.daemons[own].news = Some((other, news));
+        self.daemons[own].update = Some((other, update));
     }
 
-    fn apply_batch(&mut self, own: usize) {
+    fn apply_pending_update(&mut self, own: usize) {
         let daemon = &mut self.daemons[own];
-        match daemon.news.take() {
+        match daemon.update.take() {
             None => {}
-            Some((from, HeartbeatPayload::Landed(changes))) => {
+            Some((from, Update::ByOffsets(changes))) => {
                 daemon.known = Some((from, changes.cursor));
                 daemon.directory.apply(changes);
             }
-            Some((from, HeartbeatPayload::New(news))) => {
-                daemon.known = Some((from, news.cursor));
-                daemon.directory.apply_update(news);
+            Some((from, Update::ByRevisions(update))) => {
+                daemon.known = Some((from, update.cursor));
+                daemon.directory.apply_update(update);
             }
         }
     }
@@ -199,7 +201,7 @@
                     continue;
                 }
                 let expected = match newest.get(&of) {
-                    Some((_, Said::Ready(incarnation))) => {
+                    Some((_, Record::Ready(incarnation))) => {
                         Some(UpstreamId::of_incarnation(&key(of), *incarnation))
                     }
                     _ => None,
@@ -217,29 +219,31 @@
     }
 }
 
-fn explore(landed: usize) {
+fn explore(by_offsets: usize) {
     for seed in 0..SCHEDULES {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World {
             source: Source::default(),
             daemons: Default::default(),
         };
-        for daemon in world.daemons.iter_mut().take(landed) {
-            daemon.is_landed = true;
+        for daemon in world.daemons.iter_mut().take(by_offsets) {
+            daemon.goes_by_offsets = true;
         }
         for step in 0..STEPS {
             world.step(&mut rng);
-            world.check(&format!("{landed} landed, seed {seed}, step {step}"));
+            world.check(&format!(
+                "{by_offsets} by offsets, seed {seed}, step {step}"
+            ));
         }
     }
 }
 
 #[test]
-fn in_any_order_each_daemon_knows_what_the_source_said() {
+fn in_any_order_each_daemon_agrees_with_the_source() {
     explore(0);
 }
 
 #[test]
-fn beside_daemons_that_go_by_offsets_the_same_holds() {
+fn daemons_that_go_by_offsets_agree_with_the_source_too() {
     (1..=DAEMONS).for_each(explore);
 }
--- a/tests/decisions/gateway_files.rs
+++ b/tests/decisions/gateway_files.rs
@@ -1,4 +1,4 @@
-//! Settings and route files: what is wrong with them is told with its place.
+//! Settings and route files: errors are reported with their line.
 
 use saddlepulley::{
     conf::{DEFAULT_GATEWAY_SETTINGS, GatewaySettings},
@@ -21,14 +21,14 @@
 "#;
 
 #[test]
-fn the_least_settings_are_enough() {
+fn minimal_settings_are_accepted() {
     let settings = GatewaySettings::parse("f", SETTINGS).unwrap();
     assert!(!settings.duties.usage);
     assert_eq!(settings.bounds.retry_ratio, 0.2);
 }
 
 #[test]
-fn an_unknown_field_is_told_with_its_line() {
+fn an_unknown_field_is_reported_with_its_line() {
     let text = SETTINGS.replace("zone = ", "zona = ");
     let error = GatewaySettings::parse("f", &text).unwrap_err().to_string();
     assert!(error.starts_with("f:4: "), "{error}");
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn a_wrong_address_is_told_with_its_line() {
+fn an_invalid_address_is_reported_with_its_line() {
     let text = SETTINGS.replace("127.0.0.1:2", "here");
     let error = GatewaySettings::parse("f", &text).unwrap_err().to_string();
     assert!(error.starts_with("f:8: "), "{error}");
 }
 
 #[test]
-fn a_weight_out_of_its_range_is_told_with_its_line_and_what_was_expected() {
+fn a_value_out_of_range_is_reported_with_its_line_and_the_expected_range() {
     let wrong = [
         ("[fleet]\nplanned_use = 0.0\n", "above 0 and at most 1"),
         ("[fleet]\nplanned_use = 1.5\n", "above 0 and at most 1"),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_wrong_route_is_told_with_its_line() {
+fn an_invalid_route_is_reported_with_its_line() {
     let text = "[config]\nversion = 1\nservices = []\n[[config.routes]]\nname = \"r\"\nkind = \"sometimes\"\n";
     let error = RoutesFile::parse(text).unwrap_err().to_string();
     assert!(error.starts_with("line 6"), "{error}");
--- a/tests/decisions/rollouts.rs
+++ b/tests/decisions/rollouts.rs
@@ -1,5 +1,5 @@
-//! Roll-outs: how a new version is judged, which share of requests it gets, and how a
-//! roll-out ends, for versions that are good or bad in twelve ways.
+//! Rollouts: the assessment of a new version, the share of requests that it gets, and the
+//! outcome of a rollout, for versions that are good or bad in twelve ways.
 
 use {
     rand::{Rng, SeedableRng},
@@ -9,10 +9,10 @@
 
 const TICK_MS: u64 = 300;
 const DEADLINE_MS: u64 = 30_000;
-/// Until the new version's upstreams are there.
+/// Time until the new version's upstreams are ready.
 const BOOT_MS: u64 = 3_000;
-/// Until all daemons follow a step.
-const HEARD_MS: u64 = 600;
+/// Time until all daemons follow a step.
+const PROPAGATION_MS: u64 = 600;
 const CANARY_SHARE: f32 = 0.1;
 const ROUTES: u32 = 4;
 
@@ -20,13 +20,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Behaviour {
     name: &'static str,
-    /// The part of its answers that are bad.
+    /// The fraction of its answers that are bad.
     bad: f64,
-    /// From which part of the time until the deadline on.
+    /// The fraction of the time until the deadline from which it is bad.
     from: f64,
-    /// From which share of the requests on.
+    /// The share of the requests from which it is bad.
     from_share: f32,
-    /// On how many of the four routes.
+    /// The number of routes, of four, on which it is bad.
     routes: u32,
     is_good: bool,
 }
@@ -86,20 +86,22 @@
     },
 ];
 
-/// How a roll-out went.
+/// The outcome of a simulated rollout.
 #[derive(Debug)]
 struct Outcome {
     state: RolloutState,
     at_ms: u64,
-    /// Requests to the new version, and all, until the deadline.
+    /// Number of requests to the new version until the deadline.
     target: u64,
+    /// Number of all requests until the deadline.
     all: u64,
+    /// Number of bad answers of the new version until the deadline.
     bad: u64,
 }
 
-/// Plays a roll-out under a load of so many requests a second; trouble makes bad some of
-/// the answers of both versions for a while.
-fn play(of: Behaviour, per_s: u64, trouble: f64, seed: u64) -> Outcome {
+/// Simulates a rollout under a load of `per_s` requests per second. For 4 s, `trouble` is
+/// added to the rate of bad answers of both versions.
+fn simulate(of: Behaviour, per_s: u64, trouble: f64, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut steps = RolloutSteps::new(CANARY_SHARE, 0.0);
     let mut evaluator = VersionEvaluator::default();
@@ -115,8 +117,11 @@
     let mut now_ms = 0;
     while now_ms < DEADLINE_MS {
         now_ms += TICK_MS;
-        let heard = shares.iter().rev().find(|(at, _)| at + HEARD_MS <= now_ms);
-        let share = heard.map_or(0.0, |(_, share)| *share);
+        let in_force = shares
+            .iter()
+            .rev()
+            .find(|(at, _)| at + PROPAGATION_MS <= now_ms);
+        let share = in_force.map_or(0.0, |(_, share)| *share);
         let has_trouble = (10_000..14_000).contains(&now_ms);
         let usual = if has_trouble { 0.02 + trouble } else { 0.02 };
         let mut batch = vec![VersionCounts::default(); ROUTES as usize];
@@ -169,25 +174,25 @@
     println!("behaviour | req/s | wrong of 40 | decided ms, most | to it, most % | bad, most");
     for behaviour in BEHAVIOURS {
         for per_s in [80, 400] {
-            let played = (0..40).map(|seed| play(behaviour, per_s, 0.0, seed));
-            let played: Vec<Outcome> = played.collect();
-            let wanted = match behaviour.is_good {
+            let outcomes = (0..40).map(|seed| simulate(behaviour, per_s, 0.0, seed));
+            let outcomes: Vec<Outcome> = outcomes.collect();
+            let expected = match behaviour.is_good {
                 true => RolloutState::Completed,
                 false => RolloutState::RolledBack,
             };
-            let wrong = played.iter().filter(|o| o.state != wanted).count();
+            let wrong = outcomes.iter().filter(|o| o.state != expected).count();
             let share = |o: &Outcome| 100.0 * o.target as f64 / o.all as f64;
             println!(
                 "{} | {per_s} | {wrong} | {} | {:.1} | {}",
                 behaviour.name,
-                played.iter().map(|o| o.at_ms).max().unwrap(),
-                played.iter().map(share).fold(0.0, f64::max),
-                played.iter().map(|o| o.bad).max().unwrap(),
+                outcomes.iter().map(|o| o.at_ms).max().unwrap(),
+                outcomes.iter().map(share).fold(0.0, f64::max),
+                outcomes.iter().map(|o| o.bad).max().unwrap(),
             );
             assert_eq!(wrong, 0, "{} at {per_s}/s", behaviour.name);
             let within = |o: &Outcome| o.target as f64 <= 0.1 * o.all as f64 + 50.0;
-            assert!(behaviour.is_good || played.iter().all(within));
-            assert!(played.iter().all(|o| o.at_ms < DEADLINE_MS));
+            assert!(behaviour.is_good || outcomes.iter().all(within));
+            assert!(outcomes.iter().all(|o| o.at_ms < DEADLINE_MS));
         }
     }
 }
@@ -195,7 +200,7 @@
 #[test]
 fn a_good_version_is_hardly_ever_rolled_back() {
     let completed = |seed: &u64| {
-        let outcome = play(BEHAVIOURS[0], 200, 0.0, *seed);
+        let outcome = simulate(BEHAVIOURS[0], 200, 0.0, *seed);
         outcome.state == RolloutState::Completed
     };
     let completed = (1_000..1_500).filter(completed).count();
@@ -204,20 +209,20 @@
 }
 
 #[test]
-fn trouble_that_hits_both_versions_is_no_fault_of_the_new_one() {
+fn trouble_that_hits_both_versions_does_not_roll_back_the_new_one() {
     for trouble in [0.2, 0.5] {
         for seed in 0..100 {
-            let outcome = play(BEHAVIOURS[0], 400, trouble, seed);
+            let outcome = simulate(BEHAVIOURS[0], 400, trouble, seed);
             assert_eq!(outcome.state, RolloutState::Completed, "seed {seed}");
         }
     }
 }
 
 #[test]
-fn a_version_without_answers_is_never_called_good() {
-    let outcome = play(BEHAVIOURS[0], 0, 0.0, 1);
+fn a_version_with_too_few_answers_is_rolled_back() {
+    let outcome = simulate(BEHAVIOURS[0], 0, 0.0, 1);
     assert_eq!(outcome.state, RolloutState::RolledBack);
-    let few = play(BEHAVIOURS[0], 4, 0.0, 1);
+    let few = simulate(BEHAVIOURS[0], 4, 0.0, 1);
     assert_eq!(few.state, RolloutState::RolledBack, "{few:?}");
 }
 
@@ -238,8 +243,8 @@
 }
 
 #[test]
-fn the_newest_word_on_a_roll_out_holds_in_any_order() {
-    let words = [
+fn the_newest_announcement_of_a_rollout_wins_in_any_order() {
+    let announcements = [
         rollout(5, 0, 0, 0.0, RolloutState::InProgress),
         rollout(5, 2, 1, 0.05, RolloutState::InProgress),
         rollout(5, 2, 2, 0.25, RolloutState::InProgress),
@@ -251,16 +256,16 @@
         let mut table = RolloutTable::default();
         let mut newest = 0;
         for now_ms in 0..12 {
-            let index = rng.random_range(0..words.len());
+            let index = rng.random_range(0..announcements.len());
             newest = newest.max(index);
-            table.apply(&words[index], now_ms);
-            assert_eq!(table.get("s").unwrap().rank(), words[newest].rank());
+            table.apply(&announcements[index], now_ms);
+            assert_eq!(table.get("s").unwrap().rank(), announcements[newest].rank());
         }
     }
 }
 
 #[test]
-fn a_daemon_never_sends_more_than_its_share_to_a_version() {
+fn a_daemon_never_sends_more_than_the_share_to_a_new_version() {
     for share in [0.05, 0.1, 0.25] {
         let mut table = RolloutTable::default();
         table.apply(&rollout(5, 1, 1, share, RolloutState::InProgress), 0);
@@ -275,7 +280,7 @@
 }
 
 #[test]
-fn a_daemon_that_hears_nothing_sends_nothing_to_a_version_that_is_not_proved() {
+fn a_daemon_cut_off_from_the_leader_sends_nothing_to_an_unproven_version() {
     let mut table = RolloutTable::default();
     table.apply(&rollout(5, 1, 1, 0.1, RolloutState::InProgress), 0);
     let to_target = |table: &mut RolloutTable, now_ms| {
@@ -283,8 +288,8 @@
         allowed.filter(|a| *a == AllowedVersions::Target).count()
     };
     assert!(to_target(&mut table, 2_000) > 0);
-    assert_eq!(to_target(&mut table, 3_000), 0, "silent for 3 s");
-    // An echo of old words is no news of the leader.
+    assert_eq!(to_target(&mut table, 3_000), 0, "no announcement for 3 s");
+    // An old announcement that another daemon forwards does not extend the lease.
     let mut echo = rollout(5, 1, 1, 0.1, RolloutState::InProgress);
     echo.age_ms = 3_500;
     table.apply(&echo, 4_000);
@@ -301,7 +306,7 @@
 }
 
 #[test]
-fn what_the_new_version_failed_goes_to_another() {
+fn a_request_that_failed_at_the_new_version_goes_to_another() {
     let mut table = RolloutTable::default();
     table.apply(&rollout(5, 1, 1, 1.0, RolloutState::InProgress), 0);
     assert_eq!(table.allow("s", true, 10), AllowedVersions::Others);
