--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -7,8 +7,7 @@
         gateway::{Gateway, GatewayPhase},
         names::{BoxId, now_ms},
         policy::{
-            BoxIncarnation, DutyFitness, DutyLog, DutyRecord, LeaseRecord, LeaseStep,
-            UsageReadiness,
+            BoxIncarnation, DutyFitness, DutyLog, DutyRecord, LeaseRecord, LeaseStep, UsageReadiness,
         },
     },
     bytes::Bytes,
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -372,7 +372,7 @@
         position += u64::from(fleet);
     }
     let mut known = [None; READERS_OF_ALL];
-    let mut told = Vec::new();
+    let mut sent_counts = Vec::new();
     for _ in 0..20 {
         // Each upstream sends a heartbeat, which some of the readers get before the others.
         let mut late = Vec::new();
@@ -400,9 +400,9 @@
             });
             reader.read_to(position);
         }
-        told.push(count);
+        sent_counts.push(count);
     }
-    assert!(told[3..].iter().all(|count| *count == 0), "{told:?}");
+    assert!(sent_counts[3..].iter().all(|count| *count == 0), "{sent_counts:?}");
 }
 
 /// Guards against updates that are collected and packed separately for each follower. When
@@ -413,7 +413,7 @@
     const FOLLOWERS: u64 = 196;
     let mut packed_updates = PackedUpdates::default();
     let mut packed_times = 0;
-    let mut told = |revision: u64, since: Option<u64>| {
+    let mut send_update = |revision: u64, since: Option<u64>| {
         let fresh = || {
             packed_times += 1;
             Bytes::from(format!("{since:?} to {revision}"))
@@ -426,9 +426,9 @@
         for follower in 0..FOLLOWERS {
             // Some followers are a revision behind, and one queries the full directory.
             let since = (follower > 0).then_some(revision - 1 - follower % 2);
-            told(revision, since);
+            send_update(revision, since);
         }
-        told(revision - 1, Some(3));
+        send_update(revision - 1, Some(3));
     }
     assert_eq!(
         packed_times,
