--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -402,7 +402,10 @@
         }
         sent_counts.push(count);
     }
-    assert!(sent_counts[3..].iter().all(|count| *count == 0), "{sent_counts:?}");
+    assert!(
+        sent_counts[3..].iter().all(|count| *count == 0),
+        "{sent_counts:?}"
+    );
 }
 
 /// Guards against updates that are collected and packed separately for each follower. When
