--- a/src/gateway/forward_buffered.rs
+++ b/src/gateway/forward_buffered.rs
@@ -47,7 +47,7 @@
                 gateway.record_outcome(&upstream.id, failed);
                 let time_ms = sent.elapsed().as_secs_f64() * 1_000.0;
                 gateway.record_answer(context, upstream, (!failed).then_some(time_ms));
-                let retry = failed && context.route.is_repeatable();
+                let retry = failed && context.route.is_retryable();
                 let failure = SendFailure::MayHaveRun(head.status.to_string());
                 if retry && attempts.may_retry_after(gateway, context, &upstream.id, failure) {
                     continue;
@@ -84,7 +84,7 @@
         Ok((sent.answer.head.clone(), body))
     };
     let last = attempts.sends + 1 >= context.route.max_attempts;
-    if last || !context.route.is_repeatable() {
+    if last || !context.route.is_retryable() {
         return exchange.await;
     }
     let max_wait = (context.target_latency() * TIMEOUT_FACTOR).max(MIN_ATTEMPT_TIMEOUT);
--- a/src/gateway/forward_stream.rs
+++ b/src/gateway/forward_stream.rs
@@ -196,7 +196,7 @@
                 true => (BootInstant::now() + STALL_CHECK).min(deadline),
                 false => deadline,
             };
-            let next = timeout_at(wake_at, sent.answer.next_piece()).await;
+            let next = timeout_at(wake_at, sent.answer.next_chunk()).await;
             let Ok(chunk) = next else {
                 if BootInstant::now() >= deadline {
                     return Err(SendFailure::MayHaveRun(
@@ -278,7 +278,7 @@
     }
 
     fn can_retry(&self) -> bool {
-        self.context.route.is_repeatable()
+        self.context.route.is_retryable()
             && self.attempts.sends + 1 < self.context.route.max_attempts
     }
 
--- a/src/gateway/leaving_upstream.rs
+++ b/src/gateway/leaving_upstream.rs
@@ -30,7 +30,7 @@
 
 fn leaving_address(gateway: &Gateway, id: &UpstreamId) -> Option<SocketAddr> {
     let directory = gateway.directory.read();
-    let is_leaving = directory.is_left_until_its_end(id);
+    let is_leaving = directory.is_leaving_until_exit(id);
     directory
         .get(id)
         .filter(|_| is_leaving)
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -42,7 +42,7 @@
 
     /// Returns what to tell other daemons of roll-outs.
     pub fn announced_rollouts(&self) -> Vec<Rollout> {
-        self.rollouts.lock().told(self.steady_ms())
+        self.rollouts.lock().rollouts_to_announce(self.steady_ms())
     }
 
     /// Returns which ready upstreams a request must not go to for the sake of a
@@ -119,7 +119,7 @@
         }
         let mut outcomes = self.outcomes.lock();
         let meter = outcomes.entry(context.service.clone()).or_default();
-        meter.of_order(order).record(route, is_target, time_ms);
+        meter.for_order(order).record(route, is_target, time_ms);
     }
 
     /// Returns the slots of a service's ready upstreams of a version, and of the others.
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -52,7 +52,7 @@
         let now_ms = self.gateway.steady_ms();
         let mut loads = self.gateway.loads.lock();
         let load = loads.entry(&self.upstream.id);
-        load.note_progress(now_ms);
+        load.record_progress(now_ms);
         load.waiting_tokens = load.waiting_tokens.saturating_sub(self.waiting_tokens);
         drop(loads);
         if std::mem::take(&mut self.waiting_tokens) > 0 {
@@ -156,7 +156,7 @@
     placement: &Placement,
 ) -> Result<UpstreamConnection, SendFailure> {
     let upstream = &placement.upstream;
-    let max_idle = match context.route.is_repeatable() {
+    let max_idle = match context.route.is_retryable() {
         _ if placement.is_retry => Duration::ZERO,
         true => MAX_IDLE_REPEATABLE,
         false => MAX_IDLE_RUN_ONCE,
