--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -230,7 +230,7 @@
     async fn call(&self, call: PeerCall) -> PeerReply {
         match call {
             PeerCall::Ping => PeerReply::Alive(self.world.me.incarnation),
-            PeerCall::AskOwner { holder, requests } => {
+            PeerCall::QueryOwner { holder, requests } => {
                 let all = requests.iter().map(|id| self.ownership(&holder, *id));
                 PeerReply::Ownership(all.collect())
             }
--- a/src/app/sweep.rs
+++ b/src/app/sweep.rs
@@ -101,7 +101,7 @@
     if incarnation == watch.incarnation && asked {
         return (owner, watch);
     }
-    let call = PeerCall::AskOwner {
+    let call = PeerCall::QueryOwner {
         holder: world.me.id.clone(),
         requests: copies.iter().map(|c| c.id()).collect(),
     };
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -11,7 +11,7 @@
     Ping,
     /// Does the box that is called still own these requests, whose copies the
     /// caller holds?
-    AskOwner {
+    QueryOwner {
         /// The caller.
         holder: BoxId,
         /// The requests.
