--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -241,10 +241,10 @@
             PeerCall::Locate(id) => PeerReply::Located(locate_here(&self.world, id)),
             PeerCall::FetchTable(from) => PeerReply::Table(table_news(&self.world, from)),
             PeerCall::AppendClaims(records) => self.append_claims(records).await,
-            PeerCall::AskClaim(key) if self.world.claims.release_again(&key) => {
+            PeerCall::QueryClaim(key) if self.world.claims.release_again(&key) => {
                 PeerReply::Refused("given up".to_string())
             }
-            PeerCall::AskClaim(_) => PeerReply::Done,
+            PeerCall::QueryClaim(_) => PeerReply::Done,
         }
     }
 
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -192,7 +192,7 @@
 }
 
 async fn given_up_elsewhere(world: &World, key: &ClaimKey, by: &BoxIncarnation) -> bool {
-    let ask = crate::peer::PeerCall::AskClaim(key.clone());
+    let ask = crate::peer::PeerCall::QueryClaim(key.clone());
     let reply = world
         .call_box(&by.id, &ask, Duration::from_millis(800))
         .await;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -37,7 +37,7 @@
     /// Append claims, together with those of other boxes of the failure domain.
     AppendClaims(Vec<ClaimRecord>),
     /// How does a claim of this box stand?
-    AskClaim(ClaimKey),
+    QueryClaim(ClaimKey),
 }
 
 /// The answer to a call.
