--- a/src/app/answer_reader.rs
+++ b/src/app/answer_reader.rs
@@ -194,7 +194,7 @@
                     Some(Way::Done)
                 }
                 Ok(Some(AttachEvent::Moved(to))) => Some(Way::To(to)),
-                Ok(Some(AttachEvent::NotYours)) => {
+                Ok(Some(AttachEvent::OtherAccount)) => {
                     self.send(AnswerEvent::NotFound).await;
                     Some(Way::Done)
                 }
--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -254,7 +254,7 @@
             return;
         };
         if cell.read().spec.account != ask.account {
-            let _ = tx.send(AttachEvent::NotYours).await;
+            let _ = tx.send(AttachEvent::OtherAccount).await;
             return;
         }
         let _reader = cell.reader();
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -206,7 +206,7 @@
     /// The request went to this box.
     Moved(BoxId),
     /// The request is another account's.
-    NotYours,
+    OtherAccount,
     /// The request is not here, or holds less than the asker has.
     NotHere,
 }
