--- a/src/clock/deadline.rs
+++ b/src/clock/deadline.rs
@@ -6,17 +6,17 @@
 
 /// the time is up
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, thiserror::Error)]
-pub struct TimeIsUp;
+pub struct DeadlineElapsed;
 
 /// Waits for a result until a moment, which may pass while the machine is suspended.
 ///
 /// # Errors
 ///
-/// Returns [`TimeIsUp`] if there is no result by then.
+/// Returns [`DeadlineElapsed`] if there is no result by then.
 pub async fn timeout_at<F: Future>(
     deadline: BootInstant,
     future: F,
-) -> Result<F::Output, TimeIsUp> {
+) -> Result<F::Output, DeadlineElapsed> {
     let mut future = pin!(future);
     let mut resumes = resumes();
     loop {
@@ -26,7 +26,7 @@
             // A result that is there counts, also late.
             biased;
             result = &mut future => return Ok(result),
-            () = ready(()), if is_up => return Err(TimeIsUp),
+            () = ready(()), if is_up => return Err(DeadlineElapsed),
             () = tokio::time::sleep(left) => {}
             // The sender lives as long as the process.
             _ = resumes.changed() => {}
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`TimeIsUp`] if there is no result by then.
-pub async fn timeout<F: Future>(time: Duration, future: F) -> Result<F::Output, TimeIsUp> {
+/// Returns [`DeadlineElapsed`] if there is no result by then.
+pub async fn timeout<F: Future>(time: Duration, future: F) -> Result<F::Output, DeadlineElapsed> {
     timeout_at(BootInstant::now() + time, future).await
 }
--- a/tests/decisions/suspension.rs
+++ b/tests/decisions/suspension.rs
@@ -4,7 +4,7 @@
 //! Suspensions are played by pausing the runtime's clock, on which timers are.
 
 use {
-    saddlepulley::clock::{BootInstant, SuspensionDetector, TimeIsUp, announce_resume, timeout},
+    saddlepulley::clock::{BootInstant, SuspensionDetector, DeadlineElapsed, announce_resume, timeout},
     std::{
         future::{pending, poll_fn},
         pin::pin,
@@ -48,7 +48,7 @@
         waits.is_finished(),
         "the timer has not moved, the time is up"
     );
-    assert_eq!(waits.await.unwrap(), Err(TimeIsUp));
+    assert_eq!(waits.await.unwrap(), Err(DeadlineElapsed));
     assert!(began.elapsed() >= Duration::from_millis(400));
 }
 
