--- a/src/app/sweep.rs
+++ b/src/app/sweep.rs
@@ -83,7 +83,7 @@
     let asked = now < watch.asked_ms + ASK_EVERY_MS;
     if asked && is_same_incarnation(world, &owner, watch.incarnation) {
         let ms = world.settings.peers.silence_ms / 2;
-        if world.links.heard_within(&owner, ms) {
+        if world.links.seen_within(&owner, ms) {
             watch.silent_since_ms = None;
             return (owner, watch);
         }
--- a/src/links/link_table.rs
+++ b/src/links/link_table.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns whether a peer gave a sign of life in the last milliseconds.
-    pub fn heard_within(&self, id: &BoxId, ms: u64) -> bool {
+    pub fn seen_within(&self, id: &BoxId, ms: u64) -> bool {
         let heard = self.heard.lock();
         heard
             .get(id)
