--- a/src/provider/source_monitor.rs
+++ b/src/provider/source_monitor.rs
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// Returns the error of the first read.
-    pub async fn read_held<T, E, F>(
+    pub async fn long_poll<T, E, F>(
         &self,
         hold: Duration,
         mut read: impl FnMut(Duration) -> F,
--- a/tests/decisions/source_silence.rs
+++ b/tests/decisions/source_silence.rs
@@ -46,7 +46,7 @@
 async fn a_read_hangs_on_after_others_are_answered_again() {
     let watch = SourceMonitor::default();
     let begun = Cell::new(0);
-    let read = watch.read_held(HOLD, |hold| {
+    let read = watch.long_poll(HOLD, |hold| {
         let number = begun.replace(begun.get() + 1);
         async move {
             match number {
@@ -65,7 +65,7 @@
     let begun = Cell::new(0);
     let (tx, rx) = tokio::sync::oneshot::channel();
     let mut first = Some(rx);
-    let read = watch.read_held(HOLD, |_| {
+    let read = watch.long_poll(HOLD, |_| {
         begun.set(begun.get() + 1);
         let first = first.take();
         async move {
@@ -89,7 +89,7 @@
 #[tokio::test]
 async fn a_source_that_refuses_is_asked_without_end() {
     let watch = SourceMonitor::default();
-    let read = watch.read_held(HOLD, |_| async { Err::<(), _>("refused") });
+    let read = watch.long_poll(HOLD, |_| async { Err::<(), _>("refused") });
     assert_eq!(read.await, Err("refused"));
 }
 
