--- a/src/app/claim_client.rs
+++ b/src/app/claim_client.rs
@@ -34,7 +34,7 @@
     /// It may or may not be in the log.
     Unknown,
     /// It is not in the log.
-    NotTaken,
+    NotAccepted,
 }
 
 /// How a claim ended.
@@ -70,7 +70,7 @@
         let (tx, rx) = oneshot::channel();
         let mut outbox = self.outbox.lock();
         if outbox.len() >= MAX_OUTBOX {
-            let _ = tx.send(ClaimAppendOutcome::NotTaken);
+            let _ = tx.send(ClaimAppendOutcome::NotAccepted);
         } else {
             outbox.push(Pending { records, tx });
         }
@@ -188,7 +188,7 @@
         let appended = world.claims.append(vec![record.clone()]).await;
         match appended {
             Ok(ClaimAppendOutcome::At(offset)) => wait_folded(world, offset + 1).await,
-            Ok(ClaimAppendOutcome::NotTaken) | Err(_) => {
+            Ok(ClaimAppendOutcome::NotAccepted) | Err(_) => {
                 tokio::time::sleep(READ_PAUSE).await;
                 continue;
             }
@@ -283,7 +283,7 @@
     let data = serde_json::to_string(records).unwrap_or_default();
     match world.borders.log.append(CLAIMS_STREAM, data).await {
         Ok(offset) => ClaimAppendOutcome::At(offset),
-        Err(PlatformError::NotTaken(_)) => ClaimAppendOutcome::NotTaken,
+        Err(PlatformError::NotAccepted(_)) => ClaimAppendOutcome::NotAccepted,
         Err(_) => ClaimAppendOutcome::Unknown,
     }
 }
--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -170,7 +170,7 @@
                 PeerReply::Appended(Some(offset))
             }
             Ok(super::claim_client::ClaimAppendOutcome::Unknown) => PeerReply::Appended(None),
-            Ok(super::claim_client::ClaimAppendOutcome::NotTaken) | Err(_) => {
+            Ok(super::claim_client::ClaimAppendOutcome::NotAccepted) | Err(_) => {
                 PeerReply::Refused("not taken".to_string())
             }
         }
--- a/src/provider/platform_error.rs
+++ b/src/provider/platform_error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum PlatformError {
     /// the platform did not take it: {0}
-    NotTaken(HttpError),
+    NotAccepted(HttpError),
     /// the platform may or may not have taken it: {0}
     Unknown(HttpError),
     /// refused: an older fencing token
@@ -18,7 +18,7 @@
         match e {
             HttpError::Status(409) => Self::Fenced,
             HttpError::Status(429 | 503) => Self::Refused,
-            e if e.had_no_effect() => Self::NotTaken(e),
+            e if e.had_no_effect() => Self::NotAccepted(e),
             e => Self::Unknown(e),
         }
     }
--- a/src/provider/platform_log.rs
+++ b/src/provider/platform_log.rs
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::NotTaken`] if it is certainly not in the log; else it may be.
+    /// [`PlatformError::NotAccepted`] if it is certainly not in the log; else it may be.
     async fn append(&self, stream: &str, data: String) -> Result<u64, PlatformError>;
 
     /// Reads from an offset, and waits up to `wait_ms` for a record.
