--- a/src/http/http_client.rs
+++ b/src/http/http_client.rs
@@ -88,7 +88,7 @@
         timeout: Duration,
     ) -> Result<Bytes, HttpError> {
         let rep = self.open(req, timeout).await?;
-        steady_body(rep.into_body(), timeout).await
+        full_body_with_idle_timeout(rep.into_body(), timeout).await
     }
 
     /// Gets a JSON value.
@@ -166,7 +166,7 @@
 ///
 /// Returns [`HttpError::Timeout`] if nothing came for `silence`, and
 /// [`HttpError::Broken`] if the body is cut or too large.
-pub async fn steady_body(body: Incoming, silence: Duration) -> Result<Bytes, HttpError> {
+pub async fn full_body_with_idle_timeout(body: Incoming, silence: Duration) -> Result<Bytes, HttpError> {
     let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut whole = BytesMut::new();
     loop {
