--- a/src/engine/engine_client.rs
+++ b/src/engine/engine_client.rs
@@ -3,24 +3,25 @@
     uuid::Uuid,
 };
 
-/// The frames of an answer as they come; the channel closes after an error.
+/// Receives the frames of an answer as they arrive; the channel closes after the last frame or
+/// an error.
 pub type Frames = Receiver<Result<CompletionFrame, EngineError>>;
 
 /// A model engine.
 #[async_trait]
 pub trait Engine: Send + Sync {
-    /// Starts or resumes an answer.
+    /// Starts or resumes the generation of an answer and returns its frames.
     ///
     /// # Errors
     ///
-    /// Returns how the call failed, and whether it can have run.
+    /// Returns how the call failed, and if the engine may have run it.
     async fn complete(
         &self,
         at: SocketAddr,
-        ask: CompletionRequest<'_>,
+        completion: CompletionRequest<'_>,
     ) -> Result<Frames, EngineError>;
 
-    /// Ends a request.
+    /// Cancels a request.
     ///
     /// # Errors
     ///
@@ -34,7 +35,7 @@
     /// Returns how the call failed.
     async fn load(&self, at: SocketAddr) -> Result<EngineLoad, EngineError>;
 
-    /// Returns the cache events from a place in the sequence on.
+    /// Returns the events of the engine's prefix cache from a sequence number on.
     ///
     /// # Errors
     ///
@@ -42,7 +43,8 @@
     async fn cache_events(&self, at: SocketAddr, from: u64)
     -> Result<Vec<CacheEvent>, EngineError>;
 
-    /// Makes an engine fetch a request's KV cache from another; returns when it has it.
+    /// Makes the engine at `to` fetch a request's KV cache from the engine at `from`; returns
+    /// when the transfer is complete.
     ///
     /// # Errors
     ///
@@ -54,10 +56,11 @@
         request: Uuid,
     ) -> Result<(), EngineError>;
 
-    /// Gives a fenced order.
+    /// Sends an order with the fencing token of the sender's lease.
     ///
     /// # Errors
     ///
-    /// [`EngineError::Fenced`] if a later lease gave orders before.
+    /// Returns [`EngineError::Fenced`] if the engine has already received an order of a later
+    /// lease.
     async fn order(&self, at: SocketAddr, order: &EngineOrder) -> Result<(), EngineError>;
 }
--- a/src/engine/engine_error.rs
+++ b/src/engine/engine_error.rs
@@ -1,6 +1,8 @@
 use crate::http::HttpError;
 
-/// Says how a call to an upstream failed, and whether it can have run.
+/// The failure of a call to an upstream, which also says if the upstream may have run it.
+///
+/// The texts reach clients in the details of a failed request.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum EngineError {
     /// it did not run: {0}
@@ -24,12 +26,12 @@
 }
 
 impl EngineError {
-    /// Returns whether the call certainly did not run.
+    /// Returns whether the upstream certainly did not run the call.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::NotRun(_) | Self::Fenced)
     }
 
-    /// Returns whether the connection was cut, as when the upstream is gone.
+    /// Returns whether the connection broke during the call, as it does when the upstream stops.
     pub fn is_cut_off(&self) -> bool {
         matches!(self, Self::CutOff | Self::MayHaveRun(HttpError::Broken(_)))
     }
--- a/src/engine/engine_http.rs
+++ b/src/engine/engine_http.rs
@@ -12,16 +12,19 @@
     uuid::Uuid,
 };
 
+/// Limits a call to an engine; for completions, the wait for the head of the answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Limits an import of a KV cache, which returns only when the transfer is complete.
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Frames that wait for the owner before the connection is left to push back.
+/// Frames that are buffered for the owner; when the queue is full, the connection is read no
+/// further, so that flow control slows down the engine.
 const FRAME_QUEUE: usize = 64;
-/// The longest line of an event.
-const MAX_LINE: usize = 1024 * 1024;
-/// An answer without any event for this long is taken as cut off.
-const SILENCE: Duration = Duration::from_secs(20);
+/// Upper limit of one event, in bytes.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
+/// An answer that sends nothing for this long counts as cut off.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Model engines over HTTP.
+/// Calls model engines over HTTP.
 #[derive(Clone, Debug, Default)]
 pub struct EngineHttp {
     client: HttpClient,
@@ -37,9 +40,9 @@
     async fn complete(
         &self,
         at: SocketAddr,
-        ask: CompletionRequest<'_>,
+        completion: CompletionRequest<'_>,
     ) -> Result<Frames, EngineError> {
-        let body = serde_json::to_vec(&ask).unwrap_or_default();
+        let body = serde_json::to_vec(&completion).unwrap_or_default();
         let req = request(
             "POST",
             at,
@@ -79,11 +82,11 @@
         from: SocketAddr,
         request: Uuid,
     ) -> Result<(), EngineError> {
-        let ask = ImportRequest {
+        let import = ImportRequest {
             request_id: request,
             from,
         };
-        let body = serde_json::to_vec(&ask).unwrap_or_default();
+        let body = serde_json::to_vec(&import).unwrap_or_default();
         self.client
             .post(to, "/v1/kv/import", body, IMPORT_TIMEOUT)
             .await?;
@@ -102,12 +105,13 @@
 
 type FrameSender = mpsc::Sender<Result<CompletionFrame, EngineError>>;
 
-/// Reads events until the answer ends, is cut off, or nobody wants it any more.
+/// Reads events and sends their frames until the answer ends, is cut off, or the receiver is
+/// dropped.
 async fn read_frames(mut body: Incoming, tx: FrameSender) {
     let mut buf = BytesMut::new();
     loop {
         let next = tokio::select! {
-            next = tokio::time::timeout(SILENCE, body.frame()) => next,
+            next = tokio::time::timeout(IDLE_TIMEOUT, body.frame()) => next,
             () = tx.closed() => return,
         };
         let data = match next {
@@ -118,14 +122,15 @@
             }
         };
         buf.extend_from_slice(&data);
-        if !pass_on(&mut buf, &tx).await {
+        if !forward_frames(&mut buf, &tx).await {
             return;
         }
     }
 }
 
-/// Sends on the whole events in the buffer; returns whether to go on reading.
-async fn pass_on(buf: &mut BytesMut, tx: &FrameSender) -> bool {
+/// Sends the frames of the complete events in the buffer; returns false when the answer has
+/// ended or failed, or the receiver was dropped.
+async fn forward_frames(buf: &mut BytesMut, tx: &FrameSender) -> bool {
     while let Some(end) = buf.windows(2).position(|w| w == b"\n\n") {
         let event = buf.split_to(end + 2).freeze();
         let frame = parse_event(&event);
@@ -134,13 +139,14 @@
             return false;
         }
     }
-    if buf.len() > MAX_LINE {
+    if buf.len() > MAX_EVENT_BYTES {
         let _ = tx.send(Err(EngineError::CutOff)).await;
         return false;
     }
     true
 }
 
+/// Parses a server-sent event, whose data is the JSON of a frame.
 fn parse_event(event: &Bytes) -> Result<CompletionFrame, EngineError> {
     let data = event.strip_prefix(b"data: ").unwrap_or(event);
     let frame = from_json(data.trim_ascii_end())?;
--- a/src/engine/engine_wire.rs
+++ b/src/engine/engine_wire.rs
@@ -7,73 +7,73 @@
 /// The body of an engine's `POST /v1/completions`.
 #[derive(Clone, Debug, Serialize)]
 pub struct CompletionRequest<'a> {
-    /// The request.
+    /// The identifier of the request.
     pub request_id: Uuid,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u32,
-    /// The prompt.
+    /// The text of the prompt.
     pub prompt: &'a str,
-    /// The tokens that earlier attempts generated.
+    /// The tokens that earlier attempts generated; the engine continues after them.
     pub generated: &'a [Arc<str>],
-    /// Length of the whole answer, in tokens.
+    /// Maximum length of the full answer, in tokens.
     pub max_tokens: usize,
-    /// Higher goes first.
+    /// Priority in the engine's queue; higher values run first.
     pub priority: u8,
 }
 
 /// One event of an engine's answer.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CompletionFrame {
-    /// The request.
+    /// The identifier of the request.
     pub request_id: Uuid,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u32,
-    /// The offset of the first token.
+    /// The offset of the first token in the answer.
     pub offset: usize,
-    /// The tokens.
+    /// The generated tokens.
     pub tokens: Vec<Arc<str>>,
-    /// The length of the whole answer, on the last frame.
+    /// The length of the full answer, in tokens; set only on the last frame.
     pub total: Option<usize>,
-    /// What the attempt had to take in, on the first frame.
+    /// The input of the attempt; set only on the first frame.
     pub usage: Option<EngineUsage>,
 }
 
-/// What an attempt had to take in.
+/// The input tokens of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct EngineUsage {
-    /// Tokens of the prompt and of what was generated before.
+    /// Tokens of the prompt and of those that earlier attempts generated.
     pub prompt_tokens: u32,
-    /// Of these, how many were cached.
+    /// The part of `prompt_tokens` that was found in the prefix cache.
     pub cached_tokens: u32,
 }
 
-/// An engine's report of its load, which lags.
+/// An engine's report of its load, which lags behind the actual load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests that it decodes at once.
+    /// Maximum number of requests that the engine decodes at once.
     pub slots: u32,
-    /// Requests running.
+    /// Number of requests that run.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of requests that wait in the engine's queue.
     pub waiting: u32,
-    /// Prompt tokens that it takes in a second.
+    /// Prefill speed, in prompt tokens per second.
     pub prefill_tokens_per_s: f64,
-    /// Milliseconds of a step with one request running.
+    /// Duration of a decoding step with one running request, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each further request adds to a step.
+    /// Time that each further running request adds to a step, in milliseconds.
     pub step_ms_per_request: f64,
-    /// The model that is loaded, or empty.
+    /// The loaded model; empty if none is loaded.
     pub model: String,
-    /// When this was true, in Unix milliseconds.
+    /// Time of the measurement, in Unix milliseconds.
     pub as_of_ms: u64,
 }
 
 /// One event of an engine's prefix cache.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CacheEvent {
-    /// Its place in the sequence.
+    /// The sequence number of the event.
     pub seq: u64,
-    /// Whether the block was stored or removed.
+    /// What happened to the block.
     pub kind: CacheEventKind,
     /// The hash of the prefix that ends with the block.
     pub hash: u64,
@@ -83,38 +83,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheEventKind {
-    /// It was stored.
+    /// The block was stored.
     Stored,
-    /// It was removed.
+    /// The block was removed.
     Removed,
 }
 
 /// The body of an engine's `POST /v1/kv/import`.
 #[derive(Clone, Debug, Serialize)]
 pub struct ImportRequest {
-    /// The request.
+    /// The identifier of the request.
     pub request_id: Uuid,
-    /// The engine that holds its KV cache.
+    /// The address of the engine that holds the request's KV cache.
     pub from: SocketAddr,
 }
 
-/// A fenced order to an engine.
+/// An order to an engine, fenced by the lease of its sender.
 #[derive(Clone, Debug, Serialize)]
 pub struct EngineOrder {
-    /// What is ordered.
+    /// What the engine has to do.
     pub kind: EngineOrderKind,
-    /// The model or role.
+    /// The model to load, or the role to take.
     pub value: String,
-    /// The fencing token of the orderer's lease.
+    /// The fencing token of the sender's lease.
     pub fence: u64,
 }
 
-/// What can be ordered from an engine.
+/// The kinds of orders to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineOrderKind {
-    /// To load a model, adapter or version.
+    /// Load a model, adapter or version.
     LoadModel,
-    /// To change its role.
+    /// Change the engine's role.
     SetRole,
 }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams: model engines and plain services, each behind a trait.
+//! Clients of the upstreams, which are model engines and plain services, each behind a trait.
 
 mod engine_client;
 mod engine_error;
--- a/src/engine/plain_http.rs
+++ b/src/engine/plain_http.rs
@@ -6,7 +6,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Plain services over HTTP.
+/// Calls plain services over HTTP.
 #[derive(Clone, Debug, Default)]
 pub struct PlainHttp {
     client: HttpClient,
@@ -26,7 +26,7 @@
         }
         let body = call.body.clone().into();
         let req = request(&call.method, at, &call.path, &headers, body)?;
-        let read = async {
+        let exchange = async {
             let rep = self.client.exchange(req, timeout).await?;
             let status = rep.status().as_u16();
             let kind = rep.headers().get(CONTENT_TYPE);
@@ -38,7 +38,7 @@
                 body,
             })
         };
-        match tokio::time::timeout(timeout, read).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(answer) => answer,
             Err(_) => Err(HttpError::Timeout(timeout).into()),
         }
--- a/src/engine/plain_service.rs
+++ b/src/engine/plain_service.rs
@@ -12,20 +12,20 @@
 pub struct PlainCall {
     /// The HTTP method.
     pub method: String,
-    /// The path and query behind the service's name.
+    /// The path and query that follow the service's name in the client's URL.
     pub path: String,
-    /// The media type of the body, or empty.
+    /// The media type of the body; empty if the client named none.
     pub content_type: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// A plain service's whole answer.
+/// The full answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The media type of the body, or empty.
+    /// The media type of the body; empty if the service named none.
     pub content_type: String,
     /// The body.
     pub body: Bytes,
@@ -34,12 +34,12 @@
 /// A plain service.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// Makes a call.
+    /// Makes a call and returns its answer; `timeout` limits the call as a whole.
     ///
     /// # Errors
     ///
-    /// Returns how it failed, and whether it can have run. An answer of any
-    /// status but a typed refusal is no failure.
+    /// Returns how the call failed, and if the service may have run it. An answer of any status
+    /// is a success, unless its header marks it as a refusal before the call started.
     async fn call(
         &self,
         at: SocketAddr,
--- a/src/http/http_client.rs
+++ b/src/http/http_client.rs
@@ -166,7 +166,10 @@
 ///
 /// Returns [`HttpError::Timeout`] if nothing came for `silence`, and
 /// [`HttpError::Broken`] if the body is cut or too large.
-pub async fn full_body_with_idle_timeout(body: Incoming, silence: Duration) -> Result<Bytes, HttpError> {
+pub async fn full_body_with_idle_timeout(
+    body: Incoming,
+    silence: Duration,
+) -> Result<Bytes, HttpError> {
     let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut whole = BytesMut::new();
     loop {
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -7,206 +7,206 @@
 /// A call from one daemon to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerCall {
-    /// Is anybody there?
+    /// Tests that the daemon answers.
     Ping,
-    /// Does the box that is called still own these requests, whose copies the
-    /// caller holds?
+    /// Queries whether the called box still owns these requests, whose copies the caller holds.
     QueryOwner {
-        /// The caller.
+        /// The box that calls, which holds the copies.
         holder: BoxId,
-        /// The requests.
+        /// The requests whose copies the caller holds.
         requests: Vec<RequestId>,
     },
-    /// News, and a sign of life.
+    /// Sends a heartbeat with what changed since the last one.
     Heartbeat(HeartbeatPayload),
-    /// Hold the copy of a request.
+    /// Stores a copy of a request on the called box.
     Hold(Snapshot),
-    /// Append to the copies that this box holds for an owner.
+    /// Appends to the copies that the called box holds for an owner.
     Replicate {
-        /// The owner.
+        /// The box that owns the requests.
         owner: BoxId,
-        /// What is new.
+        /// The additions to the copies.
         appends: Vec<CopyAppend>,
     },
-    /// Own a request from now on.
+    /// Makes the called box the owner of a request.
     TakeOver(Box<TakeOver>),
-    /// Where is a request?
+    /// Queries which box owns a request.
     Locate(RequestId),
-    /// The table's records from an offset on.
+    /// Fetches the table's records from this log offset on.
     FetchTable(u64),
-    /// Append claims, together with those of other boxes of the failure domain.
+    /// Appends claims to the log, in a batch with those of other boxes of the failure domain.
     AppendClaims(Vec<ClaimRecord>),
-    /// How does a claim of this box stand?
+    /// Queries whether the called box has given up a claim: the reply is [`PeerReply::Refused`] if it
+    /// has, and [`PeerReply::Done`] otherwise.
     QueryClaim(ClaimKey),
 }
 
-/// The answer to a call.
+/// The reply to a [`PeerCall`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// Done.
+    /// The call was carried out.
     Done,
-    /// Here, in this life.
+    /// The daemon runs, in this incarnation; answers [`PeerCall::Ping`].
     Alive(u64),
-    /// Refused, for this reason.
+    /// The call was refused, for this reason.
     Refused(String),
-    /// Refused: this box owns the request.
+    /// The call was refused because this box owns the request.
     Superseded(BoxId),
-    /// What it is to each of the requests asked about.
+    /// How the called box relates to each of the queried requests, in the order of the query.
     Ownership(Vec<Ownership>),
-    /// News in return.
+    /// What changed at the called box since the last reply on this link.
     Heartbeat(HeartbeatPayload),
-    /// How far each copy is.
+    /// How far each copy has got.
     Replicated(Vec<Ack>),
-    /// Where the request is, if it is known.
+    /// The owner of the request, if the called box knows it.
     Located(Option<Located>),
-    /// The table's records or the whole of it.
+    /// The table's records, or the full table.
     Table(TableUpdate),
-    /// The log offset of an append; none if it may or may not be in the log.
+    /// The log offset of an append; none if the append may or may not be in the log.
     Appended(Option<u64>),
 }
 
-/// The payload of a heartbeat.
+/// The payload of a heartbeat and of the reply to it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeartbeatPayload {
-    /// The sender.
+    /// The state of the sending box.
     pub from: BoxFact,
-    /// How far the sender has folded the table.
+    /// The log offset up to which the sender has folded the table.
     pub table_folded_to: u64,
-    /// Facts that are new on this link.
+    /// States of boxes that changed since the last message on this link.
     pub facts: Vec<BoxFact>,
-    /// Loads of upstreams that are new on this link.
+    /// Loads of upstreams that changed since the last message on this link.
     pub loads: Vec<(BoxId, EngineLoad)>,
 }
 
-/// A whole request on its way to another box.
+/// The complete state of a request, for transfer to another box.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// What was asked.
+    /// The request as its client sent it.
     pub spec: RequestSpec,
-    /// The owner.
+    /// The box that owns the request.
     pub owner: BoxId,
-    /// The owner's epoch.
+    /// The owner's epoch, which rises with each change of owner.
     pub epoch: u64,
-    /// The answer's tokens so far.
+    /// The tokens generated so far.
     pub tokens: Vec<Arc<str>>,
-    /// How it ended, if it did.
+    /// How the request ended; none while it runs.
     pub ending: Option<Ending>,
-    /// The upstream that runs it.
+    /// The upstream that runs the request, if any.
     pub upstream: Option<BoxId>,
-    /// Tokens that were computed again.
+    /// Number of tokens that were computed more than once.
     pub recomputed: u64,
 }
 
-/// A hand-over of a request to its new owner.
+/// The transfer of a request to its new owner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TakeOver {
-    /// The request.
+    /// The state of the request.
     pub snapshot: Snapshot,
-    /// The life of the box that shall own it.
+    /// The incarnation of the box that becomes the owner.
     pub taker: BoxIncarnation,
-    /// The right to run it, if it is not repeatable and was claimed.
+    /// The claim to run the request; set if the request must not run twice and was claimed.
     pub right: Option<HandOver>,
 }
 
-/// What is new of a request's answer.
+/// An addition to the copy of a request's answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CopyAppend {
-    /// The request.
+    /// The request that the copy belongs to.
     pub request: RequestId,
     /// The owner's epoch.
     pub epoch: u64,
-    /// The offset of the first token.
+    /// The offset of the first token in the answer.
     pub offset: usize,
-    /// The tokens.
+    /// The tokens to append.
     pub tokens: Vec<Arc<str>>,
-    /// How it ended, if it did.
+    /// How the request ended; none while it runs.
     pub ending: Option<Ending>,
-    /// The upstream that runs it.
+    /// The upstream that runs the request, if any.
     pub upstream: Option<BoxId>,
 }
 
-/// What a box is to a request whose copy another one holds.
+/// How a box relates to a request whose copy another box holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ownership {
-    /// Its owner, and the copy counts.
+    /// The box owns the request, and uses the copy of the querying box.
     Owner,
-    /// Its owner, with the copy on another box.
+    /// The box owns the request, but keeps the copy on another box.
     CopyElsewhere,
-    /// Not its owner, but knows it.
+    /// The request is owned by this other box.
     OwnedBy(BoxId),
-    /// It knows nothing of it: it started anew.
+    /// The box does not know the request, because it has restarted.
     Unknown,
 }
 
-/// How far a copy is.
+/// The acknowledgement of an append to a copy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// The request.
+    /// The request that the copy belongs to.
     pub request: RequestId,
-    /// The state of the copy.
+    /// The state of the copy after the append.
     pub state: AckState,
 }
 
 /// The state of a copy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AckState {
-    /// It holds this many tokens, and the ending or not.
+    /// The copy holds this many tokens; the flag is set if it also holds the ending.
     Holds(usize, bool),
-    /// There is no copy here, or one with a gap.
+    /// The box has no copy, or the append would leave a gap in it.
     Unknown,
-    /// The request has another owner; the sender is no longer it.
+    /// This other box owns the request now, instead of the sender of the append.
     Superseded(BoxId),
 }
 
-/// Where a request is.
+/// The owner of a request, as the queried box knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Located {
-    /// The owner.
+    /// The box that owns the request.
     pub owner: BoxId,
     /// The owner's epoch.
     pub epoch: u64,
-    /// Tokens that this box has of it.
+    /// Number of tokens of the answer that the queried box holds.
     pub tokens: usize,
 }
 
 /// An update of the table for another daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum TableUpdate {
-    /// The records that the asker lacks.
+    /// The records that the caller lacks, each with its log offset.
     Records(Vec<(u64, String)>),
-    /// The whole table, as JSON.
+    /// The full table, as JSON.
     Whole(String),
 }
 
-/// An ask for the answer of a request.
+/// A call that subscribes to the answer of a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Attach {
-    /// The request.
+    /// The request whose answer is wanted.
     pub request: RequestId,
-    /// The account that asks; another one's request is not found.
+    /// The client account of the subscriber; requests of other accounts are refused.
     pub account: ClientAccount,
-    /// Tokens that the asker has.
+    /// Number of tokens that the subscriber has already; the answer continues after them.
     pub from: usize,
 }
 
-/// What the owner sends of an answer.
+/// An event of the stream that answers [`Attach`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum AttachEvent {
-    /// What was asked, before anything else.
+    /// The request as its client sent it; always the first event of an answer.
     Spec(Box<RequestSpec>),
-    /// Tokens.
+    /// Further tokens of the answer.
     Tokens {
-        /// The offset of the first one.
+        /// The offset of the first token in the answer.
         offset: usize,
         /// The tokens.
         tokens: Vec<Arc<str>>,
     },
-    /// The end.
+    /// How the request ended; the last event.
     Ending(Ending),
-    /// The request went to this box.
+    /// The request has moved to this box.
     Moved(BoxId),
-    /// The request is another account's.
+    /// The request belongs to another client account.
     OtherAccount,
-    /// The request is not here, or holds less than the asker has.
+    /// The box does not have the request, or holds fewer tokens than the subscriber.
     NotHere,
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Daemon to daemon: typed messages, `bincode` over `h2` streams.
+//! Calls between daemons: typed messages, encoded with `bincode`, over HTTP/2 streams.
 
 mod codec;
 mod message;
--- a/src/peer/peer_client.rs
+++ b/src/peer/peer_client.rs
@@ -11,9 +11,10 @@
     tokio::{net::TcpSocket, sync::Mutex, time::timeout},
 };
 
+/// Limits connecting to a peer, including the TLS and HTTP/2 handshakes.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A connection to one other daemon, made when it is needed.
+/// A client of one other daemon, which connects at the first call and after a failure.
 pub struct PeerClient {
     addr: SocketAddr,
     local_ip: IpAddr,
@@ -22,7 +23,7 @@
 }
 
 impl PeerClient {
-    /// Makes a client; nothing is connected yet.
+    /// Creates a client without connecting; connections leave from `local_ip`.
     pub fn new(addr: SocketAddr, local_ip: IpAddr, tls: Option<Arc<PeerTls>>) -> Self {
         Self {
             addr,
@@ -32,16 +33,15 @@
         }
     }
 
-    /// Returns the address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Makes a call.
+    /// Makes a call and waits up to `within` for its reply.
     ///
     /// # Errors
     ///
-    /// Returns how it failed. The other daemon may have acted on it unless the
+    /// Returns how the call failed. The other daemon may have carried it out unless the
     /// error is [`PeerError::NotConnected`].
     pub async fn call(&self, call: &PeerCall, within: Duration) -> Result<PeerReply, PeerError> {
         let body = encode(call)?;
@@ -50,18 +50,23 @@
             let bytes = read_all(&mut stream).await?;
             decode(&bytes)
         };
-        self.or_forget(timeout(within, exchange).await).await
+        self.drop_connection_on_failure(timeout(within, exchange).await)
+            .await
     }
 
-    /// Asks for the answer of a request.
+    /// Subscribes to the answer of a request; `within` limits the wait for the stream to open.
     ///
     /// # Errors
     ///
-    /// Returns how it failed.
-    pub async fn attach(&self, ask: &Attach, within: Duration) -> Result<AttachStream, PeerError> {
-        let body = encode(ask)?;
+    /// Returns how the call failed.
+    pub async fn attach(
+        &self,
+        attach: &Attach,
+        within: Duration,
+    ) -> Result<AttachStream, PeerError> {
+        let body = encode(attach)?;
         let opened = timeout(within, self.open("attach", body)).await;
-        let stream = self.or_forget(opened).await?;
+        let stream = self.drop_connection_on_failure(opened).await?;
         Ok(AttachStream {
             stream,
             buf: BytesMut::new(),
@@ -88,10 +93,10 @@
         if let Some(conn) = conn.as_ref() {
             return Ok(conn.clone());
         }
-        let made = timeout(CONNECT_TIMEOUT, self.connect()).await;
-        let made = made.map_err(|_| PeerError::NotConnected("timeout".to_string()))??;
-        *conn = Some(made.clone());
-        Ok(made)
+        let created = timeout(CONNECT_TIMEOUT, self.connect()).await;
+        let created = created.map_err(|_| PeerError::NotConnected("timeout".to_string()))??;
+        *conn = Some(created.clone());
+        Ok(created)
     }
 
     async fn connect(&self) -> Result<SendRequest<Bytes>, PeerError> {
@@ -99,7 +104,7 @@
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        // Peers and what stands between can tell by the address who calls.
+        // Peers and network devices in between identify the caller by its address.
         socket.bind(SocketAddr::new(self.local_ip, 0))?;
         let stream = socket.connect(self.addr).await?;
         stream.set_nodelay(true)?;
@@ -116,8 +121,9 @@
         Ok(conn)
     }
 
-    /// A call that failed may have failed with its connection: the next one makes another.
-    async fn or_forget<T>(
+    /// Drops the connection after a call that timed out or broke off, as the connection itself
+    /// may have failed; the next call connects again.
+    async fn drop_connection_on_failure<T>(
         &self,
         outcome: Result<Result<T, PeerError>, tokio::time::error::Elapsed>,
     ) -> Result<T, PeerError> {
@@ -129,18 +135,19 @@
     }
 }
 
-/// The answer of a request as its owner sends it.
+/// The stream of events of a request's answer, as its owner sends them.
 pub struct AttachStream {
     stream: RecvStream,
     buf: BytesMut,
 }
 
 impl AttachStream {
-    /// Returns the next event, or none at the end.
+    /// Returns the next event, or none at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Returns how the stream was cut off.
+    /// Returns [`PeerError::Broken`] if the stream was cut off, and an error of decoding for an
+    /// invalid event.
     pub async fn next(&mut self) -> Result<Option<AttachEvent>, PeerError> {
         loop {
             if let Some(frame) = next_frame(&mut self.buf)? {
--- a/src/peer/peer_error.rs
+++ b/src/peer/peer_error.rs
@@ -1,19 +1,19 @@
-/// Says how a call to another daemon failed.
+/// The failure of a call to another daemon, or of a call that another daemon makes.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum PeerError {
-    /// no connection: {0}
+    /// failed to connect: {0}
     NotConnected(String),
-    /// cut off: {0}
+    /// connection or stream closed early: {0}
     Broken(String),
-    /// no answer in time
+    /// no response within the timeout
     Timeout,
-    /// a message of {0} bytes is over the bound
+    /// message of {0} bytes exceeds the size limit
     TooLarge(usize),
-    /// a message that can't be decoded: {0}
+    /// malformed message: {0}
     Malformed(String),
-    /// the other daemon speaks another version, or refused: status {0}
+    /// call refused with status {0}; 404 means another protocol version
     Refused(u16),
-    /// TLS: {0}
+    /// TLS failed: {0}
     Tls(String),
 }
 
--- a/src/peer/peer_server.rs
+++ b/src/peer/peer_server.rs
@@ -15,28 +15,29 @@
     },
 };
 
-/// Flow-control window of a stream, in bytes.
+/// HTTP/2 flow-control window of a stream, in bytes.
 pub const WINDOW: u32 = 1024 * 1024;
-/// Flow-control window of a connection, in bytes.
+/// HTTP/2 flow-control window of a connection, in bytes.
 pub const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
-/// Streams that a peer may have open at once.
+/// Maximum number of streams that a peer may have open at once.
 const MAX_STREAMS: u32 = 4_096;
-/// How long a peer may take to send a call.
+/// Limits the time that a peer takes to send the body of a call.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a peer may take to shake hands.
+/// Limits the TLS and HTTP/2 handshakes of an accepted connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a daemon does for its peers.
+/// Handles the calls of peers.
 #[async_trait]
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Answers a call.
+    /// Carries out a call and returns its reply.
     async fn call(&self, call: PeerCall) -> PeerReply;
 
-    /// Sends the events of an answer until it ends or the channel closes.
-    async fn attach(&self, ask: Attach, tx: mpsc::Sender<AttachEvent>);
+    /// Sends the events of a request's answer until it ends or the channel closes.
+    async fn attach(&self, attach: Attach, tx: mpsc::Sender<AttachEvent>);
 }
 
-/// Serves peers until the listener fails.
+/// Accepts connections of peers and serves their calls, without end. After a failed accept
+/// it waits 50 ms and tries again.
 pub async fn serve_peers(
     listener: TcpListener,
     tls: Option<Arc<PeerTls>>,
@@ -51,7 +52,7 @@
         let handler = handler.clone();
         tokio::spawn(async move {
             if let Err(e) = serve_conn(stream, tls, handler).await {
-                log::debug!(target: "peer", "connection ended. error=\"{e}\"");
+                log::debug!(target: "peer", "connection failed. error=\"{e}\"");
             }
         });
     }
@@ -84,7 +85,7 @@
         let handler = handler.clone();
         tokio::spawn(async move {
             if let Err(e) = serve_stream(req, rep, handler).await {
-                log::debug!(target: "peer", "stream ended. error=\"{e}\"");
+                log::debug!(target: "peer", "stream failed. error=\"{e}\"");
             }
         });
     }
@@ -117,20 +118,20 @@
         let mut tx = rep.send_response(Response::new(()), false)?;
         return send_all(&mut tx, reply, true).await;
     }
-    let Ok(ask) = decode::<Attach>(&bytes) else {
+    let Ok(attach) = decode::<Attach>(&bytes) else {
         return refuse(&mut rep, StatusCode::BAD_REQUEST);
     };
-    send_events(rep, ask, handler).await
+    send_events(rep, attach, handler).await
 }
 
 async fn send_events(
     mut rep: SendResponse<Bytes>,
-    ask: Attach,
+    attach: Attach,
     handler: Arc<dyn PeerHandler>,
 ) -> Result<(), PeerError> {
     let mut out = rep.send_response(Response::new(()), false)?;
     let (tx, mut rx) = mpsc::channel(64);
-    let source = tokio::spawn(async move { handler.attach(ask, tx).await });
+    let source = tokio::spawn(async move { handler.attach(attach, tx).await });
     let pump = async {
         while let Some(event) = rx.recv().await {
             send_all(&mut out, encode_framed(&event)?, false).await?;
@@ -150,17 +151,18 @@
     Ok(())
 }
 
-/// Reads a whole message of limited size.
+/// Reads a stream to its end.
 ///
 /// # Errors
 ///
-/// Returns [`PeerError::TooLarge`] as soon as the bound is passed.
+/// Returns [`PeerError::TooLarge`] as soon as more than [`MAX_MESSAGE_BYTES`] have arrived, and
+/// [`PeerError::Broken`] if the stream was cut off.
 pub async fn read_all(stream: &mut RecvStream) -> Result<Bytes, PeerError> {
     let mut buf = BytesMut::new();
     while let Some(data) = stream.data().await {
         let data = data?;
         stream.flow_control().release_capacity(data.len())?;
-        if buf.len() + data.len() > MAX_MESSAGE {
+        if buf.len() + data.len() > MAX_MESSAGE_BYTES {
             return Err(PeerError::TooLarge(buf.len() + data.len()));
         }
         buf.extend_from_slice(&data);
@@ -168,11 +170,12 @@
     Ok(buf.freeze())
 }
 
-/// Sends bytes as the other side's window allows.
+/// Sends bytes as far as the peer's flow-control window allows, and closes the stream after
+/// them if `last` is set.
 ///
 /// # Errors
 ///
-/// Returns [`PeerError::Broken`] if the stream was cut.
+/// Returns [`PeerError::Broken`] if the stream was closed before all bytes were sent.
 pub async fn send_all(
     tx: &mut SendStream<Bytes>,
     mut bytes: Bytes,
--- a/src/peer/tls.rs
+++ b/src/peer/tls.rs
@@ -14,15 +14,15 @@
     tokio_rustls::{TlsAcceptor, TlsConnector},
 };
 
-/// The name that every daemon's certificate carries.
+/// The DNS name in the certificate of every daemon.
 pub const PEER_NAME: &str = "saddlepulley-peer";
 
-/// A byte stream to or from a peer.
+/// A byte stream to or from a peer, with or without TLS.
 pub trait PeerStream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> PeerStream for T {}
 
-/// Mutual TLS between daemons: both show a certificate of the same authority.
+/// Mutual TLS between daemons: both present a certificate of the same authority.
 pub struct PeerTls {
     connector: TlsConnector,
     acceptor: TlsAcceptor,
@@ -30,12 +30,13 @@
 }
 
 impl PeerTls {
-    /// Reads certificate, key and authority as the settings name them; none
-    /// where the settings ask for plain links.
+    /// Reads the certificate, key and authority from the files in the settings; returns none if
+    /// the settings turn TLS off.
     ///
     /// # Errors
     ///
-    /// Returns [`PeerError::Tls`] with the file that is wrong.
+    /// Returns [`PeerError::Tls`] if one of the three files is missing from the settings, can't
+    /// be read or holds no valid certificate or key.
     pub fn from_settings(s: &PeerSettings) -> Result<Option<Arc<Self>>, PeerError> {
         if s.plain {
             return Ok(None);
@@ -73,21 +74,21 @@
         })))
     }
 
-    /// Shakes hands as the one that connected.
+    /// Performs the TLS handshake as the client.
     ///
     /// # Errors
     ///
-    /// Returns [`PeerError::Tls`] if the other side's certificate isn't good.
+    /// Returns [`PeerError::Tls`] if the server's certificate is not valid or the handshake fails.
     pub async fn connect(&self, stream: TcpStream) -> Result<Box<dyn PeerStream>, PeerError> {
         let connected = self.connector.connect(self.name.clone(), stream).await;
         Ok(Box::new(connected.map_err(tls_error)?))
     }
 
-    /// Shakes hands as the one that listened.
+    /// Performs the TLS handshake as the server.
     ///
     /// # Errors
     ///
-    /// Returns [`PeerError::Tls`] if the other side's certificate isn't good.
+    /// Returns [`PeerError::Tls`] if the client's certificate is not valid or the handshake fails.
     pub async fn accept(&self, stream: TcpStream) -> Result<Box<dyn PeerStream>, PeerError> {
         let accepted = self.acceptor.accept(stream).await;
         Ok(Box::new(accepted.map_err(tls_error)?))
@@ -95,11 +96,11 @@
 }
 
 fn read_certs(path: &Path) -> Result<Vec<CertificateDer<'static>>, PeerError> {
-    let named = |e| PeerError::Tls(format!("{}: {e}", path.display()));
+    let with_path = |e| PeerError::Tls(format!("{}: {e}", path.display()));
     CertificateDer::pem_file_iter(path)
-        .map_err(named)?
+        .map_err(with_path)?
         .collect::<Result<_, _>>()
-        .map_err(named)
+        .map_err(with_path)
 }
 
 fn tls_error(e: impl std::fmt::Display) -> PeerError {
--- a/tests/decisions/suspension.rs
+++ b/tests/decisions/suspension.rs
@@ -4,7 +4,9 @@
 //! Suspensions are played by pausing the runtime's clock, on which timers are.
 
 use {
-    saddlepulley::clock::{BootInstant, SuspensionDetector, DeadlineElapsed, announce_resume, timeout},
+    saddlepulley::clock::{
+        BootInstant, DeadlineElapsed, SuspensionDetector, announce_resume, timeout,
+    },
     std::{
         future::{pending, poll_fn},
         pin::pin,
