--- a/src/boxes/box_table.rs
+++ b/src/boxes/box_table.rs
@@ -3,7 +3,8 @@
     std::collections::BTreeMap,
 };
 
-/// The most boxes that the table takes: a bound on what a peer can make us hold.
+/// Maximum number of boxes in the table, which bounds the memory that a peer can make this
+/// daemon use.
 pub const MAX_BOXES: usize = 20_000;
 
 /// All boxes that this daemon knows of.
@@ -13,12 +14,13 @@
 }
 
 impl BoxTable {
-    /// Folds a fact; returns whether it told anything new.
+    /// Merges a fact into the table; returns true if that changed the table. New boxes are ignored
+    /// when the table is full.
     pub fn fold(&mut self, fact: &BoxFact) -> bool {
-        let full = self.boxes.len() >= MAX_BOXES;
+        let is_full = self.boxes.len() >= MAX_BOXES;
         match self.boxes.get_mut(&fact.id) {
             Some(known) => known.merge(fact),
-            None if full => false,
+            None if is_full => false,
             None => {
                 self.boxes.insert(fact.id.clone(), fact.clone());
                 true
@@ -26,12 +28,13 @@
         }
     }
 
-    /// Takes a fact as the newest truth, for trials without monotone states.
+    /// Overwrites the fact of a box, for trials without monotone states.
     pub fn put(&mut self, fact: &BoxFact) {
         self.boxes.insert(fact.id.clone(), fact.clone());
     }
 
-    /// Moves a box's state forward; returns the fact if that told anything new.
+    /// Advances the state of a box's incarnation; returns the fact if that changed the table, and
+    /// none if the box is unknown or has another incarnation.
     pub fn advance(
         &mut self,
         id: &BoxId,
@@ -48,19 +51,19 @@
         self.fold(&fact).then_some(fact)
     }
 
-    /// Forgets boxes that are gone, save those to keep. A source that lags by
-    /// more than the caller waits could bring one back.
+    /// Removes the boxes in the state `Gone` that `keep` rejects. A source that lags by more than
+    /// the time for which the caller keeps them could bring one back.
     pub fn remove_missing(&mut self, keep: impl Fn(&BoxId) -> bool) {
         self.boxes
             .retain(|id, b| b.state != BoxState::Gone || keep(id));
     }
 
-    /// Returns what is known of a box.
+    /// Returns the fact of a box.
     pub fn get(&self, id: &BoxId) -> Option<&BoxFact> {
         self.boxes.get(id)
     }
 
-    /// Returns all boxes.
+    /// Returns the facts of all boxes.
     pub fn iter(&self) -> impl Iterator<Item = &BoxFact> {
         self.boxes.values()
     }
--- a/src/boxes/cache_hints.rs
+++ b/src/boxes/cache_hints.rs
@@ -3,11 +3,12 @@
     std::collections::{BTreeMap, BTreeSet, VecDeque},
 };
 
-/// Hints kept for each upstream: a bound on memory.
+/// Maximum number of hints for each upstream, which bounds memory.
 const MAX_HINTS: usize = 4_096;
 
-/// What upstreams are thought to have cached. Only a hint: cache events come
-/// late and with gaps.
+/// The blocks that upstreams are assumed to have in their prefix caches.
+///
+/// These are only hints, as cache events arrive late and with gaps.
 #[derive(Clone, Debug, Default)]
 pub struct CacheHints {
     upstreams: BTreeMap<BoxId, Hints>,
@@ -16,11 +17,12 @@
 #[derive(Clone, Debug, Default)]
 struct Hints {
     blocks: BTreeSet<u64>,
+    /// The blocks in the order of their insertion, for the eviction of the oldest.
     order: VecDeque<u64>,
 }
 
 impl CacheHints {
-    /// Notes blocks as cached.
+    /// Records blocks as cached; evicts the oldest ones above the maximum.
     pub fn stored(&mut self, id: &BoxId, hashes: &[u64]) {
         let hints = self.upstreams.entry(id.clone()).or_default();
         for hash in hashes {
@@ -36,17 +38,18 @@
         }
     }
 
-    /// Notes a block as removed.
+    /// Records a block as removed.
     pub fn removed(&mut self, id: &BoxId, hash: u64) {
         if let Some(hints) = self.upstreams.get_mut(id) {
             hints.blocks.remove(&hash);
         }
     }
 
-    /// Returns how many leading tokens an upstream is thought to have cached.
+    /// Returns how many leading tokens of a prompt an upstream is assumed to have cached;
+    /// `hashes` are the prompt's [prefix hashes](crate::engine::prefix_hashes).
     ///
-    /// A gap in the events may hide a block in the middle: the last known block
-    /// of the chain counts, as a block is only stored with those before it.
+    /// The last known block determines the number, as a block is only stored together with all
+    /// blocks before it: a gap in the events may hide one of these.
     pub fn cached_tokens(&self, id: &BoxId, hashes: &[u64]) -> u32 {
         let Some(hints) = self.upstreams.get(id) else {
             return 0;
@@ -55,7 +58,7 @@
         last.map_or(0, |i| (i as u32 + 1) * BLOCK_TOKENS)
     }
 
-    /// Forgets upstreams that are gone.
+    /// Removes the upstreams that `keep` rejects.
     pub fn retain(&mut self, keep: impl Fn(&BoxId) -> bool) {
         self.upstreams.retain(|id, _| keep(id));
     }
--- a/src/boxes/mod.rs
+++ b/src/boxes/mod.rs
@@ -1,4 +1,4 @@
-//! The boxes: what is known of each, and what this daemon has measured of upstreams.
+//! The known state of all boxes, and this daemon's measurements of the upstreams.
 
 mod box_table;
 mod cache_hints;
--- a/src/boxes/upstream_stats.rs
+++ b/src/boxes/upstream_stats.rs
@@ -3,25 +3,27 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// Own dispatches remembered for each upstream, until a report counts them in.
-const MAX_RECENT: usize = 1_024;
-/// The start of an adaptive limit.
-const START_LIMIT: u32 = 64;
+/// Maximum number of own dispatches that are remembered for each upstream until a load report
+/// includes them.
+const MAX_DISPATCHES: usize = 1_024;
+/// Initial value of the adaptive concurrency limit.
+const INITIAL_LIMIT: u32 = 64;
 
-/// What this daemon measured of one upstream.
+/// This daemon's measurements of one upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamStats {
-    /// Its last report of load.
+    /// The upstream's newest load report.
     pub load: Option<EngineLoad>,
-    /// Own requests in flight.
+    /// Number of this daemon's requests in flight.
     pub in_flight: u32,
-    /// The adaptive limit on them.
+    /// The adaptive limit on `in_flight`.
     pub limit: ConcurrencyLimit,
-    /// Until when it isn't asked again after a refused connection, in Unix milliseconds.
+    /// End of the time without requests after a refused connection, in Unix milliseconds.
     pub avoid_until_ms: u64,
-    /// Times of own dispatches, in Unix milliseconds.
+    /// Times of this daemon's dispatches that no load report can include yet, in Unix
+    /// milliseconds.
     dispatched: VecDeque<u64>,
-    /// The place of the next cache event.
+    /// The sequence number from which to read the next cache events.
     pub next_cache_event: u64,
 }
 
@@ -30,7 +32,7 @@
         Self {
             load: None,
             in_flight: 0,
-            limit: ConcurrencyLimit::new(START_LIMIT),
+            limit: ConcurrencyLimit::new(INITIAL_LIMIT),
             avoid_until_ms: 0,
             dispatched: VecDeque::new(),
             next_cache_event: 0,
@@ -39,21 +41,22 @@
 }
 
 impl UpstreamStats {
-    /// Notes a dispatch.
+    /// Records the dispatch of a request.
     pub fn start(&mut self, now_ms: u64) {
         self.in_flight += 1;
-        if self.dispatched.len() == MAX_RECENT {
+        if self.dispatched.len() == MAX_DISPATCHES {
             self.dispatched.pop_front();
         }
         self.dispatched.push_back(now_ms);
     }
 
-    /// Notes the end of a dispatch.
+    /// Records the end of a request.
     pub fn end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Takes a report; dispatches that it can have counted are forgotten.
+    /// Stores a load report unless it is older than the last one. Removes the dispatches up to the
+    /// time of the report, which it can include.
     pub fn report(&mut self, load: EngineLoad) {
         let newer = self
             .load
@@ -67,30 +70,30 @@
         self.load = Some(load);
     }
 
-    /// Returns how many own dispatches no report can have counted.
+    /// Returns the number of this daemon's dispatches that no load report can include yet.
     pub fn unreported(&self) -> u32 {
         self.dispatched.len() as u32
     }
 }
 
-/// What this daemon measured of all upstreams.
+/// This daemon's measurements of all upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct StatsTable {
     stats: BTreeMap<BoxId, UpstreamStats>,
 }
 
 impl StatsTable {
-    /// Returns the record of an upstream.
+    /// Returns the measurements of an upstream; creates them at the first use.
     pub fn of(&mut self, id: &BoxId) -> &mut UpstreamStats {
         self.stats.entry(id.clone()).or_default()
     }
 
-    /// Returns the record of an upstream, if there is one.
+    /// Returns the measurements of an upstream, if there are any.
     pub fn get(&self, id: &BoxId) -> Option<&UpstreamStats> {
         self.stats.get(id)
     }
 
-    /// Forgets upstreams that are gone.
+    /// Removes the upstreams that `keep` rejects and that have no requests in flight.
     pub fn retain(&mut self, keep: impl Fn(&BoxId) -> bool) {
         self.stats.retain(|id, s| keep(id) || s.in_flight > 0);
     }
--- a/src/clock/boot_instant.rs
+++ b/src/clock/boot_instant.rs
@@ -6,27 +6,28 @@
     },
 };
 
-/// A moment by a clock that begins with the machine and also counts while it is suspended.
+/// A point in time by `CLOCK_BOOTTIME`, which starts with the machine and also advances while
+/// the machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// Returns the present moment.
+    /// Returns the current time.
     ///
     /// # Panics
     ///
-    /// Panics on a system that lacks the clock: leases could not be kept there.
+    /// Panics on a system without this clock, as leases can't be kept safely there.
     pub fn now() -> Self {
         let now = clock_gettime(ClockId::CLOCK_BOOTTIME);
-        Self(now.expect("Linux has this clock").into())
+        Self(now.expect("Linux has CLOCK_BOOTTIME").into())
     }
 
-    /// Returns how long ago this was; nothing for what is to come.
+    /// Returns the time that has passed since this point; zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Self::now() - self
     }
 
-    /// Returns how long it is until this moment; nothing for what is past.
+    /// Returns the time that is left until this point; zero if it is in the past.
     pub fn left(self) -> Duration {
         self - Self::now()
     }
--- a/src/clock/mod.rs
+++ b/src/clock/mod.rs
@@ -1,8 +1,8 @@
-//! A clock that also counts while the machine is suspended, and waits by it.
+//! A clock that also advances while the machine is suspended, and timeouts that use it.
 //!
-//! The steady clock stands still then, and all timers with it. A lease, a deadline or an
-//! age that is held by it goes on where it stopped: its holder acts when another has
-//! long taken its place.
+//! The monotonic clock and all timers stop during a suspension. A lease, deadline or age that
+//! is measured by them continues where it stopped, so that its holder still acts long after
+//! another one has taken over.
 
 mod boot_instant;
 mod deadline;
--- a/src/clock/suspension.rs
+++ b/src/clock/suspension.rs
@@ -7,53 +7,56 @@
     tokio::sync::watch,
 };
 
-/// How often is looked whether the machine was suspended: so much later than its time a
-/// deadline is noticed at most that passed meanwhile.
+/// Interval of the checks for a suspension. A deadline that elapses during a suspension is
+/// noticed at most this long after the machine has resumed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// By how much the two clocks may drift apart between two looks without a suspension, in
-/// milliseconds: they are read one after the other, and a thread may be held up in between.
+/// Largest change of the offset between the two clocks, in milliseconds, that does not count as
+/// a suspension: the clocks are read one after the other, and the thread may be preempted in
+/// between.
 const DRIFT_MS: u64 = 100;
 
-/// Counts the times that the machine was resumed.
+/// Counts the resumes of the machine, and notifies the futures that wait for a deadline.
 static RESUMES: LazyLock<watch::Sender<u64>> = LazyLock::new(|| watch::Sender::new(0));
 
-/// Detects that the machine was suspended, by two clocks of which one stands still meanwhile.
+/// Detects suspensions of the machine from two clocks, of which one stops during a suspension.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SuspensionDetector {
-    apart_ms: Option<u64>,
+    /// How far the boot clock was ahead at the last observation, in milliseconds.
+    offset_ms: Option<u64>,
 }
 
 impl SuspensionDetector {
-    /// Takes in what both clocks say, in milliseconds since any moment each; returns for
-    /// how long the machine was suspended since the last look, if it was.
-    pub fn look(&mut self, steady_ms: u64, boot_ms: u64) -> Option<u64> {
-        let apart_ms = boot_ms.saturating_sub(steady_ms);
-        let before_ms = self.apart_ms.replace(apart_ms)?;
-        let suspended_ms = apart_ms.saturating_sub(before_ms);
+    /// Observes both clocks, each in milliseconds since its own arbitrary start. Returns how long
+    /// the machine was suspended since the last observation, in milliseconds; none if it was not.
+    pub fn observe(&mut self, steady_ms: u64, boot_ms: u64) -> Option<u64> {
+        let offset_ms = boot_ms.saturating_sub(steady_ms);
+        let before_ms = self.offset_ms.replace(offset_ms)?;
+        let suspended_ms = offset_ms.saturating_sub(before_ms);
         (suspended_ms > DRIFT_MS).then_some(suspended_ms)
     }
 }
 
-/// Looks for suspensions, and wakes what waits for a deadline.
+/// Checks for suspensions, without end, and wakes all futures that wait for a deadline after
+/// each one.
 pub async fn watch_for_suspensions() {
     let (steady, boot) = (Instant::now(), BootInstant::now());
-    let mut watch = SuspensionDetector::default();
+    let mut detector = SuspensionDetector::default();
     loop {
         let (steady_ms, boot_ms) = (steady.elapsed().as_millis(), boot.elapsed().as_millis());
-        if let Some(suspended_ms) = watch.look(steady_ms as u64, boot_ms as u64) {
-            log::warn!(target: "clock", "the machine was suspended. for_ms={suspended_ms}");
+        if let Some(suspended_ms) = detector.observe(steady_ms as u64, boot_ms as u64) {
+            log::warn!(target: "clock", "machine was suspended. for_ms={suspended_ms}");
             announce_resume();
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Wakes what waits for a deadline, to look at the time again.
+/// Wakes all futures that wait for a deadline, so that they check the time again.
 pub fn announce_resume() {
     RESUMES.send_modify(|n| *n += 1);
 }
 
-/// Returns what tells of resumes from now on.
+/// Returns a receiver that is notified of each resume from now on.
 pub(super) fn resumes() -> watch::Receiver<u64> {
     RESUMES.subscribe()
 }
--- a/src/failure_domains/domain_view.rs
+++ b/src/failure_domains/domain_view.rs
@@ -3,20 +3,20 @@
     std::collections::BTreeMap,
 };
 
-/// A failure domain as this box sees it.
+/// The state of a failure domain as this box sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct DomainView {
-    /// Entry boxes that are live and were heard of lately.
+    /// Number of live entry boxes that are not silent.
     pub daemons: usize,
-    /// Entry boxes that are live by all that is known, but silent.
+    /// Number of entry boxes that are known as live, but don't answer this box.
     pub silent_daemons: usize,
-    /// Live upstreams.
+    /// Number of live upstreams.
     pub upstreams: usize,
-    /// Upstreams that are leaving.
+    /// Number of upstreams that are leaving.
     pub leaving: usize,
 }
 
-/// Counts each failure domain's boxes.
+/// Counts the boxes of each failure domain by kind and state.
 pub fn domain_views(boxes: &BoxTable, links: &LinkTable) -> BTreeMap<FailureDomain, DomainView> {
     let mut views: BTreeMap<FailureDomain, DomainView> = BTreeMap::new();
     for b in boxes.iter() {
--- a/src/failure_domains/mod.rs
+++ b/src/failure_domains/mod.rs
@@ -1,4 +1,4 @@
-//! Failure domains as this box sees them.
+//! The state of the failure domains as this box sees them.
 
 mod domain_view;
 
--- a/src/http/call_once.rs
+++ b/src/http/call_once.rs
@@ -11,7 +11,7 @@
     tokio::{net::TcpStream, task::AbortHandle},
 };
 
-/// Ends a connection's task when dropped.
+/// Aborts the task of a connection when dropped, which closes the connection.
 struct Connection(AbortHandle);
 
 impl Drop for Connection {
@@ -20,8 +20,9 @@
     }
 }
 
-/// Makes a call over a connection of its own. When it takes too long, the
-/// connection is reset, so that nothing of the call arrives any later.
+/// Makes a call over a new connection, and closes it after the call.
+///
+/// After a timeout the connection is reset, so that no part of the call arrives later.
 ///
 /// # Errors
 ///
@@ -47,7 +48,7 @@
         .await
         .map_err(broken)?;
     let task = tokio::spawn(async move {
-        // Its error reaches the call.
+        // The call returns the error of the connection.
         let _ = connection.await;
     });
     let _connection = Connection(task.abort_handle());
@@ -59,8 +60,8 @@
     Ok((status, full_body(answer.into_body()).await?))
 }
 
-/// Lets a connection be reset when it is closed: what was not delivered by
-/// then is discarded, not sent on behind the back of the one who gave it up.
+/// Makes a connection be reset when it is closed (`SO_LINGER` of 0): the kernel discards bytes
+/// that are not yet delivered, instead of sending them after the caller has given up the call.
 ///
 /// # Errors
 ///
--- a/src/http/http_client.rs
+++ b/src/http/http_client.rs
@@ -13,16 +13,16 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The header by which an upstream says that it did not start a call.
+/// The response header with which an upstream reports that it did not start a call.
 pub const NOT_STARTED: &str = "x-not-started";
 
-/// How long a connection attempt may take.
+/// Limits the time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The largest body that is read whole.
+/// Upper limit of a response body that is read into memory, in bytes.
 pub const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Calls over HTTP by IP number, with pooled connections.
+/// Makes HTTP calls to IP addresses over pooled connections.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -33,7 +33,7 @@
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // A call is only repeated by a decision of ours, never by the pool.
+        // Only the daemon decides on retries, never the connection pool.
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build(connector);
@@ -42,11 +42,11 @@
 }
 
 impl HttpClient {
-    /// Sends a request and returns the answer's head; its body is still to be read.
+    /// Sends a request and returns the response as soon as its head has arrived.
     ///
     /// # Errors
     ///
-    /// Returns how the call failed; an answer other than 2xx is a failure.
+    /// Returns how the call failed; a response with a status other than 200 is a failure.
     pub async fn open(
         &self,
         req: Request<Full<Bytes>>,
@@ -56,11 +56,12 @@
         check_status(rep)
     }
 
-    /// Sends a request and returns the answer, whatever its status.
+    /// Sends a request and returns the response with any status, as soon as its head has
+    /// arrived.
     ///
     /// # Errors
     ///
-    /// Returns how the call failed; a typed refusal is a failure too.
+    /// Returns how the call failed; a response with the header [`NOT_STARTED`] is a failure.
     pub async fn exchange(
         &self,
         req: Request<Full<Bytes>>,
@@ -76,8 +77,8 @@
         Ok(rep)
     }
 
-    /// Sends a request and reads the whole answer. Its head, and then each
-    /// further part of it, may take up to `timeout`.
+    /// Sends a request and returns the body of the response. The head, and then each further
+    /// part of the body, may take up to `timeout`.
     ///
     /// # Errors
     ///
@@ -106,7 +107,7 @@
         from_json(&self.call(req, timeout).await?)
     }
 
-    /// Posts a body and returns the answer's.
+    /// Posts a body and returns the body of the response.
     ///
     /// # Errors
     ///
@@ -127,7 +128,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`HttpError::Malformed`] for a method or path that can't be sent.
+/// Returns [`HttpError::Malformed`] if the method or path is invalid.
 pub fn request(
     method: &str,
     addr: SocketAddr,
@@ -144,51 +145,50 @@
     Ok(req)
 }
 
-/// Reads a whole body of limited size.
+/// Reads a body to its end, up to [`MAX_BODY_BYTES`].
 ///
 /// # Errors
 ///
-/// Returns [`HttpError::Broken`] if it is cut or too large.
+/// Returns [`HttpError::Broken`] if the body is cut off or too large.
 pub async fn full_body(body: Incoming) -> Result<Bytes, HttpError> {
-    let whole = Limited::new(body, MAX_BODY_BYTES).collect().await;
-    Ok(whole
+    let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
+    Ok(collected
         .map_err(|e| HttpError::Broken(e.to_string()))?
         .to_bytes())
 }
 
-/// Reads a whole body of limited size for as long as it keeps arriving.
+/// Reads a body to its end, up to [`MAX_BODY_BYTES`], for as long as it keeps arriving.
 ///
-/// Silence is bounded, not the whole: a fixed time for all of it is too short
-/// for some size on some link, and a call that is cut off and repeated then
-/// never ends.
+/// Limits the gap between two parts, not the total time: any fixed total is too short for some
+/// body on some slow link, and a call that times out and is retried there never succeeds.
 ///
 /// # Errors
 ///
-/// Returns [`HttpError::Timeout`] if nothing came for `silence`, and
-/// [`HttpError::Broken`] if the body is cut or too large.
+/// Returns [`HttpError::Timeout`] if nothing arrives for `idle_timeout`, and
+/// [`HttpError::Broken`] if the body is cut off or too large.
 pub async fn full_body_with_idle_timeout(
     body: Incoming,
-    silence: Duration,
+    idle_timeout: Duration,
 ) -> Result<Bytes, HttpError> {
     let mut body = Limited::new(body, MAX_BODY_BYTES);
-    let mut whole = BytesMut::new();
+    let mut bytes = BytesMut::new();
     loop {
-        let next = clock::timeout(silence, body.frame()).await;
-        let Some(frame) = next.map_err(|_| HttpError::Timeout(silence))? else {
-            return Ok(whole.freeze());
+        let next = clock::timeout(idle_timeout, body.frame()).await;
+        let Some(frame) = next.map_err(|_| HttpError::Timeout(idle_timeout))? else {
+            return Ok(bytes.freeze());
         };
         let frame = frame.map_err(|e| HttpError::Broken(e.to_string()))?;
         if let Some(data) = frame.data_ref() {
-            whole.extend_from_slice(data);
+            bytes.extend_from_slice(data);
         }
     }
 }
 
-/// Reads a JSON value.
+/// Parses a JSON value.
 ///
 /// # Errors
 ///
-/// Returns [`HttpError::Malformed`].
+/// Returns [`HttpError::Malformed`] if the bytes are not JSON of this type.
 pub fn from_json<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, HttpError> {
     serde_json::from_slice(bytes).map_err(|e| HttpError::Malformed(e.to_string()))
 }
--- a/src/http/http_error.rs
+++ b/src/http/http_error.rs
@@ -1,6 +1,8 @@
 use std::time::Duration;
 
-/// Says how a call over HTTP failed, and whether it can have had an effect.
+/// The failure of a call over HTTP, which also says if the call can have had an effect.
+///
+/// The texts reach clients in the details of a failed request.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum HttpError {
     /// no connection: {0}
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! What HTTP clients and servers of ours share.
+//! HTTP clients, and the request bodies of HTTP servers.
 
 mod call_once;
 mod http_client;
--- a/src/http/request_body.rs
+++ b/src/http/request_body.rs
@@ -10,31 +10,32 @@
     tokio::runtime::Handle,
 };
 
-/// How much of a body is read, and for how long.
+/// Limits of reading a body.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyLimits {
-    /// The most bytes.
+    /// Maximum number of bytes to read.
     pub max_bytes: usize,
-    /// The longest time.
+    /// Maximum time to read the rest of a body that was dropped unread.
     pub timeout: Duration,
 }
 
-/// The body of a request to a server of ours.
+/// The body of a request to one of the daemon's HTTP servers.
 ///
-/// What nobody has read of it when it is dropped is read and thrown away, within its
-/// limits. Left unread, its bytes would reset the connection, which takes the answer
-/// away from the client and loses what it asks next: of 72 refusals given before the
-/// body, and requests after them, 48 on loopback.
+/// When it is dropped, the unread rest is read and discarded, within its limits. Unread bytes
+/// would reset the connection, so that the client loses the answer, and its next request on
+/// the connection too: of 72 refusals that were sent before the body was read, with the
+/// requests after them, 48 were lost on loopback.
 #[derive(Debug)]
 pub struct RequestBody {
     body: Option<Incoming>,
     limits: BodyLimits,
-    /// Whether the client sends it only once it is told to: when it is first read.
+    /// Set while the client waits for `100 Continue`, which it gets when the body is first read.
     expects_continue: bool,
 }
 
 impl RequestBody {
-    /// Makes the body of a request that has just come.
+    /// Wraps the body of a request that has just arrived; `expects_continue` is set if the
+    /// request has `Expect: 100-continue`.
     pub fn new(body: Incoming, limits: BodyLimits, expects_continue: bool) -> Self {
         Self {
             body: Some(body),
@@ -80,19 +81,19 @@
         if body.is_end_stream() || self.expects_continue {
             return;
         }
-        // Without a runtime there is no connection left, either.
+        // Without a runtime the connection is closed already.
         if let Ok(runtime) = Handle::try_current() {
             runtime.spawn(discard(body, self.limits));
         }
     }
 }
 
-/// Reads a body and keeps nothing of it. One that is too large, or takes too long,
-/// is dropped, which ends its connection.
+/// Reads a body to its end and discards it. A body that exceeds the limits is dropped, which
+/// closes its connection.
 async fn discard(body: Incoming, limits: BodyLimits) {
     let mut body = Limited::new(body, limits.max_bytes);
     let read = async { while let Some(Ok(_)) = body.frame().await {} };
     if tokio::time::timeout(limits.timeout, read).await.is_err() {
-        log::info!(target: "client", "the body of a refused request took too long.");
+        log::info!(target: "client", "the unread body of a refused request did not arrive within the timeout.");
     }
 }
--- a/src/links/journal.rs
+++ b/src/links/journal.rs
@@ -1,7 +1,9 @@
 use {crate::names::*, std::collections::BTreeMap};
 
-/// Which boxes changed, in order: each link reads it from its own place on, so
-/// that every change is sent once per link.
+/// The boxes that changed, in the order of their last change.
+///
+/// Each link reads the journal from its own cursor on, so that each change is sent once per
+/// link.
 #[derive(Clone, Debug, Default)]
 pub struct Journal {
     by_seq: BTreeMap<u64, BoxId>,
@@ -10,7 +12,8 @@
 }
 
 impl Journal {
-    /// Notes a change; an earlier one of the same box need not be sent any more.
+    /// Records a change of a box. Replaces an earlier change of the same box, which need not be
+    /// sent any more.
     pub fn push(&mut self, id: &BoxId) {
         if let Some(old) = self.by_box.insert(id.clone(), self.next) {
             self.by_seq.remove(&old);
@@ -19,11 +22,11 @@
         self.next += 1;
     }
 
-    /// Returns up to `most` changed boxes from a place on, and the place after them.
-    pub fn since(&self, place: u64, most: usize) -> (Vec<BoxId>, u64) {
+    /// Returns up to `max` changed boxes from a cursor on, and the cursor after them.
+    pub fn since(&self, cursor: u64, max: usize) -> (Vec<BoxId>, u64) {
         let mut ids = Vec::new();
-        for (seq, id) in self.by_seq.range(place..) {
-            if ids.len() == most {
+        for (seq, id) in self.by_seq.range(cursor..) {
+            if ids.len() == max {
                 return (ids, *seq);
             }
             ids.push(id.clone());
@@ -31,14 +34,14 @@
         (ids, self.next)
     }
 
-    /// Forgets a box.
+    /// Removes the change of a box.
     pub fn forget(&mut self, id: &BoxId) {
         if let Some(seq) = self.by_box.remove(id) {
             self.by_seq.remove(&seq);
         }
     }
 
-    /// Returns the place after the last change.
+    /// Returns the cursor after the last change.
     pub fn end(&self) -> u64 {
         self.next
     }
--- a/src/links/link_table.rs
+++ b/src/links/link_table.rs
@@ -8,35 +8,37 @@
     },
 };
 
-/// The links of this box, and when each peer was heard last.
+/// The clients for the other daemons, and the time of the last contact with each of them.
 pub struct LinkTable {
     tls: Option<Arc<PeerTls>>,
     local_ip: IpAddr,
+    /// How long calls to a peer may fail before it counts as silent, in milliseconds.
     silence_ms: u64,
     clients: Mutex<HashMap<SocketAddr, Arc<PeerClient>>>,
-    heard: Mutex<HashMap<BoxId, Heard>>,
+    contacts: Mutex<HashMap<BoxId, Contact>>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
-    at_ms: u64,
-    /// Calls that failed since then.
+struct Contact {
+    /// Time of the last contact, in Unix milliseconds; 0 if there was none.
+    last_seen_ms: u64,
+    /// Number of calls that failed since the last contact.
     failures: u32,
 }
 
 impl LinkTable {
-    /// Makes an empty table; connections leave from `local_ip`.
+    /// Creates an empty table; connections leave from `local_ip`.
     pub fn new(tls: Option<Arc<PeerTls>>, local_ip: IpAddr, silence_ms: u64) -> Self {
         Self {
             tls,
             local_ip,
             silence_ms,
             clients: Mutex::default(),
-            heard: Mutex::default(),
+            contacts: Mutex::default(),
         }
     }
 
-    /// Returns the client for an address.
+    /// Returns the client for an address; creates it at the first use.
     pub fn client(&self, addr: SocketAddr) -> Arc<PeerClient> {
         let mut clients = self.clients.lock();
         clients
@@ -45,42 +47,48 @@
             .clone()
     }
 
-    /// Forgets clients of addresses that no box has any more.
+    /// Removes the clients of addresses that `keep` rejects.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.clients.lock().retain(|addr, _| keep(addr));
     }
 
-    /// Notes a sign of life.
+    /// Records a contact with a peer, now, and resets its failures.
     pub fn heard(&self, id: &BoxId) {
-        let heard = Heard {
-            at_ms: now_ms(),
+        let contact = Contact {
+            last_seen_ms: now_ms(),
             failures: 0,
         };
-        self.heard.lock().insert(id.clone(), heard);
+        self.contacts.lock().insert(id.clone(), contact);
     }
 
-    /// Notes a call that failed.
+    /// Records a failed call to a peer.
     pub fn failed(&self, id: &BoxId) {
-        self.heard.lock().entry(id.clone()).or_default().failures += 1;
+        self.contacts.lock().entry(id.clone()).or_default().failures += 1;
     }
 
-    /// Returns whether calls to a peer failed for longer than the allowed silence.
+    /// Returns whether calls to a peer have failed since a last contact that is longer ago than
+    /// the allowed silence.
     pub fn is_silent(&self, id: &BoxId) -> bool {
-        let heard = self.heard.lock();
-        let Some(h) = heard.get(id) else { return false };
-        h.failures > 0 && now_ms().saturating_sub(h.at_ms) > self.silence_ms
+        let contacts = self.contacts.lock();
+        let Some(contact) = contacts.get(id) else {
+            return false;
+        };
+        contact.failures > 0 && now_ms().saturating_sub(contact.last_seen_ms) > self.silence_ms
     }
 
-    /// Returns whether a peer gave a sign of life in the last milliseconds.
+    /// Returns whether the last contact with a peer is less than `ms` milliseconds ago.
     pub fn seen_within(&self, id: &BoxId, ms: u64) -> bool {
-        let heard = self.heard.lock();
-        heard
+        let contacts = self.contacts.lock();
+        contacts
             .get(id)
-            .is_some_and(|h| now_ms().saturating_sub(h.at_ms) < ms)
+            .is_some_and(|contact| now_ms().saturating_sub(contact.last_seen_ms) < ms)
     }
 
     /// Returns whether the last call to a peer failed.
     pub fn is_failing(&self, id: &BoxId) -> bool {
-        self.heard.lock().get(id).is_some_and(|h| h.failures > 0)
+        self.contacts
+            .lock()
+            .get(id)
+            .is_some_and(|contact| contact.failures > 0)
     }
 }
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -1,4 +1,4 @@
-//! Links to other daemons, and what travels on them.
+//! Links to other daemons, and the journals of the changes that are sent on them.
 
 mod journal;
 mod link_table;
--- a/src/names/clock.rs
+++ b/src/names/clock.rs
@@ -2,7 +2,7 @@
 
 /// Returns the time in milliseconds since the Unix epoch.
 ///
-/// Only the shell calls this; decision code takes the time as an argument.
+/// Only code that performs I/O calls this; decision code takes the time as an argument.
 pub fn now_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/names/mod.rs
+++ b/src/names/mod.rs
@@ -1,4 +1,4 @@
-//! Names and identifiers that every part shares.
+//! Names and identifiers that all modules share.
 
 mod clock;
 mod name;
--- a/src/names/name.rs
+++ b/src/names/name.rs
@@ -11,7 +11,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -44,15 +44,15 @@
 }
 
 name_type! {
-    /// The name of a box, given by the platform and never used twice at once.
+    /// The name of a box, assigned by the platform; no two boxes have the same name at a time.
     BoxId
 }
 name_type! {
-    /// The name of a failure domain: boxes that can be taken back or cut off together.
+    /// The name of a failure domain: boxes that can be reclaimed or cut off together.
     FailureDomain
 }
 name_type! {
-    /// The name of a client account, as it stands in the table.
+    /// The name of a client account, as in the table.
     ClientAccount
 }
 name_type! {
@@ -68,7 +68,7 @@
     PolicyName
 }
 name_type! {
-    /// The id of one life of an upstream: a restart brings a new one, also where the
-    /// upstream keeps its own.
+    /// The id of one incarnation of an upstream; each restart gets a new one, even if the
+    /// upstream keeps its own id.
     UpstreamId
 }
--- a/src/names/request_fingerprint.rs
+++ b/src/names/request_fingerprint.rs
@@ -4,21 +4,22 @@
     std::fmt,
 };
 
-/// What a request is known by when it comes again: its caller, method, path and body.
-/// All daemons compute the same for the same request, whatever the id of its attempt.
+/// Identifies a request that a client sends again: a hash of its client account, method, path
+/// and body. All daemons compute the same fingerprint for the same request, whatever the id of
+/// the attempt.
 ///
-/// A cryptographic hash, so that no caller can make a request that passes for another
-/// one's.
+/// The hash is cryptographic, so that no client can make a request that collides with the
+/// request of another client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestFingerprint(u128);
 
 impl RequestFingerprint {
-    /// Computes the fingerprint of a request; no account stands for a public route.
+    /// Computes the fingerprint of a request; requests of public routes have no account.
     pub fn of(account: Option<&ClientAccount>, method: &str, target: &str, body: &[u8]) -> Self {
         let caller = account.map_or("", ClientAccount::as_str);
         let mut hasher = Sha256::new();
         for field in [caller.as_bytes(), method.as_bytes(), target.as_bytes()] {
-            // Lengths keep fields apart.
+            // The length prefixes separate the fields unambiguously.
             hasher.update((field.len() as u64).to_be_bytes());
             hasher.update(field);
         }
@@ -33,7 +34,7 @@
         self.0
     }
 
-    /// Makes a fingerprint of a number that another daemon told.
+    /// Restores a fingerprint from the number that another daemon sent.
     pub fn from_number(number: u128) -> Self {
         Self(number)
     }
--- a/src/names/request_id.rs
+++ b/src/names/request_id.rs
@@ -4,15 +4,15 @@
     uuid::Uuid,
 };
 
-/// The identifier of a request: a UUIDv7, which carries its time in milliseconds.
+/// The identifier of a request: a UUIDv7, which contains its time of creation in milliseconds.
 ///
-/// A caller's `Idempotency-Key` is the request's identifier; a request sent
-/// without one gets a fresh identifier, with 74 random bits.
+/// A client's `Idempotency-Key` becomes the request's identifier; a request without one gets a
+/// new identifier, with 74 random bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(Uuid);
 
-/// Says why a text is no request identifier.
+/// The reason why a text is not a request identifier.
 #[derive(Debug, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum RequestIdError {
     /// expected a UUID of version 7
@@ -20,22 +20,21 @@
 }
 
 impl RequestId {
-    /// Makes a fresh identifier.
+    /// Creates an identifier with the current time.
     pub fn fresh() -> Self {
         Self(Uuid::now_v7())
     }
 
-    /// Wraps a UUID without a look at its version, for tests and decoded messages.
+    /// Wraps a UUID without a check of its version, for tests and decoded messages.
     pub fn from_uuid(uuid: Uuid) -> Self {
         Self(uuid)
     }
 
-    /// Returns the UUID.
     pub fn uuid(&self) -> Uuid {
         self.0
     }
 
-    /// Returns the time inside the identifier, in milliseconds since the Unix epoch.
+    /// Returns the time of creation, in milliseconds since the Unix epoch; 0 if the UUID has none.
     pub fn unix_ms(&self) -> u64 {
         self.0.get_timestamp().map_or(0, |t| {
             let (s, ns) = t.to_unix();
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -35,8 +35,8 @@
     FetchTable(u64),
     /// Appends claims to the log, in a batch with those of other boxes of the failure domain.
     AppendClaims(Vec<ClaimRecord>),
-    /// Queries whether the called box has given up a claim: the reply is [`PeerReply::Refused`] if it
-    /// has, and [`PeerReply::Done`] otherwise.
+    /// Queries whether the called box has given up a claim. If it has, it appends the release to
+    /// the log again and replies [`PeerReply::Refused`], otherwise [`PeerReply::Done`].
     QueryClaim(ClaimKey),
 }
 
@@ -53,7 +53,8 @@
     Superseded(BoxId),
     /// How the called box relates to each of the queried requests, in the order of the query.
     Ownership(Vec<Ownership>),
-    /// What changed at the called box since the last reply on this link.
+    /// The state of the called box and its log offset of the table, without facts and loads:
+    /// each box sends these only on the links that it opened itself, so that none is sent twice.
     Heartbeat(HeartbeatPayload),
     /// How far each copy has got.
     Replicated(Vec<Ack>),
--- a/src/provider/box_list.rs
+++ b/src/provider/box_list.rs
@@ -1,6 +1,6 @@
 use {super::PlatformError, crate::policy::BoxFact, async_trait::async_trait};
 
-/// The platform's list of live and leaving boxes, which lags.
+/// The platform's list of live and leaving boxes, which lags behind their actual state.
 #[async_trait]
 pub trait BoxList: Send + Sync {
     /// Returns the list.
--- a/src/provider/cloud_api.rs
+++ b/src/provider/cloud_api.rs
@@ -5,38 +5,38 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A notice that a box will be taken back.
+/// A notice that the platform will reclaim a box.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ReclaimNotice {
-    /// Its place in the sequence of notices.
+    /// The sequence number of the notice.
     pub seq: u64,
-    /// The box.
+    /// The box to be reclaimed.
     pub id: BoxId,
-    /// Which life of the box.
+    /// The incarnation of the box.
     pub incarnation: u64,
-    /// When it is taken, in Unix milliseconds.
+    /// When the box is reclaimed, in Unix milliseconds.
     pub leaves_at_ms: u64,
 }
 
 /// An order for one box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxOrder {
-    /// The same token orders once, however often it is sent.
+    /// Makes the order idempotent: orders with the same token order one box.
     pub client_token: String,
-    /// The fencing token of the orderer's lease.
+    /// The fencing token of the sender's lease.
     pub fence: u64,
-    /// Where the box shall stand.
+    /// The failure domain of the new box.
     pub failure_domain: FailureDomain,
-    /// Its price class.
+    /// The price class of the new box.
     pub class: BoxClass,
-    /// The service that it shall serve.
+    /// The service that the new box runs.
     pub service: ServiceName,
 }
 
 /// The cloud API: reclaim notices, and orders for boxes.
 #[async_trait]
 pub trait CloudApi: Send + Sync {
-    /// Returns the notices from a place in the sequence on, and waits for one.
+    /// Returns the notices from a sequence number on; waits up to `wait_ms` if there are none yet.
     ///
     /// # Errors
     ///
@@ -47,10 +47,11 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Unknown`] if it may have been ordered: settle it with [`CloudApi::orders`].
+    /// Returns [`PlatformError::Unknown`] if the platform may have accepted the order, which
+    /// [`CloudApi::orders`] then shows.
     async fn order(&self, order: &BoxOrder) -> Result<(), PlatformError>;
 
-    /// Returns the orders that were taken.
+    /// Returns the orders that the platform has accepted.
     ///
     /// # Errors
     ///
--- a/src/provider/mod.rs
+++ b/src/provider/mod.rs
@@ -1,4 +1,5 @@
-//! The platform: log service, box list, cloud API and weight store, each behind a trait.
+//! Clients of the platform: log service, box list, cloud API and weight store, each behind a
+//! trait.
 
 mod box_list;
 mod cloud_api;
--- a/src/provider/platform_error.rs
+++ b/src/provider/platform_error.rs
@@ -1,15 +1,15 @@
 use crate::http::HttpError;
 
-/// Says how a call to the platform failed.
+/// The failure of a call to the platform.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum PlatformError {
-    /// the platform did not take it: {0}
+    /// the platform did not accept the call: {0}
     NotAccepted(HttpError),
-    /// the platform may or may not have taken it: {0}
+    /// the platform may have accepted the call: {0}
     Unknown(HttpError),
-    /// refused: an older fencing token
+    /// the platform refused the call: older fencing token
     Fenced,
-    /// refused: no capacity or over the rate
+    /// the platform refused the call: no capacity, or rate limit reached
     Refused,
 }
 
--- a/src/provider/platform_http.rs
+++ b/src/provider/platform_http.rs
@@ -6,10 +6,10 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How long a call to the platform may take, beside the wait it asks for.
+/// Limits a call to the platform, in addition to the wait that the call requests.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The platform over HTTP.
+/// Calls the platform over HTTP.
 #[derive(Clone, Debug)]
 pub struct PlatformHttp {
     addr: SocketAddr,
@@ -37,7 +37,7 @@
 }
 
 impl PlatformHttp {
-    /// Makes a client of the platform at an address.
+    /// Creates a client of the platform at an address.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
--- a/src/provider/platform_log.rs
+++ b/src/provider/platform_log.rs
@@ -3,16 +3,16 @@
 /// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct LogEntry {
-    /// Its offset.
+    /// The offset of the record.
     pub offset: u64,
-    /// What was appended.
+    /// The appended data.
     pub data: String,
 }
 
-/// A part of a stream.
+/// A range of records of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct LogPage {
-    /// The lowest offset that retention has left.
+    /// The lowest offset that the log still retains.
     pub first: u64,
     /// The offset of the next append.
     pub next: u64,
@@ -27,10 +27,11 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::NotAccepted`] if it is certainly not in the log; else it may be.
+    /// Returns [`PlatformError::NotAccepted`] if the record is certainly not in the log; after any
+    /// other error it may be.
     async fn append(&self, stream: &str, data: String) -> Result<u64, PlatformError>;
 
-    /// Reads from an offset, and waits up to `wait_ms` for a record.
+    /// Reads the records from an offset on; waits up to `wait_ms` if there are none yet.
     ///
     /// # Errors
     ///
--- a/src/provider/source_monitor.rs
+++ b/src/provider/source_monitor.rs
@@ -8,22 +8,23 @@
     tokio::sync::watch,
 };
 
-/// How much longer than its hold a read may take before another one is begun beside it.
+/// How long after the end of its hold time a read may remain unanswered before a second read
+/// starts beside it.
 const OVERDUE_AFTER: Duration = Duration::from_millis(400);
 
-/// Watches all calls of a daemon to a shared source, so that none waits for an answer that
-/// won't come while others are answered.
+/// Monitors all calls of a daemon to a shared source, so that no call waits for a lost answer
+/// while the source answers others.
 #[derive(Debug)]
 pub struct SourceMonitor {
     started: BootInstant,
-    silence: watch::Sender<SourceHealth>,
+    health: watch::Sender<SourceHealth>,
 }
 
 impl Default for SourceMonitor {
     fn default() -> Self {
         Self {
             started: BootInstant::now(),
-            silence: watch::Sender::default(),
+            health: watch::Sender::default(),
         }
     }
 }
@@ -33,16 +34,16 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Makes a call and notes whether the source answered.
+    /// Makes a call and records if the source answered it.
     ///
     /// # Errors
     ///
     /// Returns the error of the call.
     pub async fn call<T, E>(&self, call: impl Future<Output = Result<T, E>>) -> Result<T, E> {
         let began_ms = self.now_ms();
-        // Nobody waits for this.
-        self.silence.send_if_modified(|silence| {
-            silence.record_call(began_ms);
+        // The start of a call concerns no subscriber.
+        self.health.send_if_modified(|health| {
+            health.record_call(began_ms);
             false
         });
         let answer = call.await;
@@ -55,28 +56,31 @@
     }
 
     fn record_failure(&self, began_ms: u64) {
-        self.silence.send_if_modified(|silence| {
-            let was_silent = silence.is_silent();
-            silence.record_failure(began_ms);
+        self.health.send_if_modified(|health| {
+            let was_silent = health.is_silent();
+            health.record_failure(began_ms);
             !was_silent
         });
     }
 
     fn record_answer(&self, now_ms: u64) {
-        self.silence.send_if_modified(|silence| {
-            let silent_ms = silence.record_answer(now_ms);
+        self.health.send_if_modified(|health| {
+            let silent_ms = health.record_answer(now_ms);
             if let Some(silent_ms) = silent_ms {
-                log::info!(target: "store", "the source answers again. silent_ms={silent_ms}");
+                log::info!(target: "store", "source answers again. silent_ms={silent_ms}");
             }
             silent_ms.is_some()
         });
     }
 
-    /// Begins a read that the source may hold until there is news, and returns its answer.
-    /// One that began while the source was silent, or just before, may hang on after its
-    /// return for as long as it is waited for, and what came meanwhile with it: further ones
-    /// are begun beside it, one as soon as any call is answered again, and the first answer
-    /// counts. The first read is waited for, however slow it is.
+    /// Makes a long poll: a read that the source may hold for up to `hold` until there are
+    /// changes. Returns the first answer.
+    ///
+    /// A read that began while the source was silent, or just before, may hang even after the
+    /// source has recovered, and delay the changes since. So further reads, which the source does
+    /// not hold, are started beside it: as soon as any call is answered again, when the first
+    /// read is overdue, and at each probe of a silent source. The first read is never cancelled
+    /// for being slow.
     ///
     /// # Errors
     ///
@@ -90,28 +94,28 @@
         E: Display,
         F: Future<Output = Result<T, E>>,
     {
-        let mut changes = self.silence.subscribe();
+        let mut changes = self.health.subscribe();
         let mut returns = changes.borrow_and_update().returns();
         let hold = match changes.borrow().is_silent() {
             true => Duration::ZERO,
             false => hold,
         };
         let mut reads = FuturesUnordered::new();
-        let ordered = |is_first: bool, read: F| async move { (is_first, read.await) };
-        reads.push(ordered(true, read(hold)));
+        let tagged = |is_first: bool, read: F| async move { (is_first, read.await) };
+        reads.push(tagged(true, read(hold)));
         let mut overdue = Box::pin(clock::sleep(hold + OVERDUE_AFTER));
         let mut is_overdue = false;
         loop {
-            let begins = tokio::select! {
+            let starts_read = tokio::select! {
                 Some((is_first, answer)) = reads.next() => match answer {
-                    Ok(news) => return Ok(news),
+                    Ok(reply) => return Ok(reply),
                     Err(e) if is_first => return Err(e),
                     Err(e) => {
-                        log::info!(target: "store", "a further read failed. error=\"{e}\"");
+                        log::info!(target: "store", "additional read of the source failed. error=\"{e}\"");
                         false
                     }
                 },
-                // The sender lives as long as this watch.
+                // Never fails, as the sender lives as long as this monitor.
                 _ = changes.changed() => {
                     let before = std::mem::replace(&mut returns, changes.borrow().returns());
                     returns > before
@@ -120,18 +124,19 @@
                     is_overdue = true;
                     true
                 }
-                () = self.until_probe() => true,
+                () = self.until_probe_is_due() => true,
             };
-            if begins {
-                reads.push(ordered(false, read(Duration::ZERO)));
+            if starts_read {
+                reads.push(tagged(false, read(Duration::ZERO)));
             }
         }
     }
 
-    /// Waits until another call is to find out whether the source answers again.
-    async fn until_probe(&self) {
+    /// Waits until the next probe of a silent source is due; never returns while the source
+    /// answers.
+    async fn until_probe_is_due(&self) {
         loop {
-            let probe_in_ms = self.silence.borrow().probe_in_ms(self.now_ms());
+            let probe_in_ms = self.health.borrow().probe_in_ms(self.now_ms());
             match probe_in_ms {
                 None => std::future::pending().await,
                 Some(0) => return,
@@ -140,12 +145,12 @@
         }
     }
 
-    /// Pauses after a call that failed, at most until the source answers another one.
+    /// Waits for `pause` after a failed call, but at most until the source answers again.
     pub async fn pause(&self, pause: Duration) {
-        let mut changes = self.silence.subscribe();
+        let mut changes = self.health.subscribe();
         let returns = changes.borrow().returns();
-        let is_back = changes.wait_for(|silence| silence.returns() > returns);
-        // In vain: the pause is over.
-        let _ = clock::timeout(pause, is_back).await;
+        let recovered = changes.wait_for(|health| health.returns() > returns);
+        // A timeout means that the pause has ended.
+        let _ = clock::timeout(pause, recovered).await;
     }
 }
--- a/src/provider/weight_store.rs
+++ b/src/provider/weight_store.rs
@@ -3,10 +3,10 @@
 /// The store of model weights, which is rate-limited.
 #[async_trait]
 pub trait WeightStore: Send + Sync {
-    /// Asks for a pull of a model's weights.
+    /// Requests a pull of a model's weights.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Refused`] if the rate is used up.
+    /// Returns [`PlatformError::Refused`] if the rate limit is reached.
     async fn pull(&self, model: &str) -> Result<(), PlatformError>;
 }
--- a/tests/decisions/support.rs
+++ b/tests/decisions/support.rs
@@ -1,11 +1,11 @@
-//! What the tests of decisions share.
+//! Helpers that the tests of decisions share.
 
 use {
     saddlepulley::{contracts::ClassPreference, names::*, policy::*},
     std::collections::BTreeSet,
 };
 
-/// An idle upstream.
+/// Returns an idle upstream.
 pub fn upstream(name: &str) -> UpstreamView {
     UpstreamView {
         id: BoxId::from(name),
@@ -27,7 +27,7 @@
     }
 }
 
-/// A request of 1,000 prompt and 100 answer tokens.
+/// Returns the needs of a request with 1,000 prompt tokens and 100 expected answer tokens.
 pub fn ask() -> RequestNeeds {
     RequestNeeds {
         prompt_tokens: 1_000,
