--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -170,7 +170,7 @@
                 PeerReply::Appended(Some(offset))
             }
             Ok(super::claim_client::ClaimAppendOutcome::Unknown) => PeerReply::Appended(None),
-            Ok(super::claim_client::ClaimAppendOutcome::NotTaken) | Err(_) => {
+            Ok(super::claim_client::ClaimAppendOutcome::NotAccepted) | Err(_) => {
                 PeerReply::Refused("not taken".to_string())
             }
         }
@@ -230,7 +230,7 @@
     async fn call(&self, call: PeerCall) -> PeerReply {
         match call {
             PeerCall::Ping => PeerReply::Alive(self.world.me.incarnation),
-            PeerCall::AskOwner { holder, requests } => {
+            PeerCall::QueryOwner { holder, requests } => {
                 let all = requests.iter().map(|id| self.ownership(&holder, *id));
                 PeerReply::Ownership(all.collect())
             }
@@ -241,10 +241,10 @@
             PeerCall::Locate(id) => PeerReply::Located(locate_here(&self.world, id)),
             PeerCall::FetchTable(from) => PeerReply::Table(table_news(&self.world, from)),
             PeerCall::AppendClaims(records) => self.append_claims(records).await,
-            PeerCall::AskClaim(key) if self.world.claims.release_again(&key) => {
+            PeerCall::QueryClaim(key) if self.world.claims.release_again(&key) => {
                 PeerReply::Refused("given up".to_string())
             }
-            PeerCall::AskClaim(_) => PeerReply::Done,
+            PeerCall::QueryClaim(_) => PeerReply::Done,
         }
     }
 
@@ -254,7 +254,7 @@
             return;
         };
         if cell.read().spec.account != ask.account {
-            let _ = tx.send(AttachEvent::NotYours).await;
+            let _ = tx.send(AttachEvent::OtherAccount).await;
             return;
         }
         let _reader = cell.reader();
--- a/tests/decisions/source_silence.rs
+++ b/tests/decisions/source_silence.rs
@@ -42,7 +42,7 @@
 async fn a_hanging_read_is_repeated_once_other_calls_are_answered_again() {
     let monitor = SourceMonitor::default();
     let started = Cell::new(0);
-    let read = monitor.read_held(HOLD, |hold| {
+    let read = monitor.long_poll(HOLD, |hold| {
         let number = started.replace(started.get() + 1);
         async move {
             match number {
@@ -61,7 +61,7 @@
     let started = Cell::new(0);
     let (tx, rx) = tokio::sync::oneshot::channel();
     let mut first = Some(rx);
-    let read = monitor.read_held(HOLD, |_| {
+    let read = monitor.long_poll(HOLD, |_| {
         started.set(started.get() + 1);
         let first = first.take();
         async move {
@@ -85,7 +85,7 @@
 #[tokio::test]
 async fn a_refused_read_ends_with_the_error() {
     let monitor = SourceMonitor::default();
-    let read = monitor.read_held(HOLD, |_| async { Err::<(), _>("refused") });
+    let read = monitor.long_poll(HOLD, |_| async { Err::<(), _>("refused") });
     assert_eq!(read.await, Err("refused"));
 }
 
