--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -48,7 +48,7 @@
 
     /// Returns the upstreams that want rest of so many daemons that others leave them alone,
     /// too, as long as there are others.
-    pub(super) fn resting_for_many(&self) -> Vec<UpstreamId> {
+    pub(super) fn upstreams_in_cooldown_for_many(&self) -> Vec<UpstreamId> {
         let now_ms = self.steady_ms();
         self.reported_cooldowns.lock().in_cooldown_for_many(now_ms)
     }
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -282,7 +282,7 @@
         for index in request.tried.iter().filter_map(|id| ready.index_of(id)) {
             candidates[index].tried = true;
         }
-        let in_cooldown = self.resting_for_many();
+        let in_cooldown = self.upstreams_in_cooldown_for_many();
         let avoided = request.avoided.iter().chain(&in_cooldown);
         for index in avoided.filter_map(|id| ready.index_of(id)) {
             candidates[index].avoided = true;
