--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -28,7 +28,7 @@
     /// upstream to upstream, and the one that ended them could not be told from the rest.
     /// Those under which one ended keep their home: with the first end already, all that ran
     /// on a lost upstream read their prompts anew.
-    pub(super) fn placed_apart_by(&self, context: &RequestContext) -> Option<u64> {
+    pub(super) fn isolation_key_for(&self, context: &RequestContext) -> Option<u64> {
         let crashes = self.crashes.lock();
         if crashes.is_empty() {
             return None;
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -120,7 +120,7 @@
             parts: parts.map(|p| (p.chain, p.tokens)).collect(),
             tried: tried.iter().map(ToString::to_string).collect(),
             avoided,
-            isolation_key: self.placed_apart_by(context),
+            isolation_key: self.isolation_key_for(context),
         }
     }
 
@@ -175,7 +175,7 @@
             avoided: Vec::new(),
             in_cooldown: self.in_cooldown(),
             domain: self.domain().clone(),
-            isolation_key: self.placed_apart_by(context),
+            isolation_key: self.isolation_key_for(context),
         };
         self.choose_permitted(&request, context.id_text()).await
     }
