--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -47,7 +47,7 @@
 
     /// Returns which ready upstreams a request must not go to for the sake of a
     /// roll-out; none, if it may go to any.
-    pub(super) fn barred_by_rollout(
+    pub(super) fn excluded_by_rollout(
         &self,
         request: &PlaceRequest,
         ready: &ReadyUpstreams,
