--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -70,7 +70,7 @@
 
     /// Returns the upstreams that a request must not go to for the sake of their limits:
     /// those that have used them up, and all that name one after some denials.
-    pub(super) fn barred_by_limits(&self, denials: usize) -> Vec<UpstreamId> {
+    pub(super) fn excluded_by_limits(&self, denials: usize) -> Vec<UpstreamId> {
         let now_ms = self.steady_ms();
         let limits = self.limits.lock();
         let is_barred = |id: &UpstreamId| denials > MAX_DENIALS || limits.is_used_up(id, now_ms);
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -242,7 +242,7 @@
     /// Returns which ready upstreams a request must not go to; nothing, if it may go to any.
     fn barred(&self, request: &PlaceRequest, ready: &ReadyUpstreams, denials: usize) -> Vec<bool> {
         let mut barred = self.excluded_by_rollout(request, ready).unwrap_or_default();
-        let limited = self.barred_by_limits(denials);
+        let limited = self.excluded_by_limits(denials);
         for id in limited.iter().chain(&request.in_cooldown) {
             if let Some(index) = ready.index_of(id) {
                 barred.resize(ready.upstreams.len(), false);
