--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -67,7 +67,7 @@
     let mut packets = vec![digest_packet(digest.clone())];
     let quotas = in_parts(quota_announcer.due(gateway.tick_quotas(), listeners));
     let quotas = quotas_parts(gateway, quotas, sequence, age_ms);
-    let loads = loads_parts(gateway, &gateway.led_loads(), sequence, 0);
+    let loads = loads_parts(gateway, &gateway.loads_with_dependents(), sequence, 0);
     packets.extend(quotas.into_iter().chain(loads).map(Packet::from));
     send_all(gateway, &packets, &hubs).await;
     // Seeds and silent daemons get fewer digests. These state the longer interval, since by the
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -180,7 +180,7 @@
     }
 
     /// Returns what this daemon, and those that ask it, have at upstreams.
-    pub fn led_loads(&self) -> LoadSums {
+    pub fn loads_with_dependents(&self) -> LoadSums {
         let mut sums = self.own_loads();
         let members = self.members.lock();
         members.each_load(|id, active, tokens| add_load(&mut sums, id, active, tokens));
@@ -190,7 +190,7 @@
 
     /// Returns what all daemons have at upstreams, as far as is known.
     pub fn all_loads(&self) -> LoadSums {
-        let mut sums = self.led_loads();
+        let mut sums = self.loads_with_dependents();
         let peers = self.peers.lock();
         peers.each_load(|id, active, tokens| add_load(&mut sums, id, active, tokens));
         drop(peers);
