--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -150,7 +150,7 @@
         .map(|(service, s)| (service.to_string(), s.ms_per_token as f32, s.comparisons))
         .collect();
     digest.rollouts = gateway.announced_rollouts();
-    digest.known = gateway.named_daemons(domain);
+    digest.known = gateway.sample_daemons(domain);
     digest
 }
 
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -145,7 +145,7 @@
     }
 
     /// Returns daemons to name to one of a failure domain.
-    pub fn named_daemons(&self, domain: &str) -> Vec<DaemonEntry> {
+    pub fn sample_daemons(&self, domain: &str) -> Vec<DaemonEntry> {
         let mut rng = self.rng.lock().clone();
         let named = self.peers.lock().named_for(domain, &mut rng);
         *self.rng.lock() = rng;
