--- a/src/gateway/cut_offs.rs
+++ b/src/gateway/cut_offs.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ENDED_UPSTREAMS, Gateway},
+    super::{CRASHED_UPSTREAMS, Gateway},
     crate::{
         names::{RequestFingerprint, UpstreamId},
         upstreams::*,
@@ -79,7 +79,7 @@
     if !gateway.directory.read().is_ready(&upstream.id) {
         return;
     }
-    metrics::counter!(ENDED_UPSTREAMS).increment(1);
+    metrics::counter!(CRASHED_UPSTREAMS).increment(1);
     log::warn!(
         target: "crash",
         "an upstream ended under requests. upstream={} domain={} requests={} fingerprints={} cause=\"{cause}\"",
--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -13,7 +13,7 @@
 /// Counts sends to upstreams that failed, by what is known of the run.
 pub const FAILED_SENDS: &str = "saddlepulley_failed_sends_total";
 /// Counts upstreams that ended while requests ran on them, as far as this daemon saw.
-pub const ENDED_UPSTREAMS: &str = "saddlepulley_ended_upstreams_total";
+pub const CRASHED_UPSTREAMS: &str = "saddlepulley_ended_upstreams_total";
 /// Counts requests that were refused because upstreams end under them.
 pub const HELD_REFUSALS: &str = "saddlepulley_held_refusals_total";
 /// Requests that are held back because upstreams end under them.
