--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -23,7 +23,7 @@
 /// Counts answers in which upstreams say that they leave.
 pub const LEAVING_ANSWERS: &str = "saddlepulley_leaving_answers_total";
 /// Counts refusals in which upstreams ask this daemon for rest.
-pub const REST_ANSWERS: &str = "saddlepulley_rest_answers_total";
+pub const COOLDOWN_ANSWERS: &str = "saddlepulley_rest_answers_total";
 /// Upstreams that want nothing from this daemon now.
 pub const RESTING_UPSTREAMS: &str = "saddlepulley_resting_upstreams";
 /// Upstreams that name a limit now.
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, left_upstream::watch_for_end},
+    super::{Gateway, LEAVING_ANSWERS, COOLDOWN_ANSWERS, RequestContext, left_upstream::watch_for_end},
     crate::{names::UpstreamId, policy::RetryAfter, upstreams::Upstream},
     http::{HeaderMap, StatusCode, header, response::Parts},
     std::sync::Arc,
@@ -69,7 +69,7 @@
         match RetryAfter::read(values.iter().map(|value| value.as_bytes())) {
             RetryAfter::Absent => {}
             RetryAfter::For(rest) => {
-                metrics::counter!(REST_ANSWERS).increment(1);
+                metrics::counter!(COOLDOWN_ANSWERS).increment(1);
                 log::info!(
                     target: "upstreams",
                     "an upstream asks for rest. request={} upstream={} rest_ms={}",
