--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -25,7 +25,7 @@
 /// Counts refusals in which upstreams ask this daemon for rest.
 pub const COOLDOWN_ANSWERS: &str = "saddlepulley_rest_answers_total";
 /// Upstreams that want nothing from this daemon now.
-pub const RESTING_UPSTREAMS: &str = "saddlepulley_resting_upstreams";
+pub const UPSTREAMS_IN_COOLDOWN: &str = "saddlepulley_resting_upstreams";
 /// Upstreams that name a limit now.
 pub const LIMITED_UPSTREAMS: &str = "saddlepulley_limited_upstreams";
 /// Counts questions for permits to send to them, by outcome.
