--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -52,7 +52,7 @@
 /// Their bytes.
 pub const CONTROL_BYTES: &str = "saddlepulley_control_bytes";
 /// Peers that were looked at to answer who is hub and whom to tell, since the start.
-pub const PEERS_LOOKED_AT: &str = "saddlepulley_peers_looked_at";
+pub const PEERS_EXAMINED: &str = "saddlepulley_peers_looked_at";
 /// Upstreams that this daemon knows.
 pub const KNOWN_UPSTREAMS: &str = "saddlepulley_known_upstreams";
 /// Counts calls to the platform, which has a price for each, by what is called.
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -149,7 +149,7 @@
         metrics::gauge!(CONTROL_BYTES, &label).set(bytes as f64);
     }
     let examined = gateway.peers.lock().examined();
-    metrics::gauge!(PEERS_LOOKED_AT).set(examined as f64);
+    metrics::gauge!(PEERS_EXAMINED).set(examined as f64);
     let known = gateway.directory.read().known();
     metrics::gauge!(KNOWN_UPSTREAMS).set(known as f64);
 }
