--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -66,7 +66,7 @@
 /// Whether this daemon is a hub of its failure domain.
 pub const IS_HUB: &str = "saddlepulley_is_hub";
 /// How many daemons let requests in through this one, itself included.
-pub const LEANING: &str = "saddlepulley_leaning_daemons";
+pub const DEPENDENTS: &str = "saddlepulley_leaning_daemons";
 /// The share of a service's requests that a new version gets, by service and version.
 pub const ROLLOUT_SHARE: &str = "saddlepulley_rollout_share";
 /// Answers during a roll-out, by service, version and whether they were bad.
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -167,7 +167,7 @@
     metrics::gauge!(DAEMONS).set(gateway.daemons() as f64);
     metrics::gauge!(IS_HUB).set(f64::from(u8::from(gateway.is_hub())));
     let dependents = gateway.members.lock().dependents();
-    metrics::gauge!(LEANING).set(f64::from(dependents));
+    metrics::gauge!(DEPENDENTS).set(f64::from(dependents));
     let age_ms = gateway.members.lock().oldest_loads_ms(gateway.steady_ms());
     metrics::gauge!(LOADS_AGE).set(age_ms as f64 / 1_000.0);
     for rollout in gateway.announced_rollouts() {
