--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -13,7 +13,7 @@
 };
 
 /// Counts datagrams that were too large to be sent.
-pub const TOO_LARGE: &str = "saddlepulley_datagrams_too_large_total";
+pub const TOO_LARGE_DATAGRAMS: &str = "saddlepulley_datagrams_too_large_total";
 
 /// How many hubs may rank ahead of one that watches the holder of the duties: a
 /// few are enough to follow at once, and each costs calls to the platform.
@@ -60,7 +60,7 @@
                 }
                 Ok(None) => {}
                 Err(e) => {
-                    metrics::counter!(TOO_LARGE).increment(1);
+                    metrics::counter!(TOO_LARGE_DATAGRAMS).increment(1);
                     log::warn!(target: "peers", "datagram not sent. to={to} error=\"{e}\"");
                 }
             }
