--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -23,7 +23,7 @@
 pub async fn follow_config_of_daemons(gateway: Arc<Gateway>) {
     let client = HttpClient::default();
     loop {
-        gateway.until_lacking_config().await;
+        gateway.until_config_is_outdated().await;
         let mut lack = MissingConfig::new(gateway.steady_ms());
         while gateway.lacks_config() {
             let reads_source = *gateway.reads_source.borrow();
--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -79,7 +79,7 @@
     }
 
     /// Waits until a newer configuration is in force elsewhere than here.
-    pub async fn until_lacking_config(&self) {
+    pub async fn until_config_is_outdated(&self) {
         let mut newest = self.newest_config.subscribe();
         // The sender lives as long as this state.
         let lacks = |newest: &u64| self.lacks_newest_config(*newest);
