--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -25,13 +25,13 @@
     loop {
         gateway.until_config_is_outdated().await;
         let mut lack = MissingConfig::new(gateway.steady_ms());
-        while gateway.lacks_config() {
+        while gateway.is_config_outdated() {
             let reads_source = *gateway.reads_source.borrow();
             if lack.queries_daemons(reads_source, gateway.steady_ms()) {
                 query_one(&gateway, &client, &mut lack).await;
             }
             gateway.set_reads_config(lack.needs_source(gateway.steady_ms()));
-            if gateway.lacks_config() {
+            if gateway.is_config_outdated() {
                 let drawn_ms = gateway.draw() % ASK_AGAIN_MS;
                 tokio::time::sleep(Duration::from_millis(ASK_AGAIN_MS + drawn_ms)).await;
             }
--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether a newer configuration is in force elsewhere than here.
-    pub fn lacks_config(&self) -> bool {
+    pub fn is_config_outdated(&self) -> bool {
         self.lacks_newest_config(*self.newest_config.borrow())
     }
 
