--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -97,7 +97,7 @@
     }
 
     /// Forgets rests that are over, and upstreams that are gone.
-    pub(super) fn tick_rests(&self, is_known: impl Fn(&UpstreamId) -> bool) {
+    pub(super) fn tick_cooldowns(&self, is_known: impl Fn(&UpstreamId) -> bool) {
         let now_ms = self.steady_ms();
         self.reported_cooldowns.lock().retain(&is_known, now_ms);
         self.cooldowns.lock().retain(is_known, now_ms);
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -293,7 +293,7 @@
         self.spoken.lock().tick(self.steady_ms());
         self.loads.lock().retain(is_known);
         self.limits.lock().retain(is_known);
-        self.tick_rests(is_known);
+        self.tick_cooldowns(is_known);
         let live: HashSet<_> = self.peers.lock().live_addresses().into_iter().collect();
         self.permit_client.retain(|address| live.contains(address));
         self.caches.lock().retain(is_known, self.steady_ms());
