--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -111,7 +111,7 @@
 }
 
 /// Folds what was recorded, to keep its memory bounded.
-pub fn fold_records() {
+pub fn run_metrics_upkeep() {
     if let Some(handle) = RECORDER.as_ref() {
         handle.run_upkeep();
     }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -137,7 +137,7 @@
         gateway.sweep();
         record_state(&gateway);
         record_control(&gateway);
-        fold_records();
+        run_metrics_upkeep();
     }
 }
 
