--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -136,7 +136,7 @@
     let prompt = Prompt::from_headers(&head.headers, &gateway.names);
     let wait_ms = number(&head.headers, &gateway.names.deadline_ms);
     let wait_ms = wait_ms.map_or(route.timeout_ms, |ms| ms.min(route.timeout_ms));
-    if !gateway.takes_request(wait_ms) {
+    if !gateway.accepts_request(wait_ms) {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         return Err(Box::new(refusal(
             status,
--- a/src/gateway/phase_state.rs
+++ b/src/gateway/phase_state.rs
@@ -32,7 +32,7 @@
 
     /// Returns whether a request is taken whose client waits for that long, in
     /// milliseconds.
-    pub fn takes_request(&self, wait_ms: u64) -> bool {
+    pub fn accepts_request(&self, wait_ms: u64) -> bool {
         let now_ms = self.steady_ms();
         let stop = self.stop.get();
         stop.is_none_or(|(began_ms, times)| times.takes(now_ms.saturating_sub(*began_ms), wait_ms))
