--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -45,7 +45,7 @@
 
 async fn announce_held(gateway: &Gateway) {
     let hubs = gateway.other_hubs().into_iter().collect();
-    let drawn = gateway.draw_some(hubs, HUBS_TOLD);
+    let drawn = gateway.random_sample(hubs, HUBS_TOLD);
     let now_ms = gateway.steady_ms();
     let held = gateway.crashes.lock().held_crashes(MOST_TOLD, now_ms);
     send_ends(gateway, &held, true, &drawn.into_iter().collect()).await;
--- a/src/cluster/limits/limit_announcer.rs
+++ b/src/cluster/limits/limit_announcer.rs
@@ -25,7 +25,7 @@
         announce_changes(&gateway).await;
         if turn.is_multiple_of(IN_FORCE_EVERY) && gateway.is_hub() {
             let hubs = gateway.other_hubs().into_iter().collect();
-            let drawn = gateway.draw_some(hubs, HUBS_TOLD).into_iter().collect();
+            let drawn = gateway.random_sample(hubs, HUBS_TOLD).into_iter().collect();
             announce_in_force(&gateway, &drawn).await;
         }
     }
@@ -47,7 +47,7 @@
 pub(in crate::cluster) async fn announce_in_force(gateway: &Gateway, to: &BTreeSet<SocketAddr>) {
     let in_force = gateway.limits.lock().in_force(gateway.steady_ms());
     if !in_force.is_empty() {
-        let drawn = gateway.draw_some(in_force, MOST_TOLD);
+        let drawn = gateway.random_sample(in_force, MOST_TOLD);
         send_limits(gateway, &drawn, true, to).await;
     }
 }
--- a/src/gateway/cooldown_state.rs
+++ b/src/gateway/cooldown_state.rs
@@ -63,7 +63,7 @@
             told.map(|(id, left)| AnnouncedCooldown::of(id, left))
                 .collect()
         };
-        let cooldowns = self.draw_some(told, MAX_ANNOUNCED);
+        let cooldowns = self.random_sample(told, MAX_ANNOUNCED);
         (!cooldowns.is_empty()).then_some(CooldownsPart { cooldowns })
     }
 
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -99,7 +99,7 @@
     }
 
     /// Draws some of a list.
-    pub fn draw_some<T>(&self, list: Vec<T>, some: usize) -> Vec<T> {
+    pub fn random_sample<T>(&self, list: Vec<T>, some: usize) -> Vec<T> {
         list.into_iter()
             .choose_multiple(&mut *self.rng.lock(), some)
     }
