--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -190,7 +190,7 @@
         is_known: table.is_none_or(|t| t.find_service(&service).is_some()),
         target_slots,
         other_slots,
-        busy_others: gateway.busy_at_others(&rollout.service, &rollout.target),
+        busy_others: gateway.active_at_other_versions(&rollout.service, &rollout.target),
         assessment: evaluator.assessment(),
     }
 }
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -136,7 +136,7 @@
 
     /// Returns how many requests all daemons have at a service's upstreams of other
     /// versions than one, as far as is known.
-    pub fn busy_at_others(&self, service: &str, version: &str) -> u32 {
+    pub fn active_at_other_versions(&self, service: &str, version: &str) -> u32 {
         let loads = self.all_loads();
         let directory = self.directory.read();
         let others = directory
