--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -5,20 +5,21 @@
     std::time::Duration,
 };
 
-/// Of the repeats that first sends earn, how many are used.
-const EARNED_USE: f64 = 0.75;
-/// How long a request waits that is out of turn before it is tried again: the
-/// least time between two notices, and some for the way.
-const TURN_PAUSE: Duration = Duration::from_millis(30);
+/// Share of the retries earned by first sends that is used.
+const EARNED_RETRY_USE: f64 = 0.75;
+/// Wait before another attempt to admit a request that was refused because this daemon has
+/// admitted its share since its last notice: the shortest time between two notices plus
+/// some network delay.
+const NOT_YET_DUE_PAUSE: Duration = Duration::from_millis(30);
 
-/// Repeated sends, demand and quotas.
+/// Retry budgets, demand and quotas.
 impl Gateway {
-    /// Notes a first send to a service.
+    /// Records a first send to a service, which earns part of a retry.
     pub fn earn_retry(&self, service: &ServiceName) {
         self.with_allowance(service, RetryAllowance::earn);
     }
 
-    /// Spends a repeated send, if one is left.
+    /// Takes a retry from the service's budget. Returns false if none is left.
     pub fn spend_retry(&self, context: &RequestContext) -> bool {
         let draw = self.rng.lock().random();
         self.with_allowance(&context.service, |allowance| allowance.spend(draw))
@@ -31,7 +32,7 @@
     ) -> T {
         let bounds = &self.settings.bounds;
         let slack_share = slack_share(bounds.retry_slack, self.daemons());
-        let ratio = bounds.retry_ratio * EARNED_USE;
+        let ratio = bounds.retry_ratio * EARNED_RETRY_USE;
         let mut retries = self.retries.lock();
         let fresh = || RetryAllowance::new(ratio, slack_share);
         let allowance = retries.entry(service.clone()).or_insert_with(fresh);
@@ -39,7 +40,7 @@
         act(allowance)
     }
 
-    /// Notes work that is sent to a service: prompt tokens to read.
+    /// Records work that is sent to a service, in prompt tokens to compute.
     pub(super) fn record_demand(&self, service: &ServiceName, work: u64) {
         let now_ms = self.steady_ms();
         let mut demand = self.demand.lock();
@@ -47,7 +48,7 @@
         meter.record(work as f64, now_ms);
     }
 
-    /// Returns the work a second that this daemon was offered, by service.
+    /// Returns the demand at this daemon by service, in prompt tokens per second.
     pub fn own_demand(&self) -> Vec<(String, f32)> {
         let now_ms = self.steady_ms();
         let demand = self.demand.lock();
@@ -56,7 +57,7 @@
             .collect()
     }
 
-    /// Returns the work a second that all daemons were offered.
+    /// Returns the demand for a service at all known daemons, in prompt tokens per second.
     pub fn demand_of(&self, service: &ServiceName) -> f64 {
         let now_ms = self.steady_ms();
         let own = self
@@ -67,12 +68,12 @@
         own + self.peers.lock().demand_of(service.as_str())
     }
 
-    /// Lets a client account's request in. One that would be let in soon is held for as
-    /// long as `max_wait`, rather than sent back.
+    /// Admits a request of a client account. A request that can be admitted soon is held for
+    /// up to `max_wait` instead of being refused.
     ///
     /// # Errors
     ///
-    /// Returns after how long it would be let in.
+    /// Returns the time after which the request may be retried.
     pub async fn admit(
         &self,
         terms: &AccountTerms,
@@ -95,18 +96,18 @@
             if !self.quotas.lock().is_within_rate(terms) {
                 return Err(Duration::from_millis(wait.retry_after_ms()));
             }
-            let back = match wait {
+            let pause = match wait {
                 QuotaWait::UsedUp(wait_ms) => Duration::from_millis(wait_ms),
-                QuotaWait::NotYetDue => TURN_PAUSE,
+                QuotaWait::NotYetDue => NOT_YET_DUE_PAUSE,
             };
-            if BootInstant::now() + back > until {
+            if BootInstant::now() + pause > until {
                 return Err(Duration::from_millis(wait.retry_after_ms()));
             }
-            tokio::time::sleep(back).await;
+            tokio::time::sleep(pause).await;
         }
     }
 
-    /// Logs that a request is beyond its client account's quota.
+    /// Logs that a request is refused because it exceeds its client account's quota.
     pub fn log_refusal(&self, account: &AccountTerms, cost: f64, wait: Duration, request: &str) {
         let (left, asked) = {
             let quotas = self.quotas.lock();
--- a/src/gateway/config_state.rs
+++ b/src/gateway/config_state.rs
@@ -9,23 +9,25 @@
 
 /// The configuration in force.
 impl Gateway {
-    /// Returns the routes in force; none before the first configuration.
+    /// Returns the routes in force, or `None` before the first configuration.
     pub fn table(&self) -> Option<Arc<RouteTable>> {
         self.table.read().clone()
     }
 
-    /// Returns what clients may send, by the configuration in force.
+    /// Returns the limits on client requests in the configuration in force, or the defaults
+    /// before the first one.
     pub fn client_limits(&self) -> ClientLimits {
         let limits = self.table().map(|t| t.config().limits.clone());
         limits.unwrap_or_default()
     }
 
-    /// Returns the version of the configuration in force; 0 before the first.
+    /// Returns the version of the configuration in force, or 0 before the first one.
     pub fn config_version(&self) -> u64 {
         self.table().map_or(0, |t| t.version())
     }
 
-    /// Puts a configuration in force, unless it is older than the one that is.
+    /// Puts a configuration in force. Returns false, and changes nothing, if its version is not
+    /// newer than the one in force.
     pub fn apply_config(&self, config: RoutingConfig) -> bool {
         let mut table = self.table.write();
         if table
@@ -34,14 +36,14 @@
         {
             return false;
         }
-        let indexing = BootInstant::now();
+        let index_started = BootInstant::now();
         let next = RouteTable::new(config);
         log::info!(
             target: "config",
             "in force. version={} size={} index_ms={}",
             next.version(),
             next.config().size(),
-            indexing.elapsed().as_millis()
+            index_started.elapsed().as_millis()
         );
         *table = Some(Arc::new(next));
         drop(table);
@@ -49,7 +51,7 @@
         true
     }
 
-    /// Returns the client accounts in force.
+    /// Returns the client accounts of the configuration in force.
     pub fn account_terms(&self) -> Vec<AccountTerms> {
         let table = self.table();
         table.map_or_else(Vec::new, |t| t.config().accounts.clone())
--- a/src/gateway/crash_state.rs
+++ b/src/gateway/crash_state.rs
@@ -9,12 +9,12 @@
     std::time::Duration,
 };
 
-/// Requests under which upstreams end.
+/// Requests that may crash upstreams.
 impl Gateway {
-    /// Returns for how long a request is held back; none if it may be sent.
+    /// Returns for how long a request is still held back, or `None` if it may be sent.
     pub fn held_for(&self, context: &RequestContext) -> Option<Duration> {
         let crashes = self.crashes.lock();
-        // Without this a fingerprint was computed for each request.
+        // Avoids computing a fingerprint for each request while no crash is known.
         if crashes.is_empty() {
             return None;
         }
@@ -22,12 +22,14 @@
         held_ms.map(Duration::from_millis)
     }
 
-    /// Returns by what a request is placed under which upstreams ended; none for others.
+    /// Returns the key by which a request that may have caused several crashes is placed
+    /// instead of its prompt, or `None` for other requests.
     ///
-    /// Requests of one session have one home. Without this they followed each other from
-    /// upstream to upstream, and the one that ended them could not be told from the rest.
-    /// Those under which one ended keep their home: with the first end already, all that ran
-    /// on a lost upstream read their prompts anew.
+    /// Requests of one session are placed on the same upstream by their prompt. After a crash
+    /// they would all move together from upstream to upstream, and the request that causes the
+    /// crashes could not be distinguished from the others. A request with a single crash is
+    /// still placed by its prompt: isolated after the first crash already, all requests that
+    /// ran on a lost upstream would have to compute their prompts again.
     pub(super) fn isolation_key_for(&self, context: &RequestContext) -> Option<u64> {
         let crashes = self.crashes.lock();
         if crashes.is_empty() {
@@ -39,7 +41,7 @@
             .then(|| fingerprint.number() as u64)
     }
 
-    /// Notes that an upstream ended under requests.
+    /// Records that an upstream crashed while it ran the given requests.
     pub(super) fn record_upstream_crash(
         &self,
         upstream: &UpstreamId,
@@ -56,8 +58,9 @@
         }
     }
 
-    /// Notes that a request was answered whole. Only a success shows that it ran: an
-    /// upstream that is full or late answers with a failure, too, and lives.
+    /// Records that a request was answered completely. Only a success shows that the request
+    /// ran without a crash: an upstream that is full or too slow responds with a failure
+    /// without running it.
     pub(super) fn record_complete_answer(&self, context: &RequestContext, status: StatusCode) {
         let mut crashes = self.crashes.lock();
         if status.is_success()
@@ -66,42 +69,44 @@
         {
             log::info!(
                 target: "crash",
-                "a request is cleared: it was answered whole. fingerprint={}",
+                "request cleared: it was answered completely. fingerprint={}",
                 context.fingerprint()
             );
         }
     }
 
-    /// Takes in what another daemon told.
-    pub fn apply_crash(&self, told: &KnownCrash, passes_on: Option<bool>) {
+    /// Applies a crash that another daemon announced. `forward_to_hubs` decides to whom this
+    /// daemon forwards it: to other hubs and to its members (`Some(true)`), only to its
+    /// members (`Some(false)`), or to nobody (`None`).
+    pub fn apply_crash(&self, announced: &KnownCrash, forward_to_hubs: Option<bool>) {
         let now_ms = self.steady_ms();
         let mut crashes = self.crashes.lock();
-        let was_held = crashes.held_for(told.fingerprint, now_ms).is_some();
-        crashes.apply(told, passes_on, now_ms);
-        let is_held = crashes.held_for(told.fingerprint, now_ms).is_some();
+        let was_held = crashes.held_for(announced.fingerprint, now_ms).is_some();
+        crashes.apply(announced, forward_to_hubs, now_ms);
+        let is_held = crashes.held_for(announced.fingerprint, now_ms).is_some();
         drop(crashes);
-        log_if_held(told.fingerprint, was_held, is_held);
+        log_if_held(announced.fingerprint, was_held, is_held);
     }
 
-    /// Takes in what was written down of a request.
+    /// Applies the stored record of a request. A record without crashes clears the request.
     pub fn apply_written(&self, record: &SuspectRecord) {
         if record.ends.is_empty() {
             self.crashes.lock().apply_cleared(record.fingerprint);
         }
-        for end in &record.ends {
-            self.apply_crash(end, Some(true));
+        for crash in &record.ends {
+            self.apply_crash(crash, Some(true));
         }
     }
 
-    /// Forgets what is old.
+    /// Removes crashes that are older than the retention time.
     pub fn tick_crashes(&self) {
         self.crashes.lock().tick(self.steady_ms());
     }
 
-    /// Draws some of a list.
-    pub fn random_sample<T>(&self, list: Vec<T>, some: usize) -> Vec<T> {
+    /// Returns up to `max_count` randomly chosen elements of a list.
+    pub fn random_sample<T>(&self, list: Vec<T>, max_count: usize) -> Vec<T> {
         list.into_iter()
-            .choose_multiple(&mut *self.rng.lock(), some)
+            .choose_multiple(&mut *self.rng.lock(), max_count)
     }
 }
 
@@ -109,11 +114,11 @@
     match (was_held, is_held) {
         (false, true) => log::warn!(
             target: "crash",
-            "a request is held back: upstreams end under it. fingerprint={fingerprint}"
+            "request held back: upstreams crash while they run it. fingerprint={fingerprint}"
         ),
         (true, false) => log::info!(
             target: "crash",
-            "a request is no longer held back. fingerprint={fingerprint}"
+            "request no longer held back. fingerprint={fingerprint}"
         ),
         _ => {}
     }
--- a/src/gateway/follow_file.rs
+++ b/src/gateway/follow_file.rs
@@ -11,29 +11,30 @@
     },
 };
 
+/// Interval between two reads of the file.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A file of routes and upstreams.
+/// A file with routes and upstreams.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutesFile {
-    /// The configuration.
+    /// The routing configuration.
     pub config: RoutingConfig,
-    /// The upstreams.
+    /// The upstreams; empty if the file names none.
     #[serde(default)]
     pub upstreams: Vec<Upstream>,
 }
 
-/// What is wrong with a file of routes.
+/// Why a file with routes is not usable.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum RoutesFileError {
     /// can't be read: {0}
     Read(#[from] io::Error),
     /// line {line}: {message}
     Malformed {
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What was expected.
+        /// The parser's message.
         message: String,
     },
 }
@@ -43,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the line that is wrong.
+    /// Returns an error if the file can't be read, or the malformed line.
     pub fn read(path: &Path) -> Result<Self, RoutesFileError> {
         Self::parse(&std::fs::read_to_string(path)?)
     }
@@ -52,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the line that is wrong.
+    /// Returns the malformed line.
     pub fn parse(text: &str) -> Result<Self, RoutesFileError> {
         toml::from_str(text).map_err(|e| RoutesFileError::Malformed {
             line: line_of(text, e.span().map_or(0, |s| s.start)),
@@ -61,7 +62,8 @@
     }
 }
 
-/// Feeds a daemon from a file; a file that is wrong changes nothing.
+/// Reads a file with routes and upstreams repeatedly and applies it to the daemon. A file that
+/// is not usable changes nothing and is logged once per error.
 pub async fn follow_file(path: PathBuf, gateway: Arc<Gateway>) {
     let mut last_error = String::new();
     loop {
--- a/src/gateway/gateway_phase.rs
+++ b/src/gateway/gateway_phase.rs
@@ -1,10 +1,10 @@
-/// Whether a daemon takes new clients.
+/// Phase of a daemon, which decides whether it accepts new clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GatewayPhase {
-    /// It lacks a configuration or upstreams.
+    /// The daemon lacks a configuration or the list of upstreams, and accepts no clients.
     Starting,
-    /// It takes clients.
+    /// The daemon accepts clients.
     Ready,
-    /// It will stop: it finishes what it has.
+    /// A planned stop has begun: the daemon finishes the requests in flight.
     Stopping,
 }
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,5 +1,7 @@
 use {
-    super::{Gateway, LEAVING_ANSWERS, COOLDOWN_ANSWERS, RequestContext, left_upstream::watch_for_end},
+    super::{
+        COOLDOWN_ANSWERS, Gateway, LEAVING_ANSWERS, RequestContext, left_upstream::watch_for_end,
+    },
     crate::{names::UpstreamId, policy::RetryAfter, upstreams::Upstream},
     http::{HeaderMap, StatusCode, header, response::Parts},
     std::sync::Arc,
