--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -50,7 +50,7 @@
     pub incarnation: u64,
     /// The known upstreams.
     pub directory: RwLock<UpstreamDirectory>,
-    /// Load, failures and response times of each upstream as observed by this daemon.
+    /// Requests, waiting tokens and failure rate of each upstream as observed by this daemon.
     pub loads: Mutex<LoadTable>,
     /// Requests under which upstreams crashed.
     pub crashes: Mutex<CrashTable>,
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -15,7 +15,8 @@
 /// Number of datagrams that were not sent because they were too large.
 pub const TOO_LARGE_DATAGRAMS: &str = "saddlepulley_datagrams_too_large_total";
 
-/// A hub watches the holder of the duties if fewer live hubs than this rank ahead of it. A few are enough to take over at once, and each costs calls to the platform.
+/// A hub watches the holder of the duties if fewer live hubs than this rank ahead of it. A few
+/// are enough to take over at once, and each costs calls to the platform.
 const DUTY_WATCHERS: usize = 4;
 
 /// The role of this daemon among the others: whether it is a hub, and what it announces.
--- a/tests/gateway/large_configuration.rs
+++ b/tests/gateway/large_configuration.rs
@@ -1,18 +1,11 @@
-//! Story of the failure. An operator added some thousand routes and the source
-//! confirmed the version. Seconds later most daemons served the new routes, but
-//! a few, on the smallest links, still answered them with 404; their clients
-//! took the routes for missing. Each daemon read the whole configuration in one
-//! call that was cut off after a fixed time, however steadily its bytes were
-//! arriving; what had been read was thrown away, and the next call began with
-//! the first byte again. So the larger the configuration and the smaller the
-//! link, the later a daemon had it, up to never.
+//! Large configurations on slow links.
 //!
-//! Evidence. In the logs of a run with three versions of 1,400 more routes each,
-//! on links of 10 Mbit/s, 33 of 77 daemons failed 79 reads of the third one, up
-//! to four in a row, each after 1.2 s with "no answer within 1.2s". The reads
-//! that succeeded took 1,151 ms in the median: the answer has 1.17 MB and needs
-//! 0.93 s on such a link alone. In a run with one such version no read failed;
-//! they took 427 ms in the median.
+//! Each daemon read the whole configuration in one call that was cut off after a fixed time of
+//! 1.2 s, even while its bytes were arriving steadily. What had been read was discarded, and the
+//! next call began with the first byte again. So the larger the configuration and the slower the
+//! link, the later a daemon applied it, up to never: daemons on slow links answered new routes
+//! with 404, although the source had confirmed the version. A configuration of 1.17 MB needs
+//! 0.93 s on a link of 10 Mbit/s that carries nothing else.
 
 use {
     crate::{store_support::*, support::*},
@@ -21,12 +14,12 @@
     serde_json::{Value, json},
 };
 
-/// What a small link leaves for a configuration, in bytes a second.
-const SMALL_LINK: usize = 150_000;
-/// So many routes need about five seconds on such a link.
+/// Bandwidth that a slow link leaves for a configuration, in bytes per second.
+const SLOW_LINK: usize = 150_000;
+/// Number of routes whose configuration takes about five seconds on such a link.
 const MANY_ROUTES: usize = 3_000;
 
-/// Makes a configuration with many routes beside `/q/`.
+/// Makes a configuration with `MANY_ROUTES` routes in addition to `/q/`.
 fn large_config(version: u64) -> Value {
     let mut config = config(version, "/q/");
     let routes = config["route_table"].as_array_mut().unwrap();
@@ -41,18 +34,18 @@
 }
 
 #[tokio::test]
-async fn a_configuration_that_arrives_steadily_comes_in_force_however_long_it_takes() {
+async fn a_configuration_that_arrives_steadily_is_not_cut_off_however_long_it_takes() {
     let store = filled_store().await;
     let first = daemon("n1", &store, &[]);
     let second = daemon("n2", &store, &[&first]);
-    // Two daemons read the store and wait for changes; the third follows them
-    // and reads the configuration once it has heard of the version.
+    // Two daemons read the store and wait for changes. The third follows them and reads the
+    // configuration once they have announced its version.
     let third = daemon("n3", &store, &[&first, &second]);
     let daemons = [&first, &second, &third];
     for daemon in daemons {
         daemon.wait_ready().await;
     }
-    store.deliver(Delivery::Steady(SMALL_LINK));
+    store.deliver(Delivery::Steady(SLOW_LINK));
     store.put("keyed.op", "config", &large_config(8));
     for daemon in daemons {
         eventually("in force", async || {
@@ -61,20 +54,20 @@
         .await;
         assert_eq!(ask(daemon, "/p/x").await, StatusCode::NOT_FOUND);
     }
-    // One that starts lists it whole over the same small link.
+    // A daemon that starts reads the full configuration over the same slow link.
     let fourth = self::daemon("n4", &store, &[]);
     fourth.wait_ready().await;
     assert_eq!(ask(&fourth, "/q/x").await, StatusCode::OK);
 }
 
 #[tokio::test]
-async fn an_answer_that_stops_arriving_is_given_up_and_asked_for_again() {
+async fn a_stalled_read_of_the_configuration_does_not_block_the_next_one() {
     let store = filled_store().await;
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
     store.deliver(Delivery::Stalled(1_000));
     store.put("keyed.op", "config", &large_config(8));
-    // The read that this answers is cut in its middle, and none says so.
+    // The answer to the current read stalls in its middle, and nothing closes the connection.
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     store.deliver(Delivery::AtOnce);
     eventually("in force", async || {
@@ -109,7 +102,7 @@
         })
         .await;
     }
-    // One that is left waiting may still read it itself.
+    // A daemon that waits too long for the others may still read the store itself.
     let listings = store.listings("keyed.op") - before;
     assert!(listings <= NAMES.len() as u64 / 2, "{listings} listings");
 }
--- a/tests/gateway/leaving_upstreams.rs
+++ b/tests/gateway/leaving_upstreams.rs
@@ -1,4 +1,5 @@
-//! Upstreams that say in their answers that they leave, while their source says nothing.
+//! Upstreams that say in a response header that they leave, while the source of upstreams still
+//! lists them as ready.
 
 use {
     crate::{file_world::*, support::*},
@@ -6,16 +7,17 @@
     std::time::{Duration, Instant},
 };
 
-/// How long after an answer has said so requests may still be sent there.
+/// Time after the first response that says so within which requests may still be sent there.
 const LEFT_WITHIN: Duration = Duration::from_secs(2);
+/// How long the upstream is observed after that.
 const WATCHED: Duration = Duration::from_secs(2);
 
-fn all_served(told: &[Told]) -> bool {
-    told.iter().all(|t| t.status == StatusCode::OK)
+fn all_served(answers: &[Told]) -> bool {
+    answers.iter().all(|a| a.status == StatusCode::OK)
 }
 
 #[tokio::test]
-async fn one_daemon_alone_goes_on_sending_to_one_whose_answers_say_that_it_leaves() {
+async fn a_standalone_daemon_does_not_send_to_an_upstream_that_says_it_leaves() {
     let world = FileWorld::start(1, 4).await;
     world.runners[0].say_leaving(Some("1"));
     let before = world.load(&[0], 40.0, LEFT_WITHIN).await;
@@ -25,9 +27,9 @@
     assert!(all_served(&before) && all_served(&after));
 }
 
-/// A member learns it, whose hub places.
+/// The daemon that receives the response may be a member, while its hub places the requests.
 #[tokio::test]
-async fn daemons_go_on_sending_to_upstreams_whose_answers_say_that_they_leave() {
+async fn daemons_do_not_send_to_upstreams_that_say_they_leave() {
     let world = FileWorld::start(5, 4).await;
     world.runners[0].say_leaving(Some("1"));
     world.runners[1].say_leaving(Some("1"));
@@ -41,23 +43,25 @@
     assert!(all_served(&before) && all_served(&after));
 }
 
-/// A request sent there may meet the end of its upstream, whoever sends it.
+/// A request sent to a leaving upstream may fail when the upstream exits, whichever daemon sends
+/// it. So all daemons have to know what one of them received.
 #[tokio::test]
-async fn what_one_daemon_hears_of_a_leaving_upstream_the_others_do_not_learn() {
+async fn daemons_do_not_send_to_an_upstream_that_told_another_daemon_that_it_leaves() {
     let world = FileWorld::start(5, 2).await;
     world.runners[0].say_leaving(Some("1"));
     for at in [4, 0] {
         world.load(&[at], 20.0, LEFT_WITHIN).await;
     }
     let left = Instant::now();
-    let told = world.load(&[1, 2, 3], 40.0, WATCHED).await;
+    let answers = world.load(&[1, 2, 3], 40.0, WATCHED).await;
     assert_eq!(world.runs_since(0, left), 0);
-    assert!(all_served(&told));
+    assert!(all_served(&answers));
 }
 
-/// With a file nothing else tells that it is another life.
+/// With a routes file as source, only the absence of the header shows that the upstream is a new
+/// incarnation.
 #[tokio::test]
-async fn one_that_left_and_started_again_is_never_used_again() {
+async fn an_upstream_that_left_and_restarted_is_used_again() {
     let world = FileWorld::start(2, 2).await;
     world.runners[0].say_leaving(Some("1"));
     world.load(&[0, 1], 40.0, LEFT_WITHIN).await;
@@ -72,29 +76,29 @@
 }
 
 #[tokio::test]
-async fn other_words_than_1_count_as_leaving() {
+async fn header_values_other_than_1_do_not_mark_an_upstream_as_leaving() {
     let world = FileWorld::start(1, 2).await;
-    for word in ["", "0", "no", "true", "11"] {
-        world.runners[0].say_leaving(Some(word));
+    for value in ["", "0", "no", "true", "11"] {
+        world.runners[0].say_leaving(Some(value));
         let said = Instant::now();
-        let told = world.load(&[0], 40.0, Duration::from_millis(500)).await;
-        assert!(world.runs_since(0, said) > 0, "{word:?}");
-        assert!(all_served(&told));
+        let answers = world.load(&[0], 40.0, Duration::from_millis(500)).await;
+        assert!(world.runs_since(0, said) > 0, "{value:?}");
+        assert!(all_served(&answers));
     }
 }
 
-/// What can't be served is refused at once.
+/// A request that no upstream can serve is refused at once.
 #[tokio::test]
-async fn the_last_upstream_that_leaves_is_asked_all_the_same() {
+async fn the_last_upstream_gets_no_requests_after_it_says_it_leaves() {
     let world = FileWorld::start(1, 1).await;
     world.runners[0].say_leaving(Some("1"));
     world.load(&[0], 20.0, LEFT_WITHIN).await;
     let left = Instant::now();
-    let told = world.load(&[0], 20.0, WATCHED).await;
+    let answers = world.load(&[0], 20.0, WATCHED).await;
     assert_eq!(world.runs_since(0, left), 0);
-    for told in told {
-        assert_eq!(told.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(told.retry_after_s.is_some_and(|s| s > 0.0));
-        assert!(told.after < Duration::from_secs(1), "{:?}", told.after);
+    for answer in answers {
+        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(answer.retry_after_s.is_some_and(|s| s > 0.0));
+        assert!(answer.after < Duration::from_secs(1), "{:?}", answer.after);
     }
 }
--- a/tests/gateway/stops.rs
+++ b/tests/gateway/stops.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing.
+//! Planned stops: requests in flight are finished, and late requests are not accepted.
 
 use {
     crate::support::*,
@@ -8,8 +8,8 @@
 };
 
 #[tokio::test]
-async fn what_is_in_flight_is_finished_and_idle_connections_are_closed() {
-    // The stream outlasts the time in which new requests are still taken.
+async fn a_planned_stop_does_not_cut_off_requests_in_flight() {
+    // The stream lasts longer than the time in which new requests are still accepted.
     let runner = Runner::start("b1", 200).await.unwrap();
     let mut daemon =
         GatewayDaemon::start(&routes_file(1, &[&STREAM, &IDEMPOTENT], &[&runner])).await;
@@ -25,43 +25,50 @@
     })
     .await;
     let late = idle.ask("a2", "/look/x", "").await;
-    assert_eq!(late.status, StatusCode::OK, "what comes at once is served");
+    assert_eq!(
+        late.status,
+        StatusCode::OK,
+        "a request soon after the signal is served"
+    );
     assert_eq!(late.header("connection"), "close");
     let answer = stream.await.unwrap();
     assert!(answer.whole);
     assert_eq!(answer.body.matches("data:").count(), 200);
-    assert!(daemon.wait_end().await, "it ended well");
+    assert!(daemon.wait_end().await, "the daemon exits without an error");
     drop(untouched);
 }
 
 #[tokio::test]
-async fn no_request_is_taken_late_in_a_stop() {
+async fn no_request_is_accepted_late_in_a_stop() {
     let runner = Runner::start("b1", 100_000).await.unwrap();
     let mut daemon =
         GatewayDaemon::start(&routes_file(1, &[&STREAM, &IDEMPOTENT], &[&runner])).await;
-    let mut kept = daemon.client().await;
-    assert_eq!(kept.ask("a0", "/look/x", "").await.status, StatusCode::OK);
-    let mut fresh = daemon.client().await;
+    let mut keep_alive = daemon.client().await;
+    assert_eq!(
+        keep_alive.ask("a0", "/look/x", "").await.status,
+        StatusCode::OK
+    );
+    let mut unused = daemon.client().await;
     let mut busy = daemon.client().await;
     let endless = tokio::spawn(async move { busy.ask("a1", "/stream/resume/x", "").await.whole });
     eventually("streaming", async || runner.runs().len() == 2).await;
     runner.behave(Behaviour::Serve);
     daemon.signal(Signal::SIGTERM);
-    eventually("the kept connection is closed", async || {
+    eventually("new connections are refused", async || {
         tokio::time::sleep(std::time::Duration::from_millis(300)).await;
         Client::connect(daemon.clients).await.is_none()
     })
     .await;
     let before = runner.runs().len();
     let answers = [
-        kept.send(request("a2", "/look/x"), "").await,
-        fresh.send(request("a3", "/look/x"), "").await,
+        keep_alive.send(request("a2", "/look/x"), "").await,
+        unused.send(request("a3", "/look/x"), "").await,
     ];
     assert!(answers.iter().all(Result::is_err), "{answers:?}");
-    assert_eq!(runner.runs().len(), before, "neither was passed on");
+    assert_eq!(runner.runs().len(), before, "neither was forwarded");
     assert!(daemon.wait_end().await);
     assert!(
         !endless.await.unwrap(),
-        "cut at the end of the time for a stop"
+        "the stream is cut off at the end of the stop schedule"
     );
 }
--- a/tests/gateway/upstreams_in_cooldown.rs
+++ b/tests/gateway/upstreams_in_cooldown.rs
@@ -1,4 +1,5 @@
-//! Upstreams that turn requests away and name a time for which they want nothing.
+//! Upstreams that refuse requests with 503 and a Retry-After header. The upstream is then in
+//! cooldown: daemons have to send it no requests until the named time has passed.
 
 use {
     crate::file_world::*,
@@ -7,108 +8,116 @@
     std::time::{Duration, Instant},
 };
 
-const REST: Duration = Duration::from_secs(3);
-/// How long after a refusal requests that were on their way still arrive.
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
-/// How many more may arrive in the rest from one daemon.
+/// The cooldown that the upstreams name.
+const COOLDOWN: Duration = Duration::from_secs(3);
+/// Time after a refusal in which requests that were already sent still arrive.
+const IN_TRANSIT: Duration = Duration::from_millis(500);
+/// Number of further requests that may arrive from one daemon during a cooldown.
 const ALLOWED: usize = 2;
 
-fn turn_away(runner: &Runner) {
+fn refuse_with_cooldown(runner: &Runner) {
     runner.name_rest(Some("3"));
     runner.behave(Behaviour::Refuse);
 }
 
-/// Returns the most requests that came from one daemon in a rest that it had been asked for.
-fn most_in_a_rest(runner: &Runner) -> usize {
+/// Returns the maximum number of requests from one daemon during a cooldown that it was sent.
+fn most_in_a_cooldown(runner: &Runner) -> usize {
     let refused = runner.turned_away();
     let arrived: Vec<Run> = refused.iter().cloned().chain(runner.runs()).collect();
     let daemon = |run: &Run| run.attempt.split('-').next().map(str::to_string);
-    let in_rest = |refusal: &Run| {
+    let in_cooldown = |refusal: &Run| {
         let same = arrived.iter().filter(|run| daemon(run) == daemon(refusal));
-        let (from, until) = (refusal.at + ON_ITS_WAY, refusal.at + REST);
+        let (from, until) = (refusal.at + IN_TRANSIT, refusal.at + REST);
         same.filter(|run| run.at >= from && run.at < until).count()
     };
-    refused.iter().map(in_rest).max().unwrap_or(0)
+    refused.iter().map(in_cooldown).max().unwrap_or(0)
 }
 
-fn check_rests(world: &FileWorld) {
+fn check_cooldowns(world: &FileWorld) {
     for runner in &world.runners {
-        let most = most_in_a_rest(runner);
-        assert!(most <= ALLOWED, "{}: {most} in a rest", runner.id());
+        let most = most_in_a_cooldown(runner);
+        assert!(most <= ALLOWED, "{}: {most} in a cooldown", runner.id());
     }
 }
 
 #[tokio::test]
-async fn one_daemon_alone_sends_more_to_upstreams_that_all_asked_for_rest() {
+async fn a_standalone_daemon_does_not_send_to_upstreams_that_are_all_in_cooldown() {
     let world = FileWorld::start(1, 3).await;
-    world.runners.iter().for_each(turn_away);
-    world.load(&[0], 60.0, REST).await;
-    check_rests(&world);
+    world.runners.iter().for_each(refuse_with_cooldown);
+    world.load(&[0], 60.0, COOLDOWN).await;
+    check_cooldowns(&world);
 }
 
 #[tokio::test]
-async fn daemons_send_more_to_upstreams_that_asked_them_for_rest() {
+async fn daemons_do_not_send_to_upstreams_in_cooldown() {
     let all = [0, 1, 2, 3, 4];
     for in_cooldown in [2, 6] {
         let world = FileWorld::start(5, 6).await;
-        world.runners[..in_cooldown].iter().for_each(turn_away);
-        let told = world.load(&all, 80.0, REST).await;
-        check_rests(&world);
+        world.runners[..in_cooldown]
+            .iter()
+            .for_each(refuse_with_cooldown);
+        let answers = world.load(&all, 80.0, COOLDOWN).await;
+        check_cooldowns(&world);
         if in_cooldown == 2 {
-            let served = told.iter().filter(|t| t.status == StatusCode::OK).count();
-            // Each daemon learns it by a refusal, and its budget bounds repeats.
+            let served = answers
+                .iter()
+                .filter(|a| a.status == StatusCode::OK)
+                .count();
+            // Each daemon learns of the cooldown from a refusal, and its retry budget may not
+            // cover all the refused requests.
             assert!(
-                served * 100 >= told.len() * 95,
+                served * 100 >= answers.len() * 95,
                 "{served} of {}",
-                told.len()
+                answers.len()
             );
         }
     }
 }
 
-/// What can't be served is refused at once, with the time after which it can.
+/// A request that no upstream can serve is refused at once, with the time after which to retry.
 #[tokio::test]
-async fn a_request_waits_in_vain_for_upstreams_that_all_rest() {
+async fn a_request_does_not_wait_for_upstreams_that_are_all_in_cooldown() {
     let world = FileWorld::start(1, 2).await;
-    world.runners.iter().for_each(turn_away);
+    world.runners.iter().for_each(refuse_with_cooldown);
     world.load(&[0], 40.0, Duration::from_millis(500)).await;
-    let told = world.load(&[0], 40.0, Duration::from_secs(1)).await;
-    for told in told {
-        assert_eq!(told.status, StatusCode::SERVICE_UNAVAILABLE);
-        let retry_after_s = told.retry_after_s.expect("a time");
-        // From 0.5 to 1.5 s after the refusals 1.5 to 2.5 s of rest are left.
+    let answers = world.load(&[0], 40.0, Duration::from_secs(1)).await;
+    for answer in answers {
+        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
+        let retry_after_s = answer.retry_after_s.expect("a time");
+        // From 0.5 to 1.5 s after the refusals, 1.5 to 2.5 s of the cooldown are left.
         assert!((1.0..=4.0).contains(&retry_after_s), "{retry_after_s}");
-        assert!(told.after < Duration::from_secs(1), "{:?}", told.after);
+        assert!(answer.after < Duration::from_secs(1), "{:?}", answer.after);
     }
 }
 
-/// The upstream's own word is no failure of it.
+/// A cooldown that an upstream names does not count as a failure of the upstream. Otherwise it
+/// would be avoided for longer than it named.
 #[tokio::test]
-async fn upstreams_are_left_out_for_longer_than_they_asked() {
+async fn upstreams_are_not_avoided_after_their_cooldown() {
     let world = FileWorld::start(3, 4).await;
     let all = [0, 1, 2];
-    turn_away(&world.runners[0]);
-    turn_away(&world.runners[1]);
-    world.load(&all, 60.0, REST * 2).await;
+    refuse_with_cooldown(&world.runners[0]);
+    refuse_with_cooldown(&world.runners[1]);
+    world.load(&all, 60.0, COOLDOWN * 2).await;
     for runner in &world.runners {
         runner.behave(Behaviour::Serve);
     }
-    // The last rest that was asked for ends.
-    world.load(&all, 60.0, REST).await;
+    // The last cooldown that an upstream named ends.
+    world.load(&all, 60.0, COOLDOWN).await;
     let over = Instant::now();
     world.load(&all, 60.0, Duration::from_secs(2)).await;
     let got: Vec<usize> = (0..4).map(|n| world.runs_since(n, over)).collect();
-    let of_rested = got[0] + got[1];
+    let after_cooldown = got[0] + got[1];
     let of_others = got[2] + got[3];
-    assert!(of_rested * 2 >= of_others, "{got:?}");
+    assert!(after_cooldown * 2 >= of_others, "{got:?}");
 }
 
-/// It is served as soon as its upstream takes requests again.
+/// Requests are served as soon as the upstream accepts them again.
 #[tokio::test]
-async fn what_is_no_time_of_rest_counts_as_one() {
+async fn an_invalid_retry_time_does_not_start_a_cooldown() {
     let world = FileWorld::start(1, 1).await;
     let long = "9".repeat(300);
-    for junk in [
+    for invalid in [
         "",
         "-1",
         "NaN",
@@ -117,11 +126,14 @@
         "Thu, 03 Dec 2026 00:00:00 GMT",
         &long,
     ] {
-        world.runners[0].name_rest(Some(junk));
+        world.runners[0].name_rest(Some(invalid));
         world.runners[0].behave(Behaviour::Refuse);
         world.load(&[0], 20.0, Duration::from_millis(300)).await;
         world.runners[0].behave(Behaviour::Serve);
-        let told = world.load(&[0], 20.0, Duration::from_millis(300)).await;
-        assert!(told.iter().all(|t| t.status == StatusCode::OK), "{junk:?}");
+        let answers = world.load(&[0], 20.0, Duration::from_millis(300)).await;
+        assert!(
+            answers.iter().all(|a| a.status == StatusCode::OK),
+            "{invalid:?}"
+        );
     }
 }
