--- a/src/gateway/metrics_page.rs
+++ b/src/gateway/metrics_page.rs
@@ -43,7 +43,7 @@
 pub const CONFIG_VERSION: &str = "saddlepulley_config_version";
 /// Age of the newest answer of the source of configuration and upstreams, in seconds.
 pub const SOURCE_AGE: &str = "saddlepulley_source_age_seconds";
-/// Number of other daemons that are live.
+/// Number of other daemons from which a message was received recently.
 pub const LIVE_PEERS: &str = "saddlepulley_live_peers";
 /// Number of daemons by the message version that they use.
 pub const PEERS_BY_MESSAGES: &str = "saddlepulley_peers_by_messages";
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -92,9 +92,9 @@
         &self.gateway
     }
 
-    /// Performs a planned stop: reports not ready to new clients, waits for the notice time, closes idle connections, lets the
-    /// requests in flight finish, and announces the last usage counts. Whatever is in flight
-    /// at the end of the schedule is cut off.
+    /// Performs a planned stop: reports not ready to new clients, waits for the notice time,
+    /// closes idle connections, lets the requests in flight finish, and announces the last
+    /// usage counts. Requests still in flight at the end of the schedule are cut off.
     pub async fn stop(mut self) {
         let began = BootInstant::now();
         let schedule = self.gateway.begin_stop();
--- a/tests/gateway/upstreams_in_cooldown.rs
+++ b/tests/gateway/upstreams_in_cooldown.rs
@@ -27,7 +27,7 @@
     let daemon = |run: &Run| run.attempt.split('-').next().map(str::to_string);
     let in_cooldown = |refusal: &Run| {
         let same = arrived.iter().filter(|run| daemon(run) == daemon(refusal));
-        let (from, until) = (refusal.at + IN_TRANSIT, refusal.at + REST);
+        let (from, until) = (refusal.at + IN_TRANSIT, refusal.at + COOLDOWN);
         same.filter(|run| run.at >= from && run.at < until).count()
     };
     refused.iter().map(in_cooldown).max().unwrap_or(0)
