--- a/src/cluster/configs/config_follower.rs
+++ b/src/cluster/configs/config_follower.rs
@@ -23,15 +23,15 @@
 pub async fn follow_config_of_daemons(gateway: Arc<Gateway>) {
     let client = HttpClient::default();
     loop {
-        gateway.until_lacking_config().await;
+        gateway.until_config_is_outdated().await;
         let mut missing = MissingConfig::new(gateway.steady_ms());
-        while gateway.lacks_config() {
+        while gateway.is_config_outdated() {
             let reads_source = *gateway.reads_source.borrow();
             if missing.queries_daemons(reads_source, gateway.steady_ms()) {
                 query_one(&gateway, &client, &mut missing).await;
             }
             gateway.set_reads_config(missing.needs_source(gateway.steady_ms()));
-            if gateway.lacks_config() {
+            if gateway.is_config_outdated() {
                 let jitter_ms = gateway.draw() % QUERY_INTERVAL_MS;
                 tokio::time::sleep(Duration::from_millis(QUERY_INTERVAL_MS + jitter_ms)).await;
             }
--- a/src/cluster/crashes/crash_announcer.rs
+++ b/src/cluster/crashes/crash_announcer.rs
@@ -47,7 +47,7 @@
 
 async fn announce_held(gateway: &Gateway) {
     let hubs = gateway.other_hubs().into_iter().collect();
-    let drawn = gateway.draw_some(hubs, HELD_ANNOUNCE_FANOUT);
+    let drawn = gateway.random_sample(hubs, HELD_ANNOUNCE_FANOUT);
     let now_ms = gateway.steady_ms();
     let held = gateway.crashes.lock().held_crashes(MAX_ANNOUNCED, now_ms);
     send_crashes(gateway, &held, true, &drawn.into_iter().collect()).await;
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -67,7 +67,7 @@
     let mut packets = vec![digest_packet(digest.clone())];
     let quotas = split_into_parts(quota_announcer.due(gateway.tick_quotas(), listeners));
     let quotas = quotas_parts(gateway, quotas, sequence, age_ms);
-    let loads = loads_parts(gateway, &gateway.led_loads(), sequence, 0);
+    let loads = loads_parts(gateway, &gateway.loads_with_dependents(), sequence, 0);
     packets.extend(quotas.into_iter().chain(loads).map(Packet::from));
     send_all(gateway, &packets, &hubs).await;
     // Seeds and silent daemons get fewer digests. These state the longer interval, since by the
@@ -150,7 +150,7 @@
         .map(|(service, s)| (service.to_string(), s.ms_per_token as f32, s.comparisons))
         .collect();
     digest.rollouts = gateway.announced_rollouts();
-    digest.known = gateway.named_daemons(domain);
+    digest.known = gateway.sample_daemons(domain);
     digest
 }
 
--- a/src/cluster/limits/limit_announcer.rs
+++ b/src/cluster/limits/limit_announcer.rs
@@ -26,7 +26,10 @@
         announce_changes(&gateway).await;
         if interval.is_multiple_of(IN_FORCE_INTERVALS) && gateway.is_hub() {
             let hubs = gateway.other_hubs().into_iter().collect();
-            let drawn = gateway.draw_some(hubs, IN_FORCE_HUBS).into_iter().collect();
+            let drawn = gateway
+                .random_sample(hubs, IN_FORCE_HUBS)
+                .into_iter()
+                .collect();
             announce_in_force(&gateway, &drawn).await;
         }
     }
@@ -48,7 +51,7 @@
 pub(in crate::cluster) async fn announce_in_force(gateway: &Gateway, to: &BTreeSet<SocketAddr>) {
     let in_force = gateway.limits.lock().in_force(gateway.steady_ms());
     if !in_force.is_empty() {
-        let drawn = gateway.draw_some(in_force, MAX_LIMITS);
+        let drawn = gateway.random_sample(in_force, MAX_LIMITS);
         send_limits(gateway, &drawn, true, to).await;
     }
 }
--- a/src/gateway/request_placement.rs
+++ b/src/gateway/request_placement.rs
@@ -123,7 +123,7 @@
             parts: parts.map(|p| (p.chain, p.tokens)).collect(),
             tried: tried.iter().map(ToString::to_string).collect(),
             avoided,
-            isolation_key: self.placed_apart_by(context),
+            isolation_key: self.isolation_key_for(context),
         }
     }
 
@@ -178,7 +178,7 @@
             avoided: Vec::new(),
             in_cooldown: self.in_cooldown(),
             domain: self.domain().clone(),
-            isolation_key: self.placed_apart_by(context),
+            isolation_key: self.isolation_key_for(context),
         };
         self.choose_permitted(&request, context.id_text()).await
     }
@@ -249,8 +249,8 @@
         ready: &ReadyUpstreams,
         denials: usize,
     ) -> Vec<bool> {
-        let mut excluded = self.barred_by_rollout(request, ready).unwrap_or_default();
-        let limited = self.barred_by_limits(denials);
+        let mut excluded = self.excluded_by_rollout(request, ready).unwrap_or_default();
+        let limited = self.excluded_by_limits(denials);
         for id in limited.iter().chain(&request.in_cooldown) {
             if let Some(index) = ready.index_of(id) {
                 excluded.resize(ready.upstreams.len(), false);
@@ -290,7 +290,7 @@
         for index in request.tried.iter().filter_map(|id| ready.index_of(id)) {
             candidates[index].tried = true;
         }
-        let in_cooldown = self.resting_for_many();
+        let in_cooldown = self.upstreams_in_cooldown_for_many();
         let avoided = request.avoided.iter().chain(&in_cooldown);
         for index in avoided.filter_map(|id| ready.index_of(id)) {
             candidates[index].avoided = true;
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        Gateway, LEAVING_ANSWERS, REST_ANSWERS, RequestContext, leaving_upstream::watch_for_exit,
+        COOLDOWN_ANSWERS, Gateway, LEAVING_ANSWERS, RequestContext,
+        leaving_upstream::watch_for_exit,
     },
     crate::{names::UpstreamId, policy::RetryAfter, upstreams::Upstream},
     http::{HeaderMap, StatusCode, header, response::Parts},
@@ -76,7 +77,7 @@
         match RetryAfter::read(values.iter().map(|value| value.as_bytes())) {
             RetryAfter::Absent => {}
             RetryAfter::For(cooldown) => {
-                metrics::counter!(REST_ANSWERS).increment(1);
+                metrics::counter!(COOLDOWN_ANSWERS).increment(1);
                 log::info!(
                     target: "upstreams",
                     "upstream asks for a cooldown. request={} upstream={} rest_ms={}",
