--- a/src/app/accept.rs
+++ b/src/app/accept.rs
@@ -9,47 +9,48 @@
     std::sync::Arc,
 };
 
-/// A request as it came in.
+/// A client's request before admission.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Who sent it.
+    /// The client account that sent it.
     pub account: ClientAccount,
-    /// The service.
+    /// The service that is to run it.
     pub service: ServiceName,
-    /// The work.
+    /// The work to run.
     pub work: Work,
-    /// The caller's key.
+    /// The idempotency key that the client sent; it becomes the request's identifier.
     pub key: Option<RequestId>,
-    /// Whether it may run more than once, if the caller said.
+    /// True if the request may run more than once; `None` if the client did not say, in
+    /// which case the contract row decides.
     pub repeatable: Option<bool>,
-    /// How long the answer is waited for, in milliseconds.
+    /// Time until the deadline, in milliseconds; `None` for the configured default.
     pub deadline_ms: Option<u64>,
-    /// Whether it must not be accepted without a copy in another failure domain.
+    /// If set, the request is refused unless a copy is stored in another failure domain.
     pub cross_domain_only: bool,
 }
 
-/// A request that was accepted.
+/// An accepted request.
 #[derive(Clone, Debug)]
 pub struct Accepted {
-    /// The request.
+    /// The request's identifier.
     pub id: RequestId,
-    /// What was asked, and by which deadline.
+    /// The deadline, in Unix milliseconds.
     pub deadline_ms: u64,
-    /// How safe it is; none if another box accepted it.
+    /// Where the copy is stored; `None` if the key attached to an earlier request.
     pub durability: Option<Durability>,
 }
 
-/// A request that was refused.
+/// The refusal of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub status: u16,
-    /// What the caller can rely on.
+    /// What the client can rely on, such as that the request did not run.
     pub failure: Failure,
 }
 
 impl Refusal {
-    /// Makes a refusal of a request that did not run.
+    /// Creates the refusal of a request that did not run.
     pub fn not_run(status: u16, detail: impl Into<String>, retry_after_ms: u64) -> Self {
         Self {
             status,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Makes a refusal of a request that can't be understood.
+    /// Creates the refusal of a malformed request.
     pub fn malformed(status: u16, detail: impl Into<String>) -> Self {
         Self {
             status,
@@ -66,13 +67,15 @@
     }
 }
 
-/// Accepts a request or refuses it at once.
+/// Accepts a request, or refuses it without running it.
+///
+/// A key that is known already attaches to its earlier request.
 ///
 /// # Errors
 ///
-/// Returns the refusal; the request did not run.
+/// Returns the refusal.
 pub async fn accept(world: &Arc<World>, sub: Submission) -> Result<Accepted, Refusal> {
-    if let Some(accepted) = attach_here(world, &sub)? {
+    if let Some(accepted) = attach_locally(world, &sub)? {
         return Ok(accepted);
     }
     if !world.is_ready() {
@@ -97,19 +100,19 @@
     check_kind(world, &sub)?;
     let repeatable = sub.repeatable.unwrap_or(c.repeatable);
     check_key(world, &sub, repeatable)?;
-    if let Some(accepted) = attach_elsewhere(world, &sub, repeatable).await {
+    if let Some(accepted) = attach_remotely(world, &sub, repeatable).await {
         return Ok(accepted);
     }
     let spec = Arc::new(make_spec(world, &sub, c, repeatable));
     let naive = spec.policy.as_str() == NaivePlacement::NAME;
     let spill = choose_spill(world, &spec);
     let fair = !naive && spill.is_none() && world.settings.trial.queue;
-    let tokens = tokens_of(&spec);
+    let tokens = charged_tokens(&spec);
     let deadline_ms = spec.deadline_ms;
     let admitted = AdmissionControl::admit(world, c, tokens, deadline_ms, fair).await;
-    let admitted = admitted.map_err(|r| rejected(&r))?;
-    earn_retry(world, &spec);
-    let start = Start {
+    let admitted = admitted.map_err(|r| refusal_of(&r))?;
+    credit_retry_budget(world, &spec);
+    let start = AdmittedRequest {
         spec,
         admitted,
         spill,
@@ -118,15 +121,17 @@
     start.go(world).await
 }
 
-/// The tokens that a request is charged with.
-pub fn tokens_of(spec: &RequestSpec) -> f64 {
+/// Returns the tokens that a request is charged with: its prompt plus its maximum output
+/// for a model, none for a plain service.
+pub fn charged_tokens(spec: &RequestSpec) -> f64 {
     match &spec.work {
         Work::Model(work) => f64::from(count_tokens(&work.prompt) + work.max_tokens),
         Work::Plain(_) => 0.0,
     }
 }
 
-/// Runs a request that this box owns.
+/// Runs a request that this box owns. `right` is an execution right that another box
+/// handed over, if any.
 pub async fn run(world: Arc<World>, cell: Arc<RequestCell>, right: Option<Claimant>) {
     let is_model = cell.spec().model().is_some();
     if is_model && cell.spec().repeatable {
@@ -136,27 +141,28 @@
     }
 }
 
-/// An admitted request, about to start.
-struct Start {
+/// An admitted request that has not started.
+struct AdmittedRequest {
     spec: Arc<RequestSpec>,
     admitted: Admitted,
-    /// The failure domain that it goes to at once.
+    /// The failure domain that it is moved to before it runs here, if any.
     spill: Option<FailureDomain>,
     cross_domain_only: bool,
 }
 
-impl Start {
+impl AdmittedRequest {
     async fn go(self, world: &Arc<World>) -> Result<Accepted, Refusal> {
         let record = Record::new(self.spec.clone(), Role::Owner, 1, now_ms());
-        let (cell, fresh) = world.requests.insert(record);
-        if !fresh {
-            // The same key came twice at this moment: both get the one answer.
+        let (cell, inserted) = world.requests.insert(record);
+        if !inserted {
+            // Two requests with the same key arrived concurrently: both attach to one answer.
             return Ok(self.accepted(None));
         }
         let _reader = cell.reader();
         let repeatable_model = self.spec.model().is_some() && self.spec.repeatable;
         if repeatable_model && !self.cross_domain_only {
-            // It runs while its copy travels; nothing is shown before both.
+            // The request runs while its copy is being sent. The client gets no token before
+            // the copy holds it.
             let accepted = self.accepted(None);
             self.spawn(world, &cell);
             let durability = Some(hold(world, &cell, None).await);
@@ -168,7 +174,7 @@
         }
         let durability = hold(world, &cell, None).await;
         if self.cross_domain_only && durability != Durability::CrossDomain {
-            return Err(refuse_domain_only(world, &cell));
+            return Err(refuse_without_cross_domain_copy(world, &cell));
         }
         let accepted = self.accepted(Some(durability));
         self.spawn(world, &cell);
@@ -187,11 +193,11 @@
         let world = world.clone();
         let cell = cell.clone();
         tokio::spawn(async move {
-            let gone = match &self.spill {
+            let moved = match &self.spill {
                 Some(domain) => move_to_domain(&world, &cell, domain).await,
                 None => false,
             };
-            if !gone {
+            if !moved {
                 run(world, cell, None).await;
             }
             drop(self.admitted);
@@ -199,18 +205,22 @@
     }
 }
 
-/// A copy in this failure domain isn't enough for the caller. The request ends
-/// here and on the holder, which must not think that it was lost and run it.
-fn refuse_domain_only(world: &Arc<World>, cell: &Arc<RequestCell>) -> Refusal {
+/// Refuses a request for which the client requires a copy in another failure domain.
+///
+/// The request is ended here and on the holder of its copy; otherwise the holder could
+/// take the owner for lost and run the request.
+fn refuse_without_cross_domain_copy(world: &Arc<World>, cell: &Arc<RequestCell>) -> Refusal {
     let refusal = Refusal::not_run(503, "no other failure domain can be reached", 2_000);
     let ending = Ending::Failed(refusal.failure.clone());
     finish(world, cell, ending, &RunScore::new(&cell.spec()));
     refusal
 }
 
-/// A key that this box knows attaches to its request; one that was refused
-/// `not-run` may be sent again and starts afresh.
-fn attach_here(world: &World, sub: &Submission) -> Result<Option<Accepted>, Refusal> {
+/// Attaches to the request of the same key on this box.
+///
+/// A request that ended `not-run` is removed, so that its key can be sent again and starts
+/// a new request.
+fn attach_locally(world: &World, sub: &Submission) -> Result<Option<Accepted>, Refusal> {
     let Some(key) = sub.key else { return Ok(None) };
     let Some(cell) = world.requests.get(key) else {
         return Ok(None);
@@ -239,9 +249,11 @@
     }))
 }
 
-/// A repeatable request's key is looked for on the boxes that would hold it;
-/// for others the claim decides.
-async fn attach_elsewhere(world: &World, sub: &Submission, repeatable: bool) -> Option<Accepted> {
+/// Attaches to the request of the same key on another box.
+///
+/// Only the key of a repeatable request is looked up, on the boxes that would hold its copy.
+/// For a request that is not repeatable the claim log decides.
+async fn attach_remotely(world: &World, sub: &Submission, repeatable: bool) -> Option<Accepted> {
     let key = sub.key.filter(|_| repeatable)?;
     let found = locate(world, key, 0).await;
     let Found::At(owner) = found else { return None };
@@ -258,9 +270,10 @@
     })
 }
 
-/// A service that is known to be of the other kind can't do the work.
+/// Refuses work for a service of the other kind (model or plain), if the service's boxes
+/// are known.
 fn check_kind(world: &World, sub: &Submission) -> Result<(), Refusal> {
-    let (wanted, what) = match &sub.work {
+    let (wanted, kind_text) = match &sub.work {
         Work::Model(_) => (BoxKind::Engine, "a model service"),
         Work::Plain(_) => (BoxKind::Plain, "a plain service"),
     };
@@ -271,7 +284,7 @@
     }
     Err(Refusal::malformed(
         404,
-        format!("`{}` is not {what}", sub.service),
+        format!("`{}` is not {kind_text}", sub.service),
     ))
 }
 
@@ -318,7 +331,7 @@
     }
 }
 
-fn earn_retry(world: &World, spec: &RequestSpec) {
+fn credit_retry_budget(world: &World, spec: &RequestSpec) {
     let key = (spec.account.clone(), spec.service.clone());
     let mut budgets = world.budgets.lock();
     budgets
@@ -327,7 +340,7 @@
         .earn(spec.terms.retry_budget);
 }
 
-fn rejected(r: &Rejection) -> Refusal {
+fn refusal_of(r: &Rejection) -> Refusal {
     let (status, detail) = match r {
         Rejection::Rate { .. } => (429, "the row's rate is used up"),
         Rejection::Concurrency { .. } => (429, "the row's concurrency is used up"),
--- a/src/app/admission_control.rs
+++ b/src/app/admission_control.rs
@@ -13,21 +13,23 @@
     tokio::sync::oneshot,
 };
 
-/// Requests at once that an upstream without a report of load is taken to serve.
+/// Number of concurrent requests assumed for an upstream that has not reported its load.
 const DEFAULT_SLOTS: u32 = 32;
-/// How much more than the slots is let through, so that engines never idle.
+/// Factor by which admissions exceed the slots, so that engines never idle.
 const OVERCOMMIT: f64 = 1.1;
-/// A service without upstreams here: its requests are sent on, not queued.
+/// Capacity of a service without upstreams in this failure domain: its requests are moved
+/// to another failure domain instead of being queued.
 const NO_QUEUE: u32 = u32::MAX;
-/// How much of a new stay enters the smoothed one.
+/// Weight of a new sample in the exponentially smoothed time that a request runs.
 const SMOOTHING: f64 = 0.05;
 
-/// Admits requests by their row, and shares a service's capacity fairly.
+/// Admits requests within the limits of their contract row, and shares the capacity of a
+/// service fairly among client accounts.
 ///
-/// Lock order: `gates` before `queues`.
+/// Lock order: `row_limiters` before `queues`.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    gates: Mutex<BTreeMap<(ClientAccount, ServiceName), RowLimiter>>,
+    row_limiters: Mutex<BTreeMap<(ClientAccount, ServiceName), RowLimiter>>,
     queues: Mutex<BTreeMap<ServiceName, ServiceQueue>>,
     running: AtomicUsize,
 }
@@ -36,10 +38,11 @@
 struct ServiceQueue {
     fair: FairQueue,
     waiters: HashMap<u64, oneshot::Sender<()>>,
-    stay_ms: f64,
+    /// Smoothed time between the start and the end of a request, in milliseconds.
+    run_time_ms: f64,
 }
 
-/// An admitted request; it ends when dropped.
+/// An admitted request. Dropping it ends the request and frees its place.
 pub struct Admitted {
     world: Arc<World>,
     account: ClientAccount,
@@ -49,11 +52,11 @@
 }
 
 impl AdmissionControl {
-    /// Admits a request, or refuses it at once.
+    /// Admits a request; with `fair`, once the service's fair queue lets it start.
     ///
     /// # Errors
     ///
-    /// Returns the limit that refuses it and when to come back.
+    /// Returns the limit that refuses the request and when to retry.
     pub async fn admit(
         world: &Arc<World>,
         c: &Contract,
@@ -61,8 +64,8 @@
         deadline_ms: u64,
         fair: bool,
     ) -> Result<Admitted, Rejection> {
-        let desk = &world.admission;
-        desk.pass_gate(world, c, tokens)?;
+        let admission = &world.admission;
+        admission.check_row_limits(world, c, tokens)?;
         let mut admitted = Admitted {
             world: world.clone(),
             account: c.account.clone(),
@@ -71,44 +74,44 @@
             started_ms: now_ms(),
         };
         if fair {
-            desk.take_turn(world, c, deadline_ms).await?;
+            admission.wait_for_start(world, c, deadline_ms).await?;
             admitted.queued = true;
             admitted.started_ms = now_ms();
         }
         Ok(admitted)
     }
 
-    /// Returns how many admitted requests have not ended, those that wait included.
+    /// Returns how many admitted requests have not ended, including those in the fair queue.
     pub fn running(&self) -> usize {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Returns how many requests of a service wait for their turn.
+    /// Returns how many requests of a service wait in its fair queue.
     pub fn waiting_for(&self, service: &ServiceName) -> u32 {
         let queues = self.queues.lock();
         queues.get(service).map_or(0, |q| q.fair.waiting() as u32)
     }
 
-    /// Returns how many requests wait for their turn.
+    /// Returns how many requests wait in the fair queues of all services.
     pub fn waiting(&self) -> usize {
         self.queues.lock().values().map(|q| q.fair.waiting()).sum()
     }
 
-    fn pass_gate(&self, world: &World, c: &Contract, tokens: f64) -> Result<(), Rejection> {
+    fn check_row_limits(&self, world: &World, c: &Contract, tokens: f64) -> Result<(), Rejection> {
         let daemons = world.domain_daemons();
         let share = RowShare::divide(c.rate, c.concurrency, c.tokens_per_s, daemons);
         let now = now_ms();
         let key = (c.account.clone(), c.service.clone());
-        let mut gates = self.gates.lock();
-        let gate = gates
+        let mut row_limiters = self.row_limiters.lock();
+        let limiter = row_limiters
             .entry(key)
             .or_insert_with(|| RowLimiter::new(&share, now));
-        gate.admit(&share, tokens, now)?;
+        limiter.admit(&share, tokens, now)?;
         self.running.fetch_add(1, Ordering::Relaxed);
         Ok(())
     }
 
-    async fn take_turn(
+    async fn wait_for_start(
         &self,
         world: &World,
         c: &Contract,
@@ -119,11 +122,16 @@
         let (ticket, rx) = {
             let mut queues = self.queues.lock();
             let q = queues.entry(c.service.clone()).or_default();
-            let stay_ms = q.stay_ms;
-            let turn = q
-                .fair
-                .join(&c.account, c.weight, capacity, stay_ms, now, deadline_ms);
-            match turn {
+            let run_time_ms = q.run_time_ms;
+            let outcome = q.fair.join(
+                &c.account,
+                c.weight,
+                capacity,
+                run_time_ms,
+                now,
+                deadline_ms,
+            );
+            match outcome {
                 Ok(JoinOutcome::Now) => return Ok(()),
                 Ok(JoinOutcome::Wait(ticket)) => {
                     let (tx, rx) = oneshot::channel();
@@ -133,42 +141,42 @@
                 Err(rejection) => return Err(rejection),
             }
         };
-        let waiting = Waiting {
-            desk: self,
+        let waiting = QueueWait {
+            admission: self,
             service: &c.service,
             ticket,
             rx,
-            done: false,
+            started: false,
         };
-        waiting.turn(deadline_ms.saturating_sub(now)).await
+        waiting.until_started(deadline_ms.saturating_sub(now)).await
     }
 
-    fn leave_gate(&self, account: &ClientAccount, service: &ServiceName) {
+    fn release_row(&self, account: &ClientAccount, service: &ServiceName) {
         let key = (account.clone(), service.clone());
         self.running.fetch_sub(1, Ordering::Relaxed);
-        if let Some(gate) = self.gates.lock().get_mut(&key) {
-            gate.end();
+        if let Some(limiter) = self.row_limiters.lock().get_mut(&key) {
+            limiter.end();
         }
     }
 
     fn end(&self, world: &World, admitted: &Admitted) {
-        self.leave_gate(&admitted.account, &admitted.service);
+        self.release_row(&admitted.account, &admitted.service);
         if !admitted.queued {
             return;
         }
         let capacity = capacity(world, &admitted.service);
-        let stay_ms = now_ms().saturating_sub(admitted.started_ms) as f64;
+        let run_time_ms = now_ms().saturating_sub(admitted.started_ms) as f64;
         let mut queues = self.queues.lock();
         let q = queues.entry(admitted.service.clone()).or_default();
-        if q.stay_ms == 0.0 {
-            q.stay_ms = stay_ms;
+        if q.run_time_ms == 0.0 {
+            q.run_time_ms = run_time_ms;
         }
-        q.stay_ms += SMOOTHING * (stay_ms - q.stay_ms);
+        q.run_time_ms += SMOOTHING * (run_time_ms - q.run_time_ms);
         q.fair.end();
         q.wake(capacity);
     }
 
-    /// Lets waiting requests go where the capacity grew.
+    /// Starts waiting requests of services whose capacity has grown.
     pub fn wake_all(&self, world: &World) {
         let services: Vec<ServiceName> = self.queues.lock().keys().cloned().collect();
         for service in services {
@@ -182,9 +190,9 @@
 
 impl ServiceQueue {
     fn wake(&mut self, capacity: u32) {
-        let turns = self.fair.next(capacity, self.stay_ms, now_ms());
+        let turns = self.fair.next(capacity, self.run_time_ms, now_ms());
         for ticket in turns.over {
-            // Its request is told at once: the channel closes.
+            // Dropping the sender closes the channel, which rejects the waiting request at once.
             self.waiters.remove(&ticket);
         }
         for ticket in turns.go {
@@ -203,20 +211,20 @@
     }
 }
 
-/// A wait for a turn; whoever drops it leaves the queue.
-struct Waiting<'a> {
-    desk: &'a AdmissionControl,
+/// A request's wait in the fair queue. Dropping it leaves the queue.
+struct QueueWait<'a> {
+    admission: &'a AdmissionControl,
     service: &'a ServiceName,
     ticket: u64,
     rx: oneshot::Receiver<()>,
-    done: bool,
+    started: bool,
 }
 
-impl Waiting<'_> {
-    async fn turn(mut self, left_ms: u64) -> Result<(), Rejection> {
-        let turn = clock::timeout(Duration::from_millis(left_ms), &mut self.rx).await;
-        if matches!(turn, Ok(Ok(()))) {
-            self.done = true;
+impl QueueWait<'_> {
+    async fn until_started(mut self, remaining_ms: u64) -> Result<(), Rejection> {
+        let started = clock::timeout(Duration::from_millis(remaining_ms), &mut self.rx).await;
+        if matches!(started, Ok(Ok(()))) {
+            self.started = true;
             return Ok(());
         }
         Err(Rejection::Deadline {
@@ -225,15 +233,15 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueWait<'_> {
     fn drop(&mut self) {
-        if self.done {
+        if self.started {
             return;
         }
-        if let Some(q) = self.desk.queues.lock().get_mut(self.service) {
+        if let Some(q) = self.admission.queues.lock().get_mut(self.service) {
             q.fair.leave(self.ticket);
             q.waiters.remove(&self.ticket);
-            // A turn that came in the last moment is given back.
+            // A start that was granted just before the drop is returned.
             if self.rx.try_recv().is_ok() {
                 q.fair.end();
             }
@@ -248,7 +256,8 @@
     }
 }
 
-/// Returns this daemon's part of what the domain's upstreams of a service serve at once.
+/// Returns this daemon's share of the concurrent requests that the failure domain's
+/// upstreams of a service can serve.
 fn capacity(world: &World, service: &ServiceName) -> u32 {
     let slots = {
         let boxes = world.boxes.read();
@@ -265,6 +274,6 @@
     if slots == 0 {
         return NO_QUEUE;
     }
-    let part = f64::from(slots) * OVERCOMMIT / world.domain_daemons() as f64;
-    (part.ceil() as u32).max(1)
+    let share = f64::from(slots) * OVERCOMMIT / world.domain_daemons() as f64;
+    (share.ceil() as u32).max(1)
 }
--- a/src/app/answer_reader.rs
+++ b/src/app/answer_reader.rs
@@ -8,57 +8,59 @@
 const ATTACH_TIMEOUT: Duration = Duration::from_millis(1_000);
 const PAUSE: Duration = Duration::from_millis(100);
 const HOPS_BEFORE_PAUSE: u32 = 4;
-/// How long a request that is found nowhere is looked for, beyond the silence
-/// after which its copy's holder takes it over.
+/// How long a request that no box knows is searched for, in milliseconds, in addition to the
+/// silence after which the holder of its copy takes it over.
 const LOST_AFTER_MS: u64 = 4_000;
 
-/// What a caller's connection gets of an answer.
+/// An event of an answer that is passed to the client's connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerEvent {
-    /// What was asked, before anything else.
+    /// The request; the first event.
     Spec(Arc<RequestSpec>),
-    /// Tokens from an offset on.
+    /// Consecutive tokens of the answer.
     Tokens {
-        /// The offset of the first one.
+        /// Offset of the first token in the answer.
         offset: usize,
         /// The tokens.
         tokens: Vec<Arc<str>>,
     },
-    /// The end.
+    /// The end of the answer.
     Ending(Ending),
-    /// This box is leaving: the caller should attach at another one.
+    /// This box is leaving: the client should attach at another box.
     Reattach,
     /// No box knows the request.
     NotFound,
 }
 
-/// How a part of an answer's way ended.
-enum Way {
-    /// The answer ended, or its reader left.
+/// Where an answer is read next.
+enum ReadFrom {
+    /// Nowhere: the answer ended, or its receiver was dropped.
     Done,
-    /// The request is on this box.
-    To(BoxId),
-    /// It has to be looked for.
-    Look,
+    /// From this box, which may be the reader's own or another.
+    At(BoxId),
+    /// Unknown: the owner has to be located.
+    Locate,
 }
 
-/// Follows an answer wherever it goes, until its end or the deadline.
+/// Reads an answer until its end or the deadline, also when the request moves to another
+/// box or its owner is lost.
 pub struct AnswerReader {
     world: Arc<World>,
     id: RequestId,
     account: ClientAccount,
-    at: usize,
-    told_spec: bool,
+    /// Offset of the next token to send.
+    next_token: usize,
+    spec_sent: bool,
     known: bool,
     deadline_ms: u64,
     tx: mpsc::Sender<AnswerEvent>,
 }
 
 impl AnswerReader {
-    /// Starts to follow an answer from an offset.
+    /// Starts to read an answer from an offset.
     ///
-    /// `known` says that the request was accepted, so that finding it nowhere
-    /// means that it was lost and not that it never was.
+    /// `known` is true if the request is known to have been accepted: if no box has it, it
+    /// was lost, rather than never sent.
     pub fn start(
         world: &Arc<World>,
         id: RequestId,
@@ -72,8 +74,8 @@
             world: world.clone(),
             id,
             account: account.clone(),
-            at: from,
-            told_spec: false,
+            next_token: from,
+            spec_sent: false,
             known,
             deadline_ms,
             tx,
@@ -83,28 +85,31 @@
     }
 
     async fn follow(mut self) {
-        let mut way = match self.world.requests.get(self.id) {
-            Some(_) => Way::To(self.world.me.id.clone()),
-            None => Way::Look,
+        let mut next = match self.world.requests.get(self.id) {
+            Some(_) => ReadFrom::At(self.world.me.id.clone()),
+            None => ReadFrom::Locate,
         };
         let mut lost_since = None;
         let mut hops = 0;
         loop {
-            way = match way {
-                Way::Done => return,
-                Way::To(to) if to == self.world.me.id => self.read_here().await,
-                Way::To(_) if self.world.leaves_at_ms().is_some() => return self.reattach().await,
-                Way::To(to) => self.read_there(&to).await,
-                Way::Look => match locate(&self.world, self.id, self.at).await {
-                    Found::At(to) => Way::To(to),
+            next = match next {
+                ReadFrom::Done => return,
+                ReadFrom::At(to) if to == self.world.me.id => self.read_locally().await,
+                ReadFrom::At(_) if self.world.leaves_at_ms().is_some() => {
+                    return self.reattach().await;
+                }
+                ReadFrom::At(to) => self.read_remotely(&to).await,
+                ReadFrom::Locate => match locate(&self.world, self.id, self.next_token).await {
+                    Found::At(to) => ReadFrom::At(to),
                     Found::Nowhere if !self.known => return self.send(AnswerEvent::NotFound).await,
-                    _ => Way::Look,
+                    _ => ReadFrom::Locate,
                 },
             };
-            if !matches!(way, Way::Look) {
+            if !matches!(next, ReadFrom::Locate) {
                 self.known = true;
                 hops += 1;
-                // Two boxes that point at each other for a moment aren't asked without a pause.
+                // Two boxes may each name the other as owner for a moment: the pause keeps
+                // this from becoming a busy loop.
                 if hops % HOPS_BEFORE_PAUSE == 0 {
                     tokio::time::sleep(PAUSE).await;
                 }
@@ -127,86 +132,86 @@
         now >= self.deadline_ms || now.saturating_sub(lost_since) > max_wait
     }
 
-    async fn read_here(&mut self) -> Way {
+    async fn read_locally(&mut self) -> ReadFrom {
         let Some(cell) = self.world.requests.get(self.id) else {
-            return Way::Look;
+            return ReadFrom::Locate;
         };
         if cell.read().spec.account != self.account {
             self.send(AnswerEvent::NotFound).await;
-            return Way::Done;
+            return ReadFrom::Done;
         }
-        self.tell_spec(cell.spec()).await;
+        self.send_spec(cell.spec()).await;
         let _reader = cell.reader();
         let mut changed = cell.watch();
         loop {
-            let step = next_step(&cell, self.at);
+            let step = next_step(&cell, self.next_token);
             let end = match step {
                 Step::Wait => {
                     tokio::select! {
                         _ = changed.changed() => continue,
-                        () = self.tx.closed() => return Way::Done,
+                        () = self.tx.closed() => return ReadFrom::Done,
                     }
                 }
-                Step::Tokens(tokens) => self.tokens(self.at, tokens).await,
+                Step::Tokens(tokens) => self.send_tokens(self.next_token, tokens).await,
                 Step::Ending(ending) => {
                     self.send(AnswerEvent::Ending(ending)).await;
-                    Some(Way::Done)
+                    Some(ReadFrom::Done)
                 }
-                Step::Moved(to) => Some(Way::To(to)),
-                Step::NotHere => Some(Way::Look),
+                Step::Moved(to) => Some(ReadFrom::At(to)),
+                Step::NotHere => Some(ReadFrom::Locate),
             };
-            if let Some(way) = end {
-                return way;
+            if let Some(next) = end {
+                return next;
             }
         }
     }
 
-    async fn read_there(&mut self, to: &BoxId) -> Way {
+    async fn read_remotely(&mut self, to: &BoxId) -> ReadFrom {
         let Some(client) = self.world.client_of(to) else {
-            return Way::Look;
+            return ReadFrom::Locate;
         };
-        let ask = Attach {
+        let attach = Attach {
             request: self.id,
             account: self.account.clone(),
-            from: self.at,
+            from: self.next_token,
         };
-        let opened = client.attach(&ask, ATTACH_TIMEOUT).await;
+        let opened = client.attach(&attach, ATTACH_TIMEOUT).await;
         let Ok(mut stream) = opened else {
             self.world.links.failed(to);
-            return Way::Look;
+            return ReadFrom::Locate;
         };
         loop {
             let event = tokio::select! {
                 event = stream.next() => event,
-                () = self.tx.closed() => return Way::Done,
-                () = self.unreachable(to) => return Way::Look,
+                () = self.tx.closed() => return ReadFrom::Done,
+                () = self.unreachable(to) => return ReadFrom::Locate,
             };
             let end = match event {
                 Ok(Some(AttachEvent::Spec(spec))) => {
-                    self.tell_spec(Arc::new(*spec)).await;
+                    self.send_spec(Arc::new(*spec)).await;
                     None
                 }
                 Ok(Some(AttachEvent::Tokens { offset, tokens })) => {
-                    self.tokens(offset, tokens).await
+                    self.send_tokens(offset, tokens).await
                 }
                 Ok(Some(AttachEvent::Ending(ending))) => {
                     self.send(AnswerEvent::Ending(ending)).await;
-                    Some(Way::Done)
+                    Some(ReadFrom::Done)
                 }
-                Ok(Some(AttachEvent::Moved(to))) => Some(Way::To(to)),
+                Ok(Some(AttachEvent::Moved(to))) => Some(ReadFrom::At(to)),
                 Ok(Some(AttachEvent::NotYours)) => {
                     self.send(AnswerEvent::NotFound).await;
-                    Some(Way::Done)
+                    Some(ReadFrom::Done)
                 }
-                Ok(Some(AttachEvent::NotHere) | None) | Err(_) => Some(Way::Look),
+                Ok(Some(AttachEvent::NotHere) | None) | Err(_) => Some(ReadFrom::Locate),
             };
-            if let Some(way) = end {
-                return way;
+            if let Some(next) = end {
+                return next;
             }
         }
     }
 
-    /// Ends when the box that the answer is read from no longer answers.
+    /// Completes when the box that the answer is read from fails two consecutive pings.
     async fn unreachable(&self, to: &BoxId) {
         let every = Duration::from_millis(self.world.settings.peers.silence_ms / 2);
         let mut failures = 0;
@@ -217,30 +222,31 @@
         }
     }
 
-    /// Passes tokens on, from where the reader is.
-    async fn tokens(&mut self, offset: usize, tokens: Vec<Arc<str>>) -> Option<Way> {
-        let Some(skip) = self.at.checked_sub(offset) else {
-            return Some(Way::Look);
+    /// Passes on the tokens that follow those already sent. Tokens that start after a gap are
+    /// not sent; the request is then located again.
+    async fn send_tokens(&mut self, offset: usize, tokens: Vec<Arc<str>>) -> Option<ReadFrom> {
+        let Some(skip) = self.next_token.checked_sub(offset) else {
+            return Some(ReadFrom::Locate);
         };
-        let fresh: Vec<Arc<str>> = tokens.into_iter().skip(skip).collect();
-        if fresh.is_empty() {
+        let unsent: Vec<Arc<str>> = tokens.into_iter().skip(skip).collect();
+        if unsent.is_empty() {
             return None;
         }
-        let offset = self.at;
-        self.at += fresh.len();
+        let offset = self.next_token;
+        self.next_token += unsent.len();
         let event = AnswerEvent::Tokens {
             offset,
-            tokens: fresh,
+            tokens: unsent,
         };
         if self.tx.send(event).await.is_err() {
-            return Some(Way::Done);
+            return Some(ReadFrom::Done);
         }
         None
     }
 
-    async fn tell_spec(&mut self, spec: Arc<RequestSpec>) {
-        if !self.told_spec {
-            self.told_spec = true;
+    async fn send_spec(&mut self, spec: Arc<RequestSpec>) {
+        if !self.spec_sent {
+            self.spec_sent = true;
             self.send(AnswerEvent::Spec(spec)).await;
         }
     }
@@ -264,26 +270,27 @@
     }
 }
 
-/// What a reader at an offset gets next.
+/// What a reader at an offset gets next from this box.
 pub enum Step {
-    /// Nothing yet.
+    /// Nothing yet: wait for a change of the record.
     Wait,
-    /// Tokens.
+    /// These tokens.
     Tokens(Vec<Arc<str>>),
-    /// The end.
+    /// The end of the answer.
     Ending(Ending),
     /// The request is on another box.
     Moved(BoxId),
-    /// This box has less than the reader: it must not tell another version.
+    /// This box has fewer tokens than the reader: a continuation from here could differ from
+    /// what the reader has got.
     NotHere,
 }
 
-/// Works out what a reader at an offset gets next from a record.
+/// Returns what a reader at an offset gets next from this box's record.
 pub fn next_step(cell: &RequestCell, at: usize) -> Step {
     let r = cell.read();
     match &r.role {
-        // A whole copy is as good as the owner's.
-        Role::Copy { .. } if r.is_ended() => return whole_copy_step(&r, at),
+        // A copy that holds the ending is complete and serves as well as the owner's record.
+        Role::Copy { .. } if r.is_ended() => return complete_copy_step(&r, at),
         Role::Copy { owner } => return Step::Moved(owner.clone()),
         Role::Moved { to } => return Step::Moved(to.clone()),
         Role::Owner => {}
@@ -300,7 +307,7 @@
     }
 }
 
-fn whole_copy_step(r: &Record, at: usize) -> Step {
+fn complete_copy_step(r: &Record, at: usize) -> Step {
     if at > r.tokens.len() {
         return Step::NotHere;
     }
--- a/src/app/app_error.rs
+++ b/src/app/app_error.rs
@@ -3,20 +3,20 @@
     std::{io, net::SocketAddr},
 };
 
-/// Says why a daemon could not start.
+/// Why a daemon could not start.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum AppError {
-    /// settings: {0}
+    /// settings can't be loaded: {0}
     Conf(#[from] ConfError),
     /// can't listen on {addr}: {source}
     Listen {
-        /// The address.
+        /// The address to listen on.
         addr: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// links: {0}
+    /// connections to peers can't be set up: {0}
     Peer(#[from] PeerError),
-    /// metrics: {0}
+    /// metrics can't be set up: {0}
     Metrics(String),
 }
--- a/src/app/attempt.rs
+++ b/src/app/attempt.rs
@@ -4,30 +4,30 @@
     std::{collections::BTreeSet, net::SocketAddr, sync::Arc},
 };
 
-/// Slots of an upstream that has not reported its load yet.
+/// Slots assumed for an upstream that has not reported its load yet.
 const DEFAULT_SLOTS: u32 = 32;
 const DEFAULT_PREFILL_TOKENS_PER_S: f64 = 8_000.0;
 const DEFAULT_STEP_MS: f64 = 20.0;
-/// The chance that a reclaimable box is taken back in the next second: one a
-/// day on average, until the boxes' own record says more.
+/// Probability that a reclaimable box is reclaimed in the next second. One reclaim a
+/// day on average is assumed, as the rates of the boxes are not measured.
 const RECLAIMABLE_HAZARD_PER_S: f64 = 1.0 / 86_400.0;
 const ROUND_TRIP_MS: f64 = 1.0;
-/// How long an upstream that refused a connection isn't asked again.
+/// How long no request is sent to an upstream that refused a connection.
 const AVOID_MS: u64 = 1_000;
 
-/// A place that was chosen.
+/// An upstream that placement chose.
 #[derive(Clone, Debug)]
 pub struct Place {
-    /// The upstream.
+    /// The upstream's box.
     pub id: BoxId,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
-    /// Its price in millionths of a currency unit a second.
+    /// Its price, in millionths of a currency unit per second.
     pub price_micros: u64,
 }
 
 impl Place {
-    /// Makes a place of a box.
+    /// Creates it from the facts of a box.
     pub fn of(b: &BoxFact) -> Self {
         Self {
             id: b.id.clone(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns what placement asks for a request.
+/// Returns what a request needs of a placement, given how many tokens it has generated.
 pub fn ask_of(spec: &RequestSpec, generated: usize, exclude: BTreeSet<BoxId>) -> RequestNeeds {
     let (prompt_tokens, max_tokens) = match &spec.work {
         Work::Model(work) => (count_tokens(&work.prompt), work.max_tokens),
@@ -55,7 +55,10 @@
     }
 }
 
-/// Returns how placement sees the live upstreams of a service in a failure domain.
+/// Returns the live upstreams of a service in a failure domain as placement sees them.
+///
+/// Leaves out upstreams that refused a connection a short time ago, and those that report
+/// another model than the service's.
 pub fn views(
     world: &World,
     service: &ServiceName,
@@ -117,14 +120,15 @@
     }
 }
 
-/// Chooses another failure domain for a request that would miss its target here.
+/// Chooses another failure domain for a request that would miss its latency target in
+/// this one.
 pub fn choose_spill(world: &World, spec: &RequestSpec) -> Option<FailureDomain> {
     if spec.policy.as_str() == NaivePlacement::NAME || !world.settings.trial.spill {
         return None;
     }
     let work = spec.model()?;
     let hashes = prefix_hashes(&work.prompt);
-    let seen = |failure_domain: &FailureDomain| {
+    let upstreams_of = |failure_domain: &FailureDomain| {
         let views = views(world, &spec.service, failure_domain, &hashes);
         DomainUpstreams {
             failure_domain: failure_domain.clone(),
@@ -133,14 +137,14 @@
     };
     let domains = world.boxes.read().domains_with(&spec.service);
     let others = domains.iter().filter(|d| *d != world.my_domain());
-    let others: Vec<DomainUpstreams> = others.map(seen).collect();
-    let here = seen(world.my_domain());
+    let others: Vec<DomainUpstreams> = others.map(upstreams_of).collect();
+    let here = upstreams_of(world.my_domain());
     let waiting = world.admission.waiting_for(&spec.service);
-    let ask = ask_of(spec, 0, BTreeSet::new());
-    spill(&ask, &here, waiting, &others, &mut world.fork_rng())
+    let needs = ask_of(spec, 0, BTreeSet::new());
+    spill(&needs, &here, waiting, &others, &mut world.fork_rng())
 }
 
-/// Chooses a place for a request by its policy.
+/// Chooses an upstream for a request by its placement policy.
 pub fn choose(
     world: &World,
     spec: &RequestSpec,
@@ -154,44 +158,46 @@
     let (views, places): (Vec<_>, Vec<_>) = views(world, &spec.service, world.my_domain(), &hashes)
         .into_iter()
         .unzip();
-    let ask = ask_of(spec, generated, exclude.clone());
+    let needs = ask_of(spec, generated, exclude.clone());
     let policy = placement(&spec.policy);
     let chosen = policy
-        .choose(&ask, &views, rng)
-        .or_else(|| choose_relaxed(&ask, &views, &*policy, rng))?;
+        .choose(&needs, &views, rng)
+        .or_else(|| choose_relaxed(&needs, &views, &*policy, rng))?;
     Some(places[chosen].clone())
 }
 
-/// A class that is preferred but not there gives way: an answer goes before a price.
+/// Chooses an upstream without regard to the preferred class, when no upstream of that
+/// class is available: getting an answer matters more than its price.
 fn choose_relaxed(
-    ask: &RequestNeeds,
+    needs: &RequestNeeds,
     views: &[UpstreamView],
     policy: &dyn Placement,
     rng: &mut dyn rand::RngCore,
 ) -> Option<usize> {
-    if ask.class == ClassPreference::Any {
+    if needs.class == ClassPreference::Any {
         return None;
     }
     let relaxed = RequestNeeds {
         class: ClassPreference::Any,
-        ..ask.clone()
+        ..needs.clone()
     };
     policy.choose(&relaxed, views, rng)
 }
 
-/// Leaves an upstream that refused a connection alone for a while.
+/// Excludes an upstream that refused a connection from placement for [`AVOID_MS`].
 pub fn avoid(world: &World, place: &Place) {
     let mut stats = world.stats.lock();
     stats.of(&place.id).avoid_until_ms = now_ms() + AVOID_MS;
 }
 
-/// Spends a retry from the budget of a request's row, if one is saved.
+/// Spends a retry from the retry budget of a request's row. Returns false if the budget
+/// is used up.
 pub fn spend_retry(world: &World, spec: &RequestSpec) -> bool {
     let key = (spec.account.clone(), spec.service.clone());
     world.budgets.lock().entry(key).or_default().spend()
 }
 
-/// An attempt in flight at an upstream; it is counted out when dropped.
+/// An attempt in flight at an upstream. Dropping it ends the count.
 pub struct InFlight {
     world: Arc<World>,
     place: Place,
@@ -199,7 +205,7 @@
 }
 
 impl InFlight {
-    /// Counts an attempt in.
+    /// Counts a new attempt at an upstream.
     pub fn start(world: &Arc<World>, place: &Place) -> Self {
         let now = now_ms();
         world.stats.lock().of(&place.id).start(now);
@@ -211,10 +217,11 @@
         }
     }
 
-    /// Returns the attempt's part of the upstream's price so far, in millionths
-    /// of a currency unit: its time there, shared with what runs beside it.
+    /// Returns the attempt's share of the upstream's price so far, in millionths of a
+    /// currency unit: the price of the elapsed time, divided by the number of requests that
+    /// run on the upstream now.
     pub fn cost_micros(&self) -> f64 {
-        let beside = {
+        let concurrent = {
             let stats = self.world.stats.lock();
             let s = stats.get(&self.place.id);
             s.map_or(1, |s| {
@@ -222,7 +229,7 @@
             })
         };
         let seconds = now_ms().saturating_sub(self.started_ms) as f64 / 1_000.0;
-        self.place.price_micros as f64 * seconds / f64::from(beside.max(1))
+        self.place.price_micros as f64 * seconds / f64::from(concurrent.max(1))
     }
 }
 
--- a/src/app/box_watch.rs
+++ b/src/app/box_watch.rs
@@ -9,18 +9,21 @@
     },
 };
 
-/// The least time between two looks at the list.
-const LIST_EVERY_MS: u64 = 2_000;
-/// About how many bytes the list takes for one box.
+/// Mean interval between two reads of the box list, in milliseconds, while the list is
+/// short.
+const LIST_INTERVAL_MS: u64 = 2_000;
+/// Approximate size of one box in the list.
 const LIST_BYTES_PER_BOX: u64 = 250;
-/// How much of a daemon's control traffic the list may take, in bytes a second.
+/// The part of a daemon's control traffic that reads of the list may use, in bytes per
+/// second.
 const LIST_BYTES_PER_S: u64 = 1_500;
 const NOTICE_WAIT_MS: u64 = 4_000;
-/// How long a gone box is remembered: longer than any source lags.
-const REMEMBER_GONE_MS: u64 = 3_600_000;
-const PAUSE: Duration = Duration::from_millis(250);
+/// How long a box is remembered after it is gone: longer than any source lags, so that
+/// outdated facts don't bring it back.
+const GONE_RETENTION_MS: u64 = 3_600_000;
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Folds the platform's box list, which lags.
+/// Folds the platform's box list, which lags behind the state of the boxes.
 pub async fn watch_box_list(world: Arc<World>) {
     let mut gone_since: BTreeMap<BoxId, u64> = BTreeMap::new();
     loop {
@@ -31,20 +34,22 @@
                 world.fold_facts(&facts);
                 mark_gone_entries(&world, &facts);
             }
-            Err(e) => log::debug!(target: "boxes", "the box list can't be read. error=\"{e}\""),
+            Err(e) => log::debug!(target: "boxes", "box list can't be read. error=\"{e}\""),
         }
-        mark_left(&world);
-        remove_missing(&world, &mut gone_since);
-        tokio::time::sleep(list_pause(&world)).await;
+        mark_departed(&world);
+        prune_gone_boxes(&world, &mut gone_since);
+        tokio::time::sleep(list_read_pause(&world)).await;
     }
 }
 
-/// The larger the list, the more seldom one daemon reads it: all daemons read
-/// it at different times, and tell each other what is new in it.
-fn list_pause(world: &World) -> Duration {
+/// Returns the time until the next read of the list, which grows with the list's size.
+///
+/// A single daemon may read a long list seldom, since all daemons read it at different,
+/// random times and announce changes to each other.
+fn list_read_pause(world: &World) -> Duration {
     let listed = world.boxes.read().iter().count() as u64;
     let ms = listed * LIST_BYTES_PER_BOX * 1_000 / LIST_BYTES_PER_S;
-    let ms = ms.max(LIST_EVERY_MS);
+    let ms = ms.max(LIST_INTERVAL_MS);
     Duration::from_millis(world.fork_rng().random_range(ms / 2..=ms * 3 / 2))
 }
 
@@ -56,43 +61,45 @@
             Ok(notices) => {
                 for n in notices {
                     next = next.max(n.seq + 1);
-                    take_notice(&world, &n.id, n.incarnation, n.leaves_at_ms);
+                    apply_notice(&world, &n.id, n.incarnation, n.leaves_at_ms);
                 }
             }
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
 }
 
-fn take_notice(world: &World, id: &BoxId, incarnation: u64, leaves_at_ms: u64) {
-    // The platform counts lives of its own for entry boxes; a notice for this
-    // box that is still to come is for this life.
-    let mine = *id == world.me.id && leaves_at_ms > now_ms();
-    let incarnation = if mine {
+fn apply_notice(world: &World, id: &BoxId, incarnation: u64, leaves_at_ms: u64) {
+    // The platform numbers the incarnations of entry boxes by itself. A notice for this box
+    // whose time is still to come applies to the running incarnation.
+    let is_for_this_box = *id == world.me.id && leaves_at_ms > now_ms();
+    let incarnation = if is_for_this_box {
         world.me.incarnation
     } else {
         incarnation
     };
-    let incarnation = entry_incarnation(world, id).unwrap_or(incarnation);
+    let incarnation = known_entry_incarnation(world, id).unwrap_or(incarnation);
     if leaves_at_ms + 60_000 < now_ms() {
         return;
     }
-    log::info!(target: "boxes", "a reclaim notice. box={id} at_ms={leaves_at_ms}");
+    log::info!(target: "boxes", "reclaim notice. box={id} at_ms={leaves_at_ms}");
     world.advance_box(id, incarnation, BoxState::Leaving, leaves_at_ms);
 }
 
-/// An entry box tells its own incarnation; a notice that is still to come is
-/// for the life that is known.
-fn entry_incarnation(world: &World, id: &BoxId) -> Option<u64> {
+/// Returns the known incarnation of an entry box; `None` for any other box.
+///
+/// An entry box announces its own incarnation, which differs from the platform's number in
+/// a notice. A notice applies to the known incarnation.
+fn known_entry_incarnation(world: &World, id: &BoxId) -> Option<u64> {
     let boxes = world.boxes.read();
     let b = boxes.get(id)?;
     (b.kind == BoxKind::Entry).then_some(b.incarnation)
 }
 
-/// A box whose time is over is gone, whatever the list says.
-fn mark_left(world: &World) {
+/// Marks boxes as gone whose announced leaving time has passed, whatever the list says.
+fn mark_departed(world: &World) {
     let now = now_ms();
-    let left: Vec<BoxFact> = {
+    let departed: Vec<BoxFact> = {
         let boxes = world.boxes.read();
         boxes
             .iter()
@@ -101,14 +108,16 @@
             .cloned()
             .collect()
     };
-    for b in left {
+    for b in departed {
         world.advance_box(&b.id, b.incarnation, BoxState::Gone, b.leaves_at_ms);
     }
 }
 
-/// An entry box counts its lives itself, by its start times, and the list by
-/// its own: what the list says of one that is gone holds for the life that is
-/// known if that life doesn't answer either.
+/// Marks entry boxes as gone that the list reports as gone and that don't answer.
+///
+/// An entry box numbers its incarnations by its start times and the list by numbers of its
+/// own, so that the two can't be compared. The list's state is applied to the known
+/// incarnation only if that incarnation doesn't answer either.
 fn mark_gone_entries(world: &World, listed: &[BoxFact]) {
     let is_gone = |f: &&BoxFact| f.kind == BoxKind::Entry && f.state == BoxState::Gone;
     for f in listed.iter().filter(is_gone) {
@@ -122,24 +131,25 @@
     }
 }
 
-/// Forgets what was kept of boxes that are gone, and the boxes some time later.
-fn remove_missing(world: &World, gone_since: &mut BTreeMap<BoxId, u64>) {
-    let (kept, addrs) = {
+/// Drops the state kept_ids for boxes that are gone, and their facts after
+/// [`GONE_RETENTION_MS`].
+fn prune_gone_boxes(world: &World, gone_since: &mut BTreeMap<BoxId, u64>) {
+    let (kept_ids, addrs) = {
         let boxes = world.boxes.read();
-        let there: Vec<&BoxFact> = boxes.iter().filter(|b| b.state != BoxState::Gone).collect();
-        let kept: BTreeSet<BoxId> = there.iter().map(|b| b.id.clone()).collect();
-        let mut addrs: BTreeSet<_> = there.iter().map(|b| b.address).collect();
+        let present: Vec<&BoxFact> = boxes.iter().filter(|b| b.state != BoxState::Gone).collect();
+        let kept_ids: BTreeSet<BoxId> = present.iter().map(|b| b.id.clone()).collect();
+        let mut addrs: BTreeSet<_> = present.iter().map(|b| b.address).collect();
         addrs.extend(world.settings.peers.seeds.iter().copied());
-        (kept, addrs)
+        (kept_ids, addrs)
     };
-    forget_facts(world, gone_since);
-    world.stats.lock().retain(|id| kept.contains(id));
-    world.hints.lock().retain(|id| kept.contains(id));
-    world.replicators.retain(|id| kept.contains(id));
+    remove_expired_facts(world, gone_since);
+    world.stats.lock().retain(|id| kept_ids.contains(id));
+    world.hints.lock().retain(|id| kept_ids.contains(id));
+    world.replicators.retain(|id| kept_ids.contains(id));
     world.links.retain(|addr| addrs.contains(addr));
 }
 
-fn forget_facts(world: &World, gone_since: &mut BTreeMap<BoxId, u64>) {
+fn remove_expired_facts(world: &World, gone_since: &mut BTreeMap<BoxId, u64>) {
     let now = now_ms();
     let mut boxes = world.boxes.write();
     let gone: BTreeSet<BoxId> = boxes
@@ -153,7 +163,7 @@
     }
     let recent = |id: &BoxId| {
         let since = gone_since.get(id).copied().unwrap_or(now);
-        now.saturating_sub(since) < REMEMBER_GONE_MS
+        now.saturating_sub(since) < GONE_RETENTION_MS
     };
     boxes.remove_missing(recent);
     let mut journal = world.journal.lock();
--- a/src/app/claim_client.rs
+++ b/src/app/claim_client.rs
@@ -7,55 +7,58 @@
     uuid::Uuid,
 };
 
-/// The log's stream of claims.
+/// Name of the log stream of claims.
 pub const CLAIMS_STREAM: &str = "claims";
 
-/// The least time between two appends of one failure domain, for each failure
-/// domain there is: 15 domains together make at most 66 appends a second.
+/// Least time between two appends of one failure domain, in milliseconds, multiplied by the
+/// number of failure domains. 15 domains together make at most 66 appends per second.
 const APPEND_SPACING_MS: u64 = 15;
-/// How long a claim is tried for before the caller is told `not-run`.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(3_000);
-/// How long a claim whose append's answer was lost is looked for in the log.
-const SETTLE_WAIT: Duration = Duration::from_millis(300);
-/// How long a box waits for its failure domain's batcher.
-const BATCHER_WAIT: Duration = Duration::from_millis(1_500);
-/// Claims remembered as given up.
+/// How long a claim is attempted before the request is answered `not-run`.
+const CLAIM_MAX_WAIT: Duration = Duration::from_millis(3_000);
+/// How long to wait for a claim to appear in the log when the outcome of its append is
+/// unknown, before it is appended again.
+const UNKNOWN_APPEND_WAIT: Duration = Duration::from_millis(300);
+/// Timeout of a call to the box that appends for this failure domain.
+const BATCHER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Largest number of given-up claims that are remembered.
 const MAX_GIVEN_UP: usize = 10_000;
-/// Records waiting for an append.
-const MAX_OUTBOX: usize = 10_000;
+/// Largest number of calls of [`ClaimClient::append`] that wait for an append.
+const MAX_PENDING: usize = 10_000;
 const READ_WAIT_MS: u64 = 2_000;
-const READ_PAUSE: Duration = Duration::from_millis(250);
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// The outcome of appending a claim record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimAppendOutcome {
-    /// It is in the log at this offset.
+    /// The record is in the log at this offset.
     At(u64),
-    /// It may or may not be in the log.
+    /// The record may or may not be in the log.
     Unknown,
-    /// It is not in the log.
+    /// The record is not in the log.
     NotTaken,
 }
 
-/// How a claim ended.
+/// The outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEnd {
-    /// This box holds the right.
+    /// This box holds the right to run the request.
     Holds(Claimant),
-    /// Another claim holds it.
+    /// The claim of this other box holds the right.
     Lost(BoxIncarnation),
-    /// This box gave up; the request did not run.
+    /// This box gave up the claim; the request did not run here.
     GivenUp,
 }
 
-/// Claims of this box, and what the log says of all claims.
+/// This box's claims, and the claims of all boxes as folded from the log.
 #[derive(Default)]
 pub struct ClaimClient {
     fold: Mutex<ClaimFold>,
+    /// Offset up to which the log is folded.
     folded_to: watch::Sender<u64>,
     outbox: Mutex<Vec<Pending>>,
     wake: Notify,
     given_up: Mutex<BTreeMap<Uuid, ClaimKey>>,
+    /// Nonces of the handed-over rights that this box has accepted.
     taken: Mutex<Vec<Uuid>>,
 }
 
@@ -65,11 +68,12 @@
 }
 
 impl ClaimClient {
-    /// Puts records into the next append.
+    /// Queues records for the next append. The receiver gets the outcome, which is
+    /// [`ClaimAppendOutcome::NotTaken`] at once if too many calls wait.
     pub fn append(&self, records: Vec<ClaimRecord>) -> oneshot::Receiver<ClaimAppendOutcome> {
         let (tx, rx) = oneshot::channel();
         let mut outbox = self.outbox.lock();
-        if outbox.len() >= MAX_OUTBOX {
+        if outbox.len() >= MAX_PENDING {
             let _ = tx.send(ClaimAppendOutcome::NotTaken);
         } else {
             outbox.push(Pending { records, tx });
@@ -79,12 +83,13 @@
         rx
     }
 
-    /// Takes over a right that was handed to this life of this box.
+    /// Accepts a right that was handed over to this incarnation of this box.
     pub fn take(&self, hand_over: &HandOver, me: &BoxIncarnation) -> Option<Claimant> {
         Claimant::take(hand_over, me, &mut self.taken.lock())
     }
 
-    /// Gives up a claim and sees to it that its release gets into the log.
+    /// Gives up a claim and appends its release to the log. Returns false if the claim can't
+    /// be given up any more.
     pub fn give_up(&self, claimant: &mut Claimant) -> bool {
         let ClaimCommand::Append(release) = claimant.give_up() else {
             return false;
@@ -99,7 +104,8 @@
         true
     }
 
-    /// Appends the release of a key again, if this box gave its claim up.
+    /// Appends the release of a key again if this box gave up a claim to it. Returns true if
+    /// it did.
     pub fn release_again(&self, key: &ClaimKey) -> bool {
         let given_up = self.given_up.lock();
         let nonces: Vec<Uuid> = given_up
@@ -115,17 +121,17 @@
         !nonces.is_empty()
     }
 
-    /// Returns what the log says of a key.
+    /// Returns the claims to a key, as folded from the log.
     pub fn key(&self, key: &ClaimKey) -> Option<KeyClaims> {
         self.fold.lock().key(key).cloned()
     }
 
-    /// Returns how many keys are held.
+    /// Returns the number of keys in the folded log.
     pub fn len(&self) -> usize {
         self.fold.lock().len()
     }
 
-    /// Returns whether no key is held.
+    /// Returns true if the folded log has no keys.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -136,7 +142,8 @@
             let ClaimRecord::Claim { key, nonce, .. } = record else {
                 continue;
             };
-            // A claim that was given up and turns up late holds its key: release it again.
+            // A claim that was given up but appears in the log afterwards holds its key:
+            // release it again.
             let late = self.given_up.lock().contains_key(nonce);
             let wins = |k: KeyClaims| k.winner.is_some_and(|w| w.nonce == *nonce);
             if late && self.key(key).is_some_and(wins) {
@@ -146,11 +153,11 @@
     }
 }
 
-/// Claims a request for this box.
+/// Claims the right to run a request for this box.
 pub async fn claim(world: &World, key: &ClaimKey) -> ClaimEnd {
     let me = world.me.clone();
     let (mut claimant, record) = Claimant::start(key.clone(), Uuid::new_v4(), me);
-    let max_wait = tokio::time::sleep(CLAIM_PATIENCE);
+    let max_wait = tokio::time::sleep(CLAIM_MAX_WAIT);
     let settled = tokio::select! {
         settled = settle(world, &mut claimant, key, &record) => settled,
         () = max_wait => false,
@@ -168,7 +175,8 @@
     ClaimEnd::GivenUp
 }
 
-/// Returns whether a key is young enough to be claimed.
+/// Returns true if the time in a request's identifier lies within the window of keys that
+/// can be claimed, allowing for clock skew.
 pub fn is_in_window(world: &World, request: RequestId) -> bool {
     let s = &world.settings.requests;
     let now = now_ms();
@@ -177,7 +185,8 @@
     (oldest..=newest).contains(&request.unix_ms())
 }
 
-/// Appends a claim until the log shows what became of it.
+/// Appends a claim, repeatedly if necessary, until the log shows its outcome. Returns true
+/// then; the caller bounds the time.
 async fn settle(
     world: &World,
     claimant: &mut Claimant,
@@ -187,12 +196,12 @@
     loop {
         let appended = world.claims.append(vec![record.clone()]).await;
         match appended {
-            Ok(ClaimAppendOutcome::At(offset)) => wait_folded(world, offset + 1).await,
+            Ok(ClaimAppendOutcome::At(offset)) => wait_until_folded(world, offset + 1).await,
             Ok(ClaimAppendOutcome::NotTaken) | Err(_) => {
-                tokio::time::sleep(READ_PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             }
-            Ok(ClaimAppendOutcome::Unknown) => tokio::time::sleep(SETTLE_WAIT).await,
+            Ok(ClaimAppendOutcome::Unknown) => tokio::time::sleep(UNKNOWN_APPEND_WAIT).await,
         }
         if let Some(claims) = world.claims.key(key) {
             claimant.observe(&claims);
@@ -203,12 +212,12 @@
     }
 }
 
-async fn wait_folded(world: &World, to: u64) {
+async fn wait_until_folded(world: &World, to: u64) {
     let mut folded_to = world.claims.folded_to.subscribe();
     let _ = folded_to.wait_for(|n| *n >= to).await;
 }
 
-/// Reads the claims as they are appended.
+/// Follows the log stream of claims and folds its records.
 pub async fn watch_claims(world: Arc<World>) {
     loop {
         let from = world.claims.fold.lock().next();
@@ -218,14 +227,14 @@
             .read(CLAIMS_STREAM, from, READ_WAIT_MS)
             .await;
         let Ok(page) = page else {
-            tokio::time::sleep(READ_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
         for entry in page.records {
             match serde_json::from_str::<Vec<ClaimRecord>>(&entry.data) {
                 Ok(records) => world.claims.fold_records(entry.offset, &records),
                 Err(e) => {
-                    log::warn!(target: "claims", "a record can't be read. offset={} error=\"{e}\"", entry.offset)
+                    log::warn!(target: "claims", "claim record can't be parsed. offset={} error=\"{e}\"", entry.offset)
                 }
             }
         }
@@ -239,7 +248,7 @@
     }
 }
 
-/// Appends what is in the outbox, through the failure domain's batcher.
+/// Appends the queued records in batches, through the failure domain's batcher.
 pub async fn append_claims(world: Arc<World>) {
     loop {
         world.claims.wake.notified().await;
@@ -249,9 +258,9 @@
                 break;
             }
             let records: Vec<ClaimRecord> = batch.iter().flat_map(|p| p.records.clone()).collect();
-            let end = append_batch(&world, records).await;
+            let outcome = append_batch(&world, records).await;
             for pending in batch {
-                let _ = pending.tx.send(end);
+                let _ = pending.tx.send(outcome);
             }
         }
     }
@@ -260,14 +269,15 @@
 async fn append_batch(world: &World, records: Vec<ClaimRecord>) -> ClaimAppendOutcome {
     if let Some(batcher) = batcher(world) {
         let call = PeerCall::AppendClaims(records.clone());
-        match world.call_box(&batcher, &call, BATCHER_WAIT).await {
+        match world.call_box(&batcher, &call, BATCHER_TIMEOUT).await {
             Ok(PeerReply::Appended(Some(offset))) => return ClaimAppendOutcome::At(offset),
             Ok(PeerReply::Appended(None)) => return ClaimAppendOutcome::Unknown,
-            // Not reached or refused: appending it here too is harmless.
+            // The batcher was not reached, or refused: appending the records here too is
+            // harmless.
             _ => {}
         }
     }
-    let end = append_here(world, &records).await;
+    let outcome = append_directly(world, &records).await;
     let domains = {
         let boxes = world.boxes.read();
         let mut domains: Vec<_> = boxes.live_entries().map(|b| &b.failure_domain).collect();
@@ -276,10 +286,10 @@
         domains.len().max(1) as u64
     };
     tokio::time::sleep(Duration::from_millis(APPEND_SPACING_MS * domains)).await;
-    end
+    outcome
 }
 
-async fn append_here(world: &World, records: &[ClaimRecord]) -> ClaimAppendOutcome {
+async fn append_directly(world: &World, records: &[ClaimRecord]) -> ClaimAppendOutcome {
     let data = serde_json::to_string(records).unwrap_or_default();
     match world.borders.log.append(CLAIMS_STREAM, data).await {
         Ok(offset) => ClaimAppendOutcome::At(offset),
@@ -288,8 +298,8 @@
     }
 }
 
-/// Returns the box that appends for this failure domain, if it is another one:
-/// the first by name of those that answer.
+/// Returns the box that appends for this failure domain, which is the first by name of
+/// those that answer; `None` if that is this box.
 fn batcher(world: &World) -> Option<BoxId> {
     let boxes = world.boxes.read();
     let first = boxes
