--- a/src/app/box_watch.rs
+++ b/src/app/box_watch.rs
@@ -131,7 +131,7 @@
     }
 }
 
-/// Drops the state kept_ids for boxes that are gone, and their facts after
+/// Drops the state kept for boxes that are gone, and their facts after
 /// [`GONE_RETENTION_MS`].
 fn prune_gone_boxes(world: &World, gone_since: &mut BTreeMap<BoxId, u64>) {
     let (kept_ids, addrs) = {
--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        box_watch::*, claim_client::*, duties::do_duties, heartbeat::*, load_watch::watch_loads,
+        box_watch::*, claim_client::*, duties::run_duties, heartbeat::*, load_watch::watch_loads,
         peer_service::PeerService, reclaim_watch::watch_reclaims, sweep::*, table_watch::*, *,
     },
     crate::{
@@ -11,16 +11,19 @@
     tokio::{net::TcpListener, task::JoinSet},
 };
 
-/// The log's stream of figures.
+/// Name of the log stream of score pages.
 pub const SCORES_STREAM: &str = "scores";
 
-/// How long a stopping daemon tells the balancer before it looks for open work.
-const STOP_NOTICE: Duration = Duration::from_millis(300);
+/// How long a stopping daemon reports that it drains, for load balancers and peers to
+/// notice, before it checks for open requests; also how long it then waits for the last
+/// events to be sent.
+const DRAIN_NOTICE: Duration = Duration::from_millis(300);
 const STOP_POLL: Duration = Duration::from_millis(50);
-/// The least time between two pages of figures.
-const SCORES_EVERY_MS: u64 = 60_000;
+/// Longest interval between two score pages of a daemon, in milliseconds, as long as the
+/// limit of ten pages per second from all daemons allows it.
+const MAX_SCORES_INTERVAL_MS: u64 = 60_000;
 
-/// A daemon that runs.
+/// A running daemon.
 pub struct Daemon {
     world: Arc<World>,
     tasks: JoinSet<()>,
@@ -45,7 +48,7 @@
         Self::start_with(settings, borders).await
     }
 
-    /// Starts a daemon on given borders.
+    /// Starts a daemon on the given backends.
     ///
     /// # Errors
     ///
@@ -65,9 +68,9 @@
             world.me.incarnation
         );
         let mut tasks = JoinSet::new();
-        let desk = Arc::new(PeerService::new(world.clone()));
+        let peer_service = Arc::new(PeerService::new(world.clone()));
         tasks.spawn(watch_for_suspensions());
-        tasks.spawn(serve_peers(peers, tls, desk));
+        tasks.spawn(serve_peers(peers, tls, peer_service));
         tasks.spawn(serve_callers(callers, world.clone()));
         tasks.spawn(crate::caller::serve_operators(operators, world.clone()));
         tasks.spawn(watch_table(world.clone()));
@@ -80,48 +83,49 @@
         tasks.spawn(watch_reclaims(world.clone()));
         tasks.spawn(heartbeat(world.clone()));
         tasks.spawn(sweep_requests(world.clone()));
-        tasks.spawn(do_duties(world.clone()));
+        tasks.spawn(run_duties(world.clone()));
         tasks.spawn(publish_scores(world.clone()));
         tasks.spawn(watch_clock(world.clone()));
         Ok(Self { world, tasks })
     }
 
-    /// Returns what the daemon's parts share.
+    /// Returns the state that the daemon's parts share.
     pub fn world(&self) -> &Arc<World> {
         &self.world
     }
 
-    /// Stops as planned: takes nothing new, finishes what is in flight, leaves.
+    /// Stops as planned: admits no new requests, finishes those in flight, publishes the
+    /// last scores, then ends all tasks.
     pub async fn stop(mut self) {
         log::info!(target: "app", "stopping. requests={}", self.world.requests.len());
         begin_drain(&self.world);
         if !self.world.settings.trial.drain {
             return self.tasks.abort_all();
         }
-        tokio::time::sleep(STOP_NOTICE).await;
+        tokio::time::sleep(DRAIN_NOTICE).await;
         while owns_work(&self.world) {
             tokio::time::sleep(STOP_POLL).await;
         }
         publish_page(&self.world, &mut 0, now_ms()).await;
-        // The last events are on their way to callers and holders.
-        tokio::time::sleep(STOP_NOTICE).await;
+        // The last events are still being sent to clients and holders of copies.
+        tokio::time::sleep(DRAIN_NOTICE).await;
         log::info!(target: "app", "stopped.");
         self.tasks.abort_all();
     }
 }
 
-/// Takes no new requests from now on, and tells peers.
+/// Stops admitting new requests and announces to peers that this box is leaving.
 pub fn begin_drain(world: &World) {
     world.phase.send_if_modified(|phase| {
-        let stays = matches!(phase, Phase::Leaving(_));
-        if !stays {
+        let leaves = matches!(phase, Phase::Leaving(_));
+        if !leaves {
             *phase = Phase::Draining;
         }
-        !stays
+        !leaves
     });
     let mut fact = my_fact(world);
     fact.state = BoxState::Leaving;
-    // Told to peers only: this box itself finishes what it has.
+    // Announced to peers only: this box itself finishes its own requests.
     let mut boxes = world.boxes.write();
     if boxes.fold(&fact) {
         world.journal.lock().push(&fact.id);
@@ -136,14 +140,14 @@
         .map_err(|source| AppError::Listen { addr, source })
 }
 
-/// Publishes this box's figures through the log.
+/// Publishes this box's scores through the log.
 async fn publish_scores(world: Arc<World>) {
     let mut number = 0;
     let mut from_ms = now_ms();
     loop {
         let daemons = world.boxes.read().live_entries().count() as u64;
-        // At most ten pages a second from all boxes together.
-        let interval_ms = SCORES_EVERY_MS
+        // All boxes together publish at most ten pages per second.
+        let interval_ms = MAX_SCORES_INTERVAL_MS
             .min((daemons * 1_000).max(5_000))
             .max(daemons * 100);
         tokio::time::sleep(Duration::from_millis(interval_ms)).await;
@@ -169,32 +173,32 @@
     *number += 1;
     let data = serde_json::to_string(&page).unwrap_or_default();
     if let Err(e) = world.borders.log.append(SCORES_STREAM, data).await {
-        log::warn!(target: "scores", "a page was not published. number={} error=\"{e}\"", page.number);
+        log::warn!(target: "scores", "score page was not published. number={} error=\"{e}\"", page.number);
     }
 }
 
 const CLOCK_TICK: Duration = Duration::from_millis(200);
-/// A tick that took longer than this shows that the process was paused.
-const PAUSED_MS: u64 = 2_000;
-const COMPARE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A tick that takes longer than this shows that the process was paused.
+const PAUSE_THRESHOLD_MS: u64 = 2_000;
+const REVALIDATE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Notices that this process was paused: it is not ready until it has compared
-/// its table with the log or a peer, or found neither in reach.
+/// Detects that this process was paused. After a pause the daemon isn't ready until it has
+/// compared its table with the log or a peer, or found that it can reach neither.
 async fn watch_clock(world: Arc<World>) {
     let mut last_ms = now_ms();
     loop {
         tokio::time::sleep(CLOCK_TICK).await;
         let now = now_ms();
         let paused_ms = now.saturating_sub(last_ms);
-        if paused_ms > PAUSED_MS {
-            log::warn!(target: "app", "the clock jumped. ms={paused_ms}");
-            compare_again(&world).await;
+        if paused_ms > PAUSE_THRESHOLD_MS {
+            log::warn!(target: "app", "clock jumped. ms={paused_ms}");
+            revalidate_table(&world).await;
         }
         last_ms = now_ms();
     }
 }
 
-async fn compare_again(world: &Arc<World>) {
+async fn revalidate_table(world: &Arc<World>) {
     world.phase.send_if_modified(|phase| {
         let was_ready = *phase == Phase::Ready;
         if was_ready {
@@ -204,12 +208,12 @@
     });
     let from = world.table_in_force().folded_to;
     let read = world.borders.log.read(TABLE_STREAM, from, 0);
-    let reached = tokio::time::timeout(COMPARE_TIMEOUT, read).await;
+    let reached = tokio::time::timeout(REVALIDATE_TIMEOUT, read).await;
     match reached {
-        // The table's own task has read on, or does so now, and says ready.
+        // The task that follows the table reads these records and sets the phase to ready.
         Ok(Ok(page)) if page.next > from => {}
         Ok(Ok(_)) => become_ready(world),
-        // Without the log a peer's table is taken, if one answers.
+        // Without the log, a peer's table is used if a peer answers.
         _ => {
             ask_peers_for_table(world).await;
             become_ready(world);
--- a/src/app/duties.rs
+++ b/src/app/duties.rs
@@ -5,20 +5,22 @@
 };
 
 const READ_WAIT_MS: u64 = 1_000;
-const PAUSE: Duration = Duration::from_millis(250);
-/// How long a lease of duties lasts.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Duration of a lease of a failure domain's duties, in milliseconds.
 pub const LEASE_TERM_MS: u64 = 6_000;
-/// How long a paused holder may take to notice that its lease is over.
+/// Time, in milliseconds, that a paused holder may take to notice that its lease has
+/// expired.
 pub const PAUSE_ALLOWANCE_MS: u64 = 4_000;
 
-/// This box's part in its failure domain's duties.
+/// The monotonic clock by which this box measures the lease of the duties. It also advances
+/// while the machine is suspended.
 #[derive(Debug)]
 pub struct DutyClock {
     started: BootInstant,
 }
 
 impl DutyClock {
-    /// Starts the clock.
+    /// Starts the clock at zero.
     pub fn new() -> Self {
         Self {
             started: BootInstant::now(),
@@ -31,35 +33,35 @@
     }
 }
 
-/// Takes the lease of the failure domain's duties when it is free, and does
-/// the duties while it holds it.
-pub async fn do_duties(world: Arc<World>) {
+/// Takes the lease of the failure domain's duties when it is free, and carries out the
+/// duties while this box holds it.
+pub async fn run_duties(world: Arc<World>) {
     let clock = DutyClock::new();
     let stream = format!("duties-{}", world.my_domain());
     let mut view = LeaseView::default();
     let mut next = 0;
     let mut first = true;
-    let mut sent: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut append_times: BTreeMap<u64, u64> = BTreeMap::new();
     let mut replacements = Replacements::default();
     let mut model_loads = ModelLoads::default();
     loop {
-        // The first read tells at once whether the lease is free.
+        // The first read doesn't wait, so that a free lease is noticed at once.
         let wait_ms = if first { 0 } else { READ_WAIT_MS };
         first = false;
         let Ok(page) = world.borders.log.read(&stream, next, wait_ms).await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
         for entry in page.records {
             next = entry.offset + 1;
             if let Ok(record) = serde_json::from_str(&entry.data) {
-                let appended = sent.remove(&entry.offset);
+                let append_started_ms = append_times.remove(&entry.offset);
                 let now = clock.now_ms();
                 view.fold(
                     entry.offset,
                     record,
                     &world.me,
-                    appended,
+                    append_started_ms,
                     now,
                     PAUSE_ALLOWANCE_MS,
                 );
@@ -68,10 +70,10 @@
         next = next.max(page.next);
         match view.step(&world.me, LEASE_TERM_MS, clock.now_ms()) {
             LeaseStep::Append(record) if world.is_ready() => {
-                let at = clock.now_ms();
+                let started_ms = clock.now_ms();
                 let data = serde_json::to_string(&record).unwrap_or_default();
                 if let Ok(offset) = world.borders.log.append(&stream, data).await {
-                    sent.insert(offset, at);
+                    append_times.insert(offset, started_ms);
                     next = next.min(offset);
                 }
             }
--- a/src/app/hand_over.rs
+++ b/src/app/hand_over.rs
@@ -4,47 +4,53 @@
     std::{sync::Arc, time::Duration},
 };
 
-const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often a request is sent on before it must run where it is.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(800);
+/// How often a request is moved to another failure domain before it must run where it is.
 const MAX_HOPS: u8 = 2;
-/// How many boxes are asked to take a request.
-const MAX_TRIES: usize = 4;
+/// Largest number of boxes to which a request is offered.
+const MAX_TAKERS: usize = 4;
 
-/// Gives a request to a failure domain that has an upstream for it.
+/// Hands a request over to another failure domain that has an upstream for it.
 ///
-/// Returns whether another box owns it now.
+/// Returns true if another box owns the request now.
 pub async fn move_to_other_domain(world: &Arc<World>, cell: &Arc<RequestCell>) -> bool {
     let spec = cell.spec();
     if spec.hops >= MAX_HOPS {
         return false;
     }
     let domains = world.boxes.read().domains_with(&spec.service);
-    hop_to_one(world, cell, takers_in(world, &spec, &domains)).await
+    hand_to_first_accepting(world, cell, takers_in(world, &spec, &domains)).await
 }
 
-/// Gives a request to a failure domain that has more room for it.
+/// Hands a request over to the given failure domain, which has more capacity for it.
 ///
-/// Returns whether another box owns it now.
+/// Returns true if another box owns the request now.
 pub async fn move_to_domain(
     world: &Arc<World>,
     cell: &Arc<RequestCell>,
     domain: &FailureDomain,
 ) -> bool {
     let takers = takers_in(world, &cell.spec(), std::slice::from_ref(domain));
-    hop_to_one(world, cell, takers).await
+    hand_to_first_accepting(world, cell, takers).await
 }
 
-async fn hop_to_one(world: &Arc<World>, cell: &Arc<RequestCell>, takers: Vec<BoxId>) -> bool {
-    for taker in takers.into_iter().take(MAX_TRIES) {
-        if hand_to(world, cell, &taker, true).await {
+async fn hand_to_first_accepting(
+    world: &Arc<World>,
+    cell: &Arc<RequestCell>,
+    takers: Vec<BoxId>,
+) -> bool {
+    for taker in takers.into_iter().take(MAX_TAKERS) {
+        if hand_over_to(world, cell, &taker, true).await {
             return true;
         }
     }
     false
 }
 
-/// Gives a request away because this box will be taken back: to the box that
-/// holds its copy, or to another one that stays.
+/// Hands a request over because this box is going to be reclaimed: to the box that holds
+/// its copy, or to another live box.
+///
+/// Returns true if another box owns the request now.
 pub async fn move_off_this_box(world: &Arc<World>, cell: &Arc<RequestCell>) -> bool {
     let holder = match &cell.read().holder {
         Holder::At(holder) => Some(holder.clone()),
@@ -59,21 +65,26 @@
             .filter(|id| !world.links.is_silent(id)),
     );
     takers.dedup();
-    for taker in takers.into_iter().take(MAX_TRIES) {
-        if is_live(world, &taker) && hand_to(world, cell, &taker, false).await {
+    for taker in takers.into_iter().take(MAX_TAKERS) {
+        if is_live(world, &taker) && hand_over_to(world, cell, &taker, false).await {
             return true;
         }
     }
     false
 }
 
-/// Hands a request to one box. From the moment the message leaves, this box
-/// commits nothing more to it unless the box refuses.
-async fn hand_to(world: &Arc<World>, cell: &Arc<RequestCell>, taker: &BoxId, hop: bool) -> bool {
+/// Hands a request over to one box. Once the message is sent, this box commits no more
+/// tokens to the request unless the other box refuses.
+async fn hand_over_to(
+    world: &Arc<World>,
+    cell: &Arc<RequestCell>,
+    taker: &BoxId,
+    hop: bool,
+) -> bool {
     let Some(incarnation) = incarnation_of(world, taker) else {
         return false;
     };
-    // Two hand-overs at once would make two owners of one epoch.
+    // Two concurrent hand-overs would create two owners of the same epoch.
     let Some(_moving) = cell.start_move() else {
         return false;
     };
@@ -97,11 +108,13 @@
         right: None,
     };
     let call = PeerCall::TakeOver(Box::new(take_over));
-    let reply = world.call_box(taker, &call, TAKE_OVER_TIMEOUT).await;
+    let reply = world.call_box(taker, &call, HAND_OVER_TIMEOUT).await;
     match reply {
         Ok(PeerReply::Done) => {}
         Ok(_) | Err(PeerError::NotConnected(_)) => return false,
-        // The answer was lost: the taker may own it. It is found there or not at all.
+        // The reply was lost, so the taker may own the request. A move to another failure
+        // domain counts as failed. A box that is being reclaimed marks the request as moved:
+        // it is found at the taker or not at all.
         Err(_) if hop => return false,
         Err(_) => {}
     }
@@ -114,16 +127,16 @@
     true
 }
 
-/// Returns the boxes of other failure domains that may take a request, in the
-/// order of its rendezvous hashes, those that fail last.
+/// Returns the boxes in these other failure domains that may take a request, ordered by
+/// rendezvous hash, with boxes whose last call failed at the end.
 fn takers_in(world: &World, spec: &RequestSpec, domains: &[FailureDomain]) -> Vec<BoxId> {
     let candidates = world.holder_candidates();
-    let near: Vec<HolderCandidate> = candidates
+    let eligible: Vec<HolderCandidate> = candidates
         .into_iter()
         .filter(|c| c.failure_domain != *world.my_domain() && domains.contains(&c.failure_domain))
         .filter(|c| !world.links.is_silent(&c.id))
         .collect();
-    let mut ranked = rank_holders(spec.id, world.my_domain(), &near);
+    let mut ranked = rank_holders(spec.id, world.my_domain(), &eligible);
     ranked.sort_by_key(|c| world.links.is_failing(&c.id));
     ranked.into_iter().map(|c| c.id).collect()
 }
--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -4,97 +4,102 @@
     std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Facts in one message.
+/// Largest number of box facts in one message.
 const MAX_FACTS: usize = 256;
-/// About how many bytes a load takes.
-const LOAD_BYTES: u64 = 60;
-/// How much of a daemon's control traffic loads may take, in bytes a second.
+/// Approximate size of one load in a message.
+const BYTES_PER_LOAD: u64 = 60;
+/// The part of a daemon's control traffic that loads may use, in bytes per second.
 const LOAD_BYTES_PER_S: u64 = 1_200;
-/// Loads in one message at the least.
+/// Lower limit of the number of loads that a message may carry.
 const MIN_LOADS: usize = 4;
-/// Links of a daemon that hasn't counted them.
-const USUAL_LINKS: usize = 4;
+/// Number of links assumed where they have not been counted.
+const DEFAULT_LINKS: usize = 4;
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// News waits this long for more news before it is sent.
-const GATHER: Duration = Duration::from_millis(10);
+/// How long a change waits for further changes, which are then sent in one message.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// How far one link has been told.
+/// The positions in the journals up to which a link's peer has been sent the changes.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct LinkCursor {
+    /// Position in the journal of box facts.
     facts: u64,
+    /// Position in the journal of loads.
     loads: u64,
 }
 
-/// Heartbeats this box's neighbours and seeds, with what is new on each link.
+/// Sends heartbeats to this box's neighbours and seeds, with the changes that are new to
+/// each of them.
 pub async fn heartbeat(world: Arc<World>) {
-    let mut told: BTreeMap<SocketAddr, Told> = BTreeMap::new();
-    let every = Duration::from_millis(world.settings.peers.heartbeat_ms);
+    let mut cursors: BTreeMap<SocketAddr, LinkCursor> = BTreeMap::new();
+    let interval = Duration::from_millis(world.settings.peers.heartbeat_ms);
     loop {
         let targets = targets(&world);
-        told.retain(|addr, _| targets.iter().any(|(a, _)| a == addr));
+        cursors.retain(|addr, _| targets.iter().any(|(a, _)| a == addr));
         let links = targets.len();
-        let beats = targets.into_iter().map(|(addr, id)| {
-            let told = told.get(&addr).copied().unwrap_or_default();
-            beat(&world, addr, id, told, links)
+        let heartbeats = targets.into_iter().map(|(addr, id)| {
+            let cursor = cursors.get(&addr).copied().unwrap_or_default();
+            send_heartbeat(&world, addr, id, cursor, links)
         });
-        for (addr, now_told) in futures_util::future::join_all(beats).await {
-            match now_told {
-                Some(now_told) => told.insert(addr, now_told),
-                None => told.remove(&addr),
+        for (addr, new_cursor) in futures_util::future::join_all(heartbeats).await {
+            match new_cursor {
+                Some(new_cursor) => cursors.insert(addr, new_cursor),
+                None => cursors.remove(&addr),
             };
         }
-        let behind = told.values().any(|t| t.facts < world.journal.lock().end());
+        let behind = cursors
+            .values()
+            .any(|c| c.facts < world.journal.lock().end());
         if behind {
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_DELAY).await;
             continue;
         }
         tokio::select! {
-            () = tokio::time::sleep(every) => {}
-            () = world.news.notified() => tokio::time::sleep(GATHER).await,
+            () = tokio::time::sleep(interval) => {}
+            () = world.news.notified() => tokio::time::sleep(BATCH_DELAY).await,
         }
     }
 }
 
-/// Takes a peer's news and returns this box's in exchange.
+/// Applies a peer's heartbeat and returns the payload of the reply.
 ///
-/// The answer carries only the sign of life and the table's place: facts travel
-/// on the links that each box opened itself, so that none is sent twice.
-pub fn take_news(world: &Arc<World>, news: HeartbeatPayload) -> HeartbeatPayload {
-    world.links.heard(&news.from.id);
-    let back_link = !knows(world, &news.from);
-    take_facts(world, &news);
-    follow_table(world, &news);
-    let mut reply = reply_to(world, &mut Told::default(), None);
-    if back_link {
-        // The caller is new here: it gets all that is known.
-        reply = reply_to(world, &mut Told::default(), Some(USUAL_LINKS));
+/// The reply carries only this box's own fact and the offset of its table. Facts are sent
+/// on the links that each box opens itself, so that none is sent twice. A peer that is new
+/// to this box is also sent the known facts and loads, within the limits of one message.
+pub fn take_news(world: &Arc<World>, payload: HeartbeatPayload) -> HeartbeatPayload {
+    world.links.heard(&payload.from.id);
+    let is_new = !is_known(world, &payload.from);
+    apply_facts(world, &payload);
+    follow_table(world, &payload);
+    let mut reply = reply_to(world, &mut LinkCursor::default(), None);
+    if is_new {
+        reply = reply_to(world, &mut LinkCursor::default(), Some(DEFAULT_LINKS));
     }
     reply
 }
 
-fn knows(world: &World, from: &BoxFact) -> bool {
+fn is_known(world: &World, from: &BoxFact) -> bool {
     let boxes = world.boxes.read();
     boxes
         .get(&from.id)
         .is_some_and(|b| b.incarnation == from.incarnation)
 }
 
-async fn beat(
+async fn send_heartbeat(
     world: &Arc<World>,
     addr: SocketAddr,
     id: Option<BoxId>,
-    told: Told,
+    cursor: LinkCursor,
     links: usize,
-) -> (SocketAddr, Option<Told>) {
-    let mut now_told = told;
-    let call = PeerCall::Heartbeat(reply_to(world, &mut now_told, Some(links)));
+) -> (SocketAddr, Option<LinkCursor>) {
+    let mut new_cursor = cursor;
+    let call = PeerCall::Heartbeat(reply_to(world, &mut new_cursor, Some(links)));
     let client = world.links.client(addr);
     match client.call(&call, HEARTBEAT_TIMEOUT).await {
-        Ok(PeerReply::Heartbeat(news)) => {
-            world.links.heard(&news.from.id);
-            take_facts(world, &news);
-            follow_table(world, &news);
-            (addr, Some(now_told))
+        Ok(PeerReply::Heartbeat(payload)) => {
+            world.links.heard(&payload.from.id);
+            apply_facts(world, &payload);
+            follow_table(world, &payload);
+            (addr, Some(new_cursor))
         }
         _ => {
             if let Some(id) = id {
@@ -105,21 +110,22 @@
     }
 }
 
-/// Returns the news for one of so many links, and moves its place on; without
-/// links only the sign of life and the table's place.
-fn reply_to(world: &World, told: &mut Told, links: Option<usize>) -> HeartbeatPayload {
+/// Returns the payload for one of `links` links, with the changes after the cursor, and
+/// advances the cursor. Without `links` the payload carries no changes, only this box's own
+/// fact and the offset of its table.
+fn reply_to(world: &World, cursor: &mut LinkCursor, links: Option<usize>) -> HeartbeatPayload {
     let mut facts = Vec::new();
     let mut loads = Vec::new();
     let boxes = world.boxes.read();
     if let Some(links) = links {
-        let (ids, next) = world.journal.lock().since(told.facts, MAX_FACTS);
-        told.facts = next;
+        let (ids, next) = world.journal.lock().since(cursor.facts, MAX_FACTS);
+        cursor.facts = next;
         facts = ids.iter().filter_map(|id| boxes.get(id).cloned()).collect();
         let (ids, next) = world
             .load_journal
             .lock()
-            .since(told.loads, max_loads(world, links));
-        told.loads = next;
+            .since(cursor.loads, max_loads(world, links));
+        cursor.loads = next;
         let stats = world.stats.lock();
         loads = ids
             .iter()
@@ -127,29 +133,30 @@
             .collect();
     }
     HeartbeatPayload {
-        from: own_fact(world, &boxes),
+        from: current_own_fact(world, &boxes),
         table_folded_to: world.table_in_force().folded_to,
         facts,
         loads,
     }
 }
 
-/// Returns how many loads a message may carry, so that all links together stay
-/// within the traffic allowed; the journal holds the newest of each upstream.
+/// Returns how many loads a message may carry so that all links together stay within the
+/// allowed traffic. The journal holds only the newest load of each upstream, so loads that
+/// don't fit are sent later at their newest value.
 fn max_loads(world: &World, links: usize) -> usize {
     let bytes = LOAD_BYTES_PER_S * world.settings.peers.heartbeat_ms / 1_000;
-    let loads = bytes / LOAD_BYTES / links.max(1) as u64;
+    let loads = bytes / BYTES_PER_LOAD / links.max(1) as u64;
     (loads as usize).max(MIN_LOADS)
 }
 
-fn own_fact(world: &World, boxes: &crate::boxes::BoxTable) -> BoxFact {
+fn current_own_fact(world: &World, boxes: &crate::boxes::BoxTable) -> BoxFact {
     let known = boxes
         .get(&world.me.id)
         .filter(|b| b.incarnation == world.me.incarnation);
     known.cloned().unwrap_or_else(|| my_fact(world))
 }
 
-/// Returns the fact that this box tells of itself.
+/// Returns the fact that this box announces about itself.
 pub fn my_fact(world: &World) -> BoxFact {
     BoxFact {
         id: world.me.id.clone(),
@@ -166,13 +173,13 @@
     }
 }
 
-fn take_facts(world: &Arc<World>, news: &HeartbeatPayload) {
-    let mut facts = news.facts.clone();
-    facts.push(news.from.clone());
+fn apply_facts(world: &Arc<World>, payload: &HeartbeatPayload) {
+    let mut facts = payload.facts.clone();
+    facts.push(payload.from.clone());
     world.fold_facts(&facts);
     let mut stats = world.stats.lock();
     let mut journal = world.load_journal.lock();
-    for (id, load) in &news.loads {
+    for (id, load) in &payload.loads {
         let s = stats.of(id);
         let newer = s.load.as_ref().is_none_or(|l| l.as_of_ms < load.as_of_ms);
         if newer {
@@ -182,8 +189,8 @@
     }
 }
 
-/// Returns whom to heartbeat: the neighbours that answer, and the seeds while
-/// they are not known by name.
+/// Returns where to send heartbeats: to the neighbours that answer, to one that doesn't,
+/// and to the seeds whose box is not known yet.
 fn targets(world: &World) -> Vec<(SocketAddr, Option<BoxId>)> {
     let me = HolderCandidate {
         id: world.me.id.clone(),
@@ -193,7 +200,7 @@
     let (answering, silent): (Vec<_>, Vec<_>) =
         all.into_iter().partition(|c| !world.links.is_silent(&c.id));
     let mut chosen = neighbours(&me, &answering);
-    // A silent one is tried too, so that a cut that heals is noticed.
+    // One silent box is tried as well, so that the end of a network partition is noticed.
     chosen.extend(neighbours(&me, &silent).into_iter().take(1));
     let boxes = world.boxes.read();
     let mut targets: Vec<(SocketAddr, Option<BoxId>)> = chosen
--- a/src/app/hold.rs
+++ b/src/app/hold.rs
@@ -4,24 +4,25 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How long a box may take to say that it holds a copy.
+/// Timeout of a call that asks a box to hold a copy.
 const HOLD_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many boxes are asked to hold a copy before the request goes without.
-const MAX_TRIES: usize = 6;
+/// Largest number of boxes that are asked to hold a copy. If none does, the request
+/// continues without a copy.
+const MAX_CANDIDATES: usize = 6;
 
-/// How safe an accepted request is.
+/// Where the copy of an accepted request is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// A copy is in another failure domain.
+    /// On a box of another failure domain.
     CrossDomain,
-    /// A copy is on another box of this failure domain.
+    /// On another box of this failure domain.
     Domain,
-    /// There is no copy: no other box could be reached.
+    /// Nowhere: no other box could be reached, or another box owns the request.
     None,
 }
 
 impl Durability {
-    /// Returns the name in the header.
+    /// Returns the value used in the response header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::CrossDomain => "cross-domain",
@@ -31,8 +32,8 @@
     }
 }
 
-/// Finds a box to hold the request's copy and sends it the whole of it.
-pub async fn hold(world: &World, cell: &RequestCell, not: Option<&BoxId>) -> Durability {
+/// Finds a box to hold the request's copy, other than `excluded`, and sends it a full snapshot.
+pub async fn hold(world: &World, cell: &RequestCell, excluded: Option<&BoxId>) -> Durability {
     if !world.settings.trial.copies {
         cell.change(Record::no_holder);
         return Durability::None;
@@ -41,29 +42,29 @@
     let candidates: Vec<HolderCandidate> = world
         .holder_candidates()
         .into_iter()
-        .filter(|c| Some(&c.id) != not && !world.links.is_silent(&c.id))
+        .filter(|c| Some(&c.id) != excluded && !world.links.is_silent(&c.id))
         .collect();
     let mut ranked = rank_holders(cell.id(), world.my_domain(), &candidates);
-    // Those whose last call failed go last: a dead box must not slow each request.
+    // Boxes whose last call failed come last, so that a dead box doesn't delay each request.
     ranked.sort_by_key(|c| world.links.is_failing(&c.id));
-    for candidate in ranked.into_iter().take(MAX_TRIES) {
+    for candidate in ranked.into_iter().take(MAX_CANDIDATES) {
         match hold_at(world, cell, &candidate.id).await {
-            HoldEnd::Held if candidate.failure_domain == *world.my_domain() => {
+            HoldOutcome::Held if candidate.failure_domain == *world.my_domain() => {
                 return Durability::Domain;
             }
-            HoldEnd::Held => return Durability::CrossDomain,
-            HoldEnd::OwnedBy(owner) => {
+            HoldOutcome::Held => return Durability::CrossDomain,
+            HoldOutcome::OwnedBy(owner) => {
                 give_way(cell, &candidate.id, owner);
                 return Durability::None;
             }
-            HoldEnd::Failed => {}
+            HoldOutcome::Failed => {}
         }
     }
     cell.change(Record::no_holder);
     Durability::None
 }
 
-/// Makes the snapshot of a request that this box owns.
+/// Creates the snapshot of a request that this box owns.
 pub fn snapshot(world: &World, r: &Record) -> Snapshot {
     Snapshot {
         spec: (*r.spec).clone(),
@@ -76,16 +77,16 @@
     }
 }
 
-/// How one box took the ask to hold a copy.
-enum HoldEnd {
+/// The outcome of asking one box to hold a copy.
+enum HoldOutcome {
     Held,
-    /// It knows the request as another box's: its key came in there first, or
-    /// it was taken over.
+    /// The request is owned by this other box: its key arrived there first, or it was taken
+    /// over.
     OwnedBy(BoxId),
     Failed,
 }
 
-async fn hold_at(world: &World, cell: &RequestCell, id: &BoxId) -> HoldEnd {
+async fn hold_at(world: &World, cell: &RequestCell, id: &BoxId) -> HoldOutcome {
     let snapshot = snapshot(world, &cell.read());
     let tokens = snapshot.tokens.len();
     let ending = snapshot.ending.is_some();
@@ -93,17 +94,19 @@
     let reply = world.call_box(id, &call, HOLD_TIMEOUT).await;
     match reply {
         Ok(PeerReply::Done) => {}
-        Ok(PeerReply::Superseded(owner)) if owner != world.me.id => return HoldEnd::OwnedBy(owner),
-        _ => return HoldEnd::Failed,
+        Ok(PeerReply::Superseded(owner)) if owner != world.me.id => {
+            return HoldOutcome::OwnedBy(owner);
+        }
+        _ => return HoldOutcome::Failed,
     }
     cell.change(|r| {
         r.holder = Holder::At(id.clone());
         r.copied(tokens, ending);
     });
-    HoldEnd::Held
+    HoldOutcome::Held
 }
 
-/// Finds another holder in the background, after the one it had was lost.
+/// Finds another holder in the background after the previous one was lost.
 pub fn hold_again(world: &Arc<World>, cell: &Arc<RequestCell>, lost: Option<BoxId>) {
     let world = world.clone();
     let cell = cell.clone();
--- a/src/app/load_watch.rs
+++ b/src/app/load_watch.rs
@@ -4,18 +4,18 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-const EVERY: Duration = Duration::from_millis(500);
+const READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads the load and the cache events of the engines that fall to this box.
+/// Reads the load and the cache events of the engines that are assigned to this box.
 ///
-/// Each engine is read by one box of its failure domain, worked out from the
-/// live ones; the others hear of it by the links.
+/// Each engine is read by one box of its failure domain, which every box computes from the
+/// live boxes. The other boxes receive the load by heartbeats.
 pub async fn watch_loads(world: Arc<World>) {
     loop {
         let engines = my_engines(&world);
         let reads = engines.iter().map(|(id, addr)| read_one(&world, id, *addr));
         futures_util::future::join_all(reads).await;
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(READ_INTERVAL).await;
     }
 }
 
@@ -43,10 +43,13 @@
     if let Ok(load) = world.borders.engine.load(addr).await {
         let mut stats = world.stats.lock();
         let s = stats.of(id);
-        let news = s.load.as_ref().is_none_or(|l| worth_telling(l, &load));
+        let changed = s
+            .load
+            .as_ref()
+            .is_none_or(|l| is_significant_change(l, &load));
         s.report(load);
         drop(stats);
-        if news {
+        if changed {
             world.load_journal.lock().push(id);
         }
     }
@@ -67,8 +70,9 @@
     }
 }
 
-/// Small changes of load stay on the box that read them.
-fn worth_telling(old: &EngineLoad, new: &EngineLoad) -> bool {
+/// Returns true if a change of load is large enough to be announced. Small changes stay on
+/// the box that read them.
+fn is_significant_change(old: &EngineLoad, new: &EngineLoad) -> bool {
     let queue = |l: &EngineLoad| i64::from(l.running) + i64::from(l.waiting);
     let step = (i64::from(new.slots) / 8).max(1);
     (queue(old) - queue(new)).abs() >= step || old.slots != new.slots || old.model != new.model
--- a/src/app/locate.rs
+++ b/src/app/locate.rs
@@ -6,47 +6,49 @@
 };
 
 const LOCATE_TIMEOUT: Duration = Duration::from_millis(600);
-/// How many boxes of the first failure domain, and of the others together, are asked.
-const ASKED: usize = 3;
+/// Largest number of boxes that are queried in the failure domain of the first box in
+/// rendezvous order, and in all other failure domains together.
+const MAX_TARGETS: usize = 3;
 
-/// Where a request was found.
+/// The result of locating a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// This box owns it, with at least the tokens asked for.
+    /// This box owns the request and has at least the tokens asked for.
     At(BoxId),
-    /// All that would know were asked, and none does.
+    /// All boxes that would know the request were queried, and none does.
     Nowhere,
-    /// Some could not be asked, or have less than was asked for.
+    /// Some of these boxes could not be queried, or the request was found with fewer tokens
+    /// than asked for.
     Unsure,
 }
 
-/// Looks for the owner of a request that has at least `from` tokens.
+/// Locates the owner of a request that has at least `from` tokens.
 ///
-/// Its copy's holder is worked out from its identifier, and knows the owner: a
-/// handful of calls, however many boxes there are.
+/// The holder of the copy is computed from the request's identifier and knows the owner, so
+/// that a few calls are enough however many boxes there are.
 pub async fn locate(world: &World, id: RequestId, from: usize) -> Found {
     let mut candidates = world.holder_candidates();
     candidates.push(HolderCandidate {
         id: world.me.id.clone(),
         failure_domain: world.my_domain().clone(),
     });
-    let asked = rank_locate_targets(id, &candidates, ASKED);
-    let answers = join_all(asked.iter().map(|c| ask(world, &c.id, id))).await;
-    let unsure = answers.iter().any(Result::is_err);
-    // Of two owners of one epoch the other one counts: it was there first.
+    let targets = rank_locate_targets(id, &candidates, MAX_TARGETS);
+    let replies = join_all(targets.iter().map(|c| query(world, &c.id, id))).await;
+    let unsure = replies.iter().any(Result::is_err);
+    // Of two owners of the same epoch the remote one takes precedence: it was there first.
     let mut located: Vec<Located> = locate_here(world, id).into_iter().collect();
-    located.extend(answers.into_iter().flatten().flatten());
+    located.extend(replies.into_iter().flatten().flatten());
     located.sort_by_key(|l| l.epoch);
-    let any = !located.is_empty();
+    let found_any = !located.is_empty();
     let best = located.into_iter().rev().find(|l| l.tokens >= from);
     match best {
         Some(l) => Found::At(l.owner),
-        None if unsure || any => Found::Unsure,
+        None if unsure || found_any => Found::Unsure,
         None => Found::Nowhere,
     }
 }
 
-/// Returns what this box knows of a request.
+/// Returns the owner of a request, its epoch and its tokens as far as this box knows them.
 pub fn locate_here(world: &World, id: RequestId) -> Option<Located> {
     let cell = world.requests.get(id)?;
     let r = cell.read();
@@ -59,7 +61,8 @@
         Role::Copy { owner } => owner.clone(),
         Role::Moved { to } => to.clone(),
     };
-    // A copy may lag what its owner has shown, by what is on its way.
+    // A copy may lag behind the tokens that its owner has sent to the client, by those under
+    // way, so that its own count is no upper bound.
     let tokens = match &r.role {
         Role::Owner => r.tokens.len(),
         Role::Copy { .. } if r.is_ended() => r.tokens.len(),
@@ -72,7 +75,7 @@
     })
 }
 
-async fn ask(world: &World, at: &BoxId, id: RequestId) -> Result<Option<Located>, ()> {
+async fn query(world: &World, at: &BoxId, id: RequestId) -> Result<Option<Located>, ()> {
     if *at == world.me.id {
         return Ok(None);
     }
--- a/src/app/mod.rs
+++ b/src/app/mod.rs
@@ -1,4 +1,5 @@
-//! The daemon: what connects decisions, tables and borders.
+//! The daemon, which connects the decisions of [`crate::policy`], the tables and the
+//! external systems.
 
 mod accept;
 mod admission_control;
