--- a/src/app/attempt.rs
+++ b/src/app/attempt.rs
@@ -155,7 +155,7 @@
     let hashes = spec
         .model()
         .map_or_else(Vec::new, |w| prefix_hashes(&w.prompt));
-    let (views, places): (Vec<_>, Vec<_>) = views(world, &spec.service, world.my_domain(), &hashes)
+    let (views, upstreams): (Vec<_>, Vec<_>) = views(world, &spec.service, world.my_domain(), &hashes)
         .into_iter()
         .unzip();
     let needs = ask_of(spec, generated, exclude.clone());
@@ -163,7 +163,7 @@
     let chosen = policy
         .choose(&needs, &views, rng)
         .or_else(|| choose_relaxed(&needs, &views, &*policy, rng))?;
-    Some(places[chosen].clone())
+    Some(upstreams[chosen].clone())
 }
 
 /// Chooses an upstream without regard to the preferred class, when no upstream of that
@@ -185,9 +185,9 @@
 }
 
 /// Excludes an upstream that refused a connection from placement for [`AVOID_MS`].
-pub fn avoid(world: &World, place: &Place) {
+pub fn avoid(world: &World, upstream: &Place) {
     let mut stats = world.stats.lock();
-    stats.of(&place.id).avoid_until_ms = now_ms() + AVOID_MS;
+    stats.of(&upstream.id).avoid_until_ms = now_ms() + AVOID_MS;
 }
 
 /// Spends a retry from the retry budget of a request's row. Returns false if the budget
@@ -200,19 +200,19 @@
 /// An attempt in flight at an upstream. Dropping it ends the count.
 pub struct InFlight {
     world: Arc<World>,
-    place: Place,
+    upstream: Place,
     started_ms: u64,
 }
 
 impl InFlight {
     /// Counts a new attempt at an upstream.
-    pub fn start(world: &Arc<World>, place: &Place) -> Self {
+    pub fn start(world: &Arc<World>, upstream: &Place) -> Self {
         let now = now_ms();
-        world.stats.lock().of(&place.id).start(now);
+        world.stats.lock().of(&upstream.id).start(now);
         metrics::counter!("saddlepulley_dispatches_total").increment(1);
         Self {
             world: world.clone(),
-            place: place.clone(),
+            upstream: upstream.clone(),
             started_ms: now,
         }
     }
@@ -223,18 +223,18 @@
     pub fn cost_micros(&self) -> f64 {
         let concurrent = {
             let stats = self.world.stats.lock();
-            let s = stats.get(&self.place.id);
+            let s = stats.get(&self.upstream.id);
             s.map_or(1, |s| {
                 s.load.as_ref().map_or(0, |l| l.running).max(s.in_flight)
             })
         };
         let seconds = now_ms().saturating_sub(self.started_ms) as f64 / 1_000.0;
-        self.place.price_micros as f64 * seconds / f64::from(concurrent.max(1))
+        self.upstream.price_micros as f64 * seconds / f64::from(concurrent.max(1))
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.world.stats.lock().of(&self.place.id).end();
+        self.world.stats.lock().of(&self.upstream.id).end();
     }
 }
