--- a/src/app/claim_client.rs
+++ b/src/app/claim_client.rs
@@ -40,7 +40,7 @@
 
 /// The outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimEnd {
+pub enum ClaimOutcome {
     /// This box holds the right to run the request.
     Holds(Claimant),
     /// The claim of this other box holds the right.
@@ -154,7 +154,7 @@
 }
 
 /// Claims the right to run a request for this box.
-pub async fn claim(world: &World, key: &ClaimKey) -> ClaimEnd {
+pub async fn claim(world: &World, key: &ClaimKey) -> ClaimOutcome {
     let me = world.me.clone();
     let (mut claimant, record) = Claimant::start(key.clone(), Uuid::new_v4(), me);
     let max_wait = tokio::time::sleep(CLAIM_MAX_WAIT);
@@ -165,14 +165,14 @@
     if settled {
         match claimant.state() {
             ClaimantState::Holds(_) if is_in_window(world, key.request) => {
-                return ClaimEnd::Holds(claimant);
+                return ClaimOutcome::Holds(claimant);
             }
-            ClaimantState::Lost(by) => return ClaimEnd::Lost(by.clone()),
+            ClaimantState::Lost(by) => return ClaimOutcome::Lost(by.clone()),
             _ => {}
         }
     }
     world.claims.give_up(&mut claimant);
-    ClaimEnd::GivenUp
+    ClaimOutcome::GivenUp
 }
 
 /// Returns true if the time in a request's identifier lies within the window of keys that
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -133,12 +133,12 @@
         return Some(unclaimed(world, key));
     }
     match claim(world, &key).await {
-        ClaimEnd::Holds(claimant) => Some(claimant),
-        ClaimEnd::Lost(by) => {
+        ClaimOutcome::Holds(claimant) => Some(claimant),
+        ClaimOutcome::Lost(by) => {
             give_to_claimer(world, cell, &key, by).await;
             None
         }
-        ClaimEnd::GivenUp => {
+        ClaimOutcome::GivenUp => {
             let outcome = outcome_without_log(world, spec.id).await;
             let failure = Failure::new(outcome, "the right to run it could not be had", 2_000);
             finish(world, cell, Ending::Failed(failure), &RunScore::new(&spec));
