--- a/src/app/attempt.rs
+++ b/src/app/attempt.rs
@@ -17,7 +17,7 @@
 
 /// An upstream that placement chose.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ChosenUpstream {
     /// The upstream's box.
     pub id: BoxId,
     /// The address at which it accepts requests.
@@ -26,7 +26,7 @@
     pub price_micros: u64,
 }
 
-impl Place {
+impl ChosenUpstream {
     /// Creates it from the facts of a box.
     pub fn of(b: &BoxFact) -> Self {
         Self {
@@ -64,7 +64,7 @@
     service: &ServiceName,
     failure_domain: &FailureDomain,
     hashes: &[u64],
-) -> Vec<(UpstreamView, Place)> {
+) -> Vec<(UpstreamView, ChosenUpstream)> {
     let now = now_ms();
     let boxes = world.boxes.read();
     let mut stats = world.stats.lock();
@@ -83,7 +83,7 @@
             let cached_tokens = hints.cached_tokens(&b.id, hashes);
             Some((
                 view_of(b, s, cached_tokens, world.settings.trial.limit),
-                Place::of(b),
+                ChosenUpstream::of(b),
             ))
         })
         .collect()
@@ -151,7 +151,7 @@
     generated: usize,
     exclude: &BTreeSet<BoxId>,
     rng: &mut dyn rand::RngCore,
-) -> Option<Place> {
+) -> Option<ChosenUpstream> {
     let hashes = spec
         .model()
         .map_or_else(Vec::new, |w| prefix_hashes(&w.prompt));
@@ -185,7 +185,7 @@
 }
 
 /// Excludes an upstream that refused a connection from placement for [`AVOID_MS`].
-pub fn avoid(world: &World, upstream: &Place) {
+pub fn avoid(world: &World, upstream: &ChosenUpstream) {
     let mut stats = world.stats.lock();
     stats.of(&upstream.id).avoid_until_ms = now_ms() + AVOID_MS;
 }
@@ -200,13 +200,13 @@
 /// An attempt in flight at an upstream. Dropping it ends the count.
 pub struct InFlight {
     world: Arc<World>,
-    upstream: Place,
+    upstream: ChosenUpstream,
     started_ms: u64,
 }
 
 impl InFlight {
     /// Counts a new attempt at an upstream.
-    pub fn start(world: &Arc<World>, upstream: &Place) -> Self {
+    pub fn start(world: &Arc<World>, upstream: &ChosenUpstream) -> Self {
         let now = now_ms();
         world.stats.lock().of(&upstream.id).start(now);
         metrics::counter!("saddlepulley_dispatches_total").increment(1);
--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -112,18 +112,18 @@
     }
 
     /// A request that was taken over goes on at its upstream, which may still run it.
-    fn first_place(&self) -> Option<Place> {
+    fn first_place(&self) -> Option<ChosenUpstream> {
         let id = self.cell.read().upstream.clone()?;
         self.place_of(&id)
     }
 
-    fn place_of(&self, id: &BoxId) -> Option<Place> {
+    fn place_of(&self, id: &BoxId) -> Option<ChosenUpstream> {
         let boxes = self.world.boxes.read();
         let b = boxes.get(id)?;
-        (b.state == BoxState::Live).then(|| Place::of(b))
+        (b.state == BoxState::Live).then(|| ChosenUpstream::of(b))
     }
 
-    fn choose(&mut self) -> Option<Place> {
+    fn choose(&mut self) -> Option<ChosenUpstream> {
         let generated = self.splice.committed();
         choose(
             self.world,
@@ -167,7 +167,7 @@
         false
     }
 
-    async fn attempt(&mut self, place: &Place) -> AttemptEnd {
+    async fn attempt(&mut self, place: &ChosenUpstream) -> AttemptEnd {
         self.orders.mark_unchanged();
         if *self.orders.borrow() == self.leave_order(place) {
             self.exclude.insert(place.id.clone());
@@ -194,14 +194,14 @@
         end
     }
 
-    fn leave_order(&self, place: &Place) -> MoveOrder {
+    fn leave_order(&self, place: &ChosenUpstream) -> MoveOrder {
         MoveOrder::Leave {
             from: place.id.clone(),
             to: None,
         }
     }
 
-    async fn open(&self, place: &Place, attempt: u32) -> Result<Frames, EngineError> {
+    async fn open(&self, place: &ChosenUpstream, attempt: u32) -> Result<Frames, EngineError> {
         let generated = self.cell.read().tokens.clone();
         let Some(work) = self.spec.model() else {
             return Err(EngineError::CutOff);
@@ -217,7 +217,7 @@
         self.world.borders.engine.complete(place.address, ask).await
     }
 
-    async fn pump(&mut self, place: &Place, attempt: u32, mut frames: Frames) -> AttemptEnd {
+    async fn pump(&mut self, place: &ChosenUpstream, attempt: u32, mut frames: Frames) -> AttemptEnd {
         let opened_ms = now_ms();
         let mut owners = self.cell.watch_owner();
         let first = Duration::from_millis(u64::from(self.spec.terms.first_token_ms) * 10);
@@ -268,7 +268,7 @@
     /// Takes a frame; returns whether it brought tokens.
     fn take(
         &mut self,
-        place: &Place,
+        place: &ChosenUpstream,
         attempt: u32,
         frame: CompletionFrame,
         opened_ms: u64,
@@ -307,7 +307,7 @@
         true
     }
 
-    fn note_usage(&mut self, place: &Place, usage: EngineUsage) {
+    fn note_usage(&mut self, place: &ChosenUpstream, usage: EngineUsage) {
         let computed = u64::from(usage.prompt_tokens.saturating_sub(usage.cached_tokens));
         if self.attempts > 1 || self.epoch > 1 {
             self.cell.change(|r| r.recomputed += computed);
@@ -323,7 +323,7 @@
 
     /// The adaptive limit learns from the time to the first token, less the
     /// request's own prefill.
-    fn note_first(&self, place: &Place, ms: u64) {
+    fn note_first(&self, place: &ChosenUpstream, ms: u64) {
         let mut stats = self.world.stats.lock();
         let s = stats.of(&place.id);
         let rate = s.load.as_ref().map_or(f64::MAX, |l| l.prefill_tokens_per_s);
@@ -339,7 +339,7 @@
 
     /// An answer that was cut off goes on elsewhere. This costs no retry budget:
     /// the request was accepted, and its upstream is gone, not overloaded.
-    async fn after_loss(&mut self, place: &Place) {
+    async fn after_loss(&mut self, place: &ChosenUpstream) {
         self.exclude.insert(place.id.clone());
         let ms = full_jitter_ms(self.losses, BACKOFF_BASE_MS, BACKOFF_CAP_MS, &mut self.rng);
         self.losses += 1;
@@ -347,7 +347,7 @@
     }
 
     /// Returns whether to go on.
-    async fn after_refusal(&mut self, place: &Place, e: EngineError) -> bool {
+    async fn after_refusal(&mut self, place: &ChosenUpstream, e: EngineError) -> bool {
         self.started |= !e.is_not_run();
         if e.is_not_connected() {
             avoid(self.world, place);
@@ -380,7 +380,7 @@
         true
     }
 
-    fn cancel(&self, place: &Place) {
+    fn cancel(&self, place: &ChosenUpstream) {
         let naive = self.spec.policy.as_str() == NaivePlacement::NAME;
         if naive || !self.world.settings.trial.cancel {
             return;
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -202,7 +202,7 @@
 async fn call(
     world: &Arc<World>,
     cell: &Arc<RequestCell>,
-    place: &Place,
+    place: &ChosenUpstream,
     fence: Option<u64>,
     score: &mut RunScore,
 ) -> CallEnd {
@@ -234,7 +234,7 @@
 async fn run_model_once(
     world: &Arc<World>,
     cell: &Arc<RequestCell>,
-    place: &Place,
+    place: &ChosenUpstream,
     work: &ModelWork,
     left: Duration,
 ) -> CallEnd {
@@ -290,7 +290,7 @@
         .is_some()
 }
 
-fn record_failure(world: &World, place: &Place, e: &EngineError) {
+fn record_failure(world: &World, place: &ChosenUpstream, e: &EngineError) {
     if e.is_not_connected() {
         avoid(world, place);
     } else {
