--- a/src/app/attempt.rs
+++ b/src/app/attempt.rs
@@ -38,7 +38,7 @@
 }
 
 /// Returns what a request needs of a placement, given how many tokens it has generated.
-pub fn ask_of(spec: &RequestSpec, generated: usize, exclude: BTreeSet<BoxId>) -> RequestNeeds {
+pub fn request_needs(spec: &RequestSpec, generated: usize, exclude: BTreeSet<BoxId>) -> RequestNeeds {
     let (prompt_tokens, max_tokens) = match &spec.work {
         Work::Model(work) => (count_tokens(&work.prompt), work.max_tokens),
         Work::Plain(_) => (0, 1),
@@ -140,7 +140,7 @@
     let others: Vec<DomainUpstreams> = others.map(upstreams_of).collect();
     let here = upstreams_of(world.my_domain());
     let waiting = world.admission.waiting_for(&spec.service);
-    let needs = ask_of(spec, 0, BTreeSet::new());
+    let needs = request_needs(spec, 0, BTreeSet::new());
     spill(&needs, &here, waiting, &others, &mut world.fork_rng())
 }
 
@@ -158,7 +158,7 @@
     let (views, upstreams): (Vec<_>, Vec<_>) = views(world, &spec.service, world.my_domain(), &hashes)
         .into_iter()
         .unzip();
-    let needs = ask_of(spec, generated, exclude.clone());
+    let needs = request_needs(spec, generated, exclude.clone());
     let policy = placement(&spec.policy);
     let chosen = policy
         .choose(&needs, &views, rng)
--- a/src/app/reclaim_watch.rs
+++ b/src/app/reclaim_watch.rs
@@ -120,7 +120,7 @@
 
 fn at_risk(cell: &RequestCell) -> StreamAtRisk {
     let r = cell.read();
-    let ask = ask_of(&r.spec, r.tokens.len(), BTreeSet::new());
+    let ask = request_needs(&r.spec, r.tokens.len(), BTreeSet::new());
     let tokens = u64::from(ask.prompt_tokens + ask.generated_tokens);
     StreamAtRisk {
         request: r.spec.id,
