--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -65,7 +65,7 @@
 /// The reply carries only this box's own fact and the offset of its table. Facts are sent
 /// on the links that each box opens itself, so that none is sent twice. A peer that is new
 /// to this box is also sent the known facts and loads, within the limits of one message.
-pub fn take_news(world: &Arc<World>, payload: HeartbeatPayload) -> HeartbeatPayload {
+pub fn apply_heartbeat(world: &Arc<World>, payload: HeartbeatPayload) -> HeartbeatPayload {
     world.links.heard(&payload.from.id);
     let is_new = !is_known(world, &payload.from);
     apply_facts(world, &payload);
--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -234,7 +234,7 @@
                 let all = requests.iter().map(|id| self.ownership(&holder, *id));
                 PeerReply::Ownership(all.collect())
             }
-            PeerCall::Heartbeat(news) => PeerReply::Heartbeat(take_news(&self.world, news)),
+            PeerCall::Heartbeat(news) => PeerReply::Heartbeat(apply_heartbeat(&self.world, news)),
             PeerCall::Hold(s) => self.hold(s),
             PeerCall::Replicate { owner, appends } => self.replicate(&owner, appends),
             PeerCall::TakeOver(t) => self.take_over(*t),
