--- a/src/app/box_watch.rs
+++ b/src/app/box_watch.rs
@@ -27,7 +27,7 @@
 pub async fn watch_box_list(world: Arc<World>) {
     let mut gone_since: BTreeMap<BoxId, u64> = BTreeMap::new();
     loop {
-        match world.borders.box_list.list().await {
+        match world.backends.box_list.list().await {
             Ok(facts) => {
                 let facts: Vec<BoxFact> =
                     facts.into_iter().filter(|f| f.id != world.me.id).collect();
@@ -57,7 +57,7 @@
 pub async fn watch_notices(world: Arc<World>) {
     let mut next = 0;
     loop {
-        match world.borders.cloud.notices(next, NOTICE_WAIT_MS).await {
+        match world.backends.cloud.notices(next, NOTICE_WAIT_MS).await {
             Ok(notices) => {
                 for n in notices {
                     next = next.max(n.seq + 1);
--- a/src/app/claim_client.rs
+++ b/src/app/claim_client.rs
@@ -222,7 +222,7 @@
     loop {
         let from = world.claims.fold.lock().next();
         let page = world
-            .borders
+            .backends
             .log
             .read(CLAIMS_STREAM, from, READ_WAIT_MS)
             .await;
@@ -291,7 +291,7 @@
 
 async fn append_directly(world: &World, records: &[ClaimRecord]) -> ClaimAppendOutcome {
     let data = serde_json::to_string(records).unwrap_or_default();
-    match world.borders.log.append(CLAIMS_STREAM, data).await {
+    match world.backends.log.append(CLAIMS_STREAM, data).await {
         Ok(offset) => ClaimAppendOutcome::At(offset),
         Err(PlatformError::NotTaken(_)) => ClaimAppendOutcome::NotTaken,
         Err(_) => ClaimAppendOutcome::Unknown,
--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -37,7 +37,7 @@
     /// Returns why it could not start.
     pub async fn start(settings: Settings) -> Result<Self, AppError> {
         let platform = Arc::new(PlatformHttp::new(settings.platform.address));
-        let borders = Backends {
+        let backends = Backends {
             engine: Arc::new(EngineHttp::default()),
             plain: Arc::new(PlainHttp::default()),
             log: platform.clone(),
@@ -45,7 +45,7 @@
             cloud: platform.clone(),
             weights: platform,
         };
-        Self::start_with(settings, borders).await
+        Self::start_with(settings, backends).await
     }
 
     /// Starts a daemon on the given backends.
@@ -53,12 +53,12 @@
     /// # Errors
     ///
     /// Returns why it could not start.
-    pub async fn start_with(settings: Settings, borders: Backends) -> Result<Self, AppError> {
+    pub async fn start_with(settings: Settings, backends: Backends) -> Result<Self, AppError> {
         let tls = PeerTls::from_settings(&settings.peers)?;
         let callers = listen(settings.listen.callers).await?;
         let peers = listen(settings.listen.peers).await?;
         let operators = listen(settings.listen.operators).await?;
-        let world = Arc::new(World::new(settings, borders, tls.clone(), now_ms()));
+        let world = Arc::new(World::new(settings, backends, tls.clone(), now_ms()));
         world.fold_facts(&[my_fact(&world)]);
         log::info!(
             target: "app",
@@ -172,7 +172,7 @@
     };
     *number += 1;
     let data = serde_json::to_string(&page).unwrap_or_default();
-    if let Err(e) = world.borders.log.append(SCORES_STREAM, data).await {
+    if let Err(e) = world.backends.log.append(SCORES_STREAM, data).await {
         log::warn!(target: "scores", "score page was not published. number={} error=\"{e}\"", page.number);
     }
 }
@@ -207,7 +207,7 @@
         was_ready
     });
     let from = world.table_in_force().folded_to;
-    let read = world.borders.log.read(TABLE_STREAM, from, 0);
+    let read = world.backends.log.read(TABLE_STREAM, from, 0);
     let reached = tokio::time::timeout(REVALIDATE_TIMEOUT, read).await;
     match reached {
         // The task that follows the table reads these records and sets the phase to ready.
--- a/src/app/duties.rs
+++ b/src/app/duties.rs
@@ -48,7 +48,7 @@
         // The first read doesn't wait, so that a free lease is noticed at once.
         let wait_ms = if first { 0 } else { READ_WAIT_MS };
         first = false;
-        let Ok(page) = world.borders.log.read(&stream, next, wait_ms).await else {
+        let Ok(page) = world.backends.log.read(&stream, next, wait_ms).await else {
             tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
@@ -72,7 +72,7 @@
             LeaseStep::Append(record) if world.is_ready() => {
                 let started_ms = clock.now_ms();
                 let data = serde_json::to_string(&record).unwrap_or_default();
-                if let Ok(offset) = world.borders.log.append(&stream, data).await {
+                if let Ok(offset) = world.backends.log.append(&stream, data).await {
                     append_times.insert(offset, started_ms);
                     next = next.min(offset);
                 }
--- a/src/app/load_watch.rs
+++ b/src/app/load_watch.rs
@@ -40,7 +40,7 @@
 }
 
 async fn read_one(world: &Arc<World>, id: &BoxId, addr: SocketAddr) {
-    if let Ok(load) = world.borders.engine.load(addr).await {
+    if let Ok(load) = world.backends.engine.load(addr).await {
         let mut stats = world.stats.lock();
         let s = stats.of(id);
         let changed = s
@@ -54,7 +54,7 @@
         }
     }
     let from = world.stats.lock().of(id).next_cache_event;
-    let Ok(events) = world.borders.engine.cache_events(addr, from).await else {
+    let Ok(events) = world.backends.engine.cache_events(addr, from).await else {
         return;
     };
     let mut hints = world.hints.lock();
--- a/src/app/model_loads.rs
+++ b/src/app/model_loads.rs
@@ -36,7 +36,7 @@
                 continue;
             }
             let model = engine.service.as_str();
-            if world.borders.weights.pull(model).await.is_err() {
+            if world.backends.weights.pull(model).await.is_err() {
                 // The store's rate is used up: the others wait too.
                 return;
             }
@@ -46,7 +46,7 @@
                 value: model.to_string(),
                 fence,
             };
-            match world.borders.engine.order(engine.address, &order).await {
+            match world.backends.engine.order(engine.address, &order).await {
                 Ok(()) => {
                     log::info!(target: "duties", "ordered a model. box={} model={model} fence={fence}", engine.id);
                     self.ordered.insert(key, now_ms());
--- a/src/app/reclaim_watch.rs
+++ b/src/app/reclaim_watch.rs
@@ -99,7 +99,7 @@
                 let place = &places[target];
                 let import =
                     world
-                        .borders
+                        .backends
                         .engine
                         .import_kv(place.address, leaving.address, id.uuid());
                 let left = Duration::from_millis(notice_ms);
--- a/src/app/replacements.rs
+++ b/src/app/replacements.rs
@@ -44,7 +44,7 @@
                 class,
                 service: lost.service.clone(),
             };
-            match world.borders.cloud.order(&order).await {
+            match world.backends.cloud.order(&order).await {
                 Ok(()) => {
                     log::info!(target: "duties", "ordered a box. for={} class={class:?} fence={fence}", lost.id);
                     return true;
@@ -61,7 +61,7 @@
 
     /// An order whose answer was lost is settled by the list of orders.
     async fn is_taken(&self, world: &World, token: &str) -> bool {
-        let orders = world.borders.cloud.orders().await;
+        let orders = world.backends.cloud.orders().await;
         orders.is_ok_and(|o| o.iter().any(|o| o.client_token == token))
     }
 }
--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -214,7 +214,7 @@
             max_tokens: work.max_tokens as usize,
             priority: self.spec.terms.priority,
         };
-        self.world.borders.engine.complete(place.address, ask).await
+        self.world.backends.engine.complete(place.address, ask).await
     }
 
     async fn pump(&mut self, place: &ChosenUpstream, attempt: u32, mut frames: Frames) -> AttemptEnd {
@@ -389,7 +389,7 @@
         if matches!(self.cell.read().role, Role::Moved { .. }) {
             return;
         }
-        let engine = self.world.borders.engine.clone();
+        let engine = self.world.backends.engine.clone();
         let (address, id) = (place.address, self.spec.id.uuid());
         tokio::spawn(async move {
             let _ = engine.cancel(address, id).await;
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -214,7 +214,7 @@
         Work::Plain(call) => {
             let headers = headers_of(&spec, fence);
             let answer = world
-                .borders
+                .backends
                 .plain
                 .call(place.address, call, headers, left)
                 .await;
@@ -248,7 +248,7 @@
         max_tokens: work.max_tokens as usize,
         priority: 0,
     };
-    let mut frames = match world.borders.engine.complete(place.address, ask).await {
+    let mut frames = match world.backends.engine.complete(place.address, ask).await {
         Ok(frames) => frames,
         Err(e) => return CallEnd::Failed(e),
     };
--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -48,7 +48,7 @@
     loop {
         let from = world.table_in_force().folded_to;
         match world
-            .borders
+            .backends
             .log
             .read(TABLE_STREAM, from, READ_WAIT_MS)
             .await
@@ -83,7 +83,7 @@
         && last.offset + 1 < next
     {
         let from = last.offset + 1;
-        match world.borders.log.read(TABLE_STREAM, from, 0).await {
+        match world.backends.log.read(TABLE_STREAM, from, 0).await {
             Ok(page) if !page.records.is_empty() => entries.extend(page.records),
             _ => break,
         }
@@ -264,7 +264,7 @@
         let Ok(data) = serde_json::to_string(&record) else {
             continue;
         };
-        if world.borders.log.append(TABLE_STREAM, data).await.is_ok() {
+        if world.backends.log.append(TABLE_STREAM, data).await.is_ok() {
             last_at = table.folded_to + 1;
             last_ms = now_ms();
             log::info!(target: "table", "appended a snapshot. version={}", table.version);
--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -84,7 +84,7 @@
     /// Where this daemon is in its life.
     pub phase: watch::Sender<Phase>,
     /// The systems outside.
-    pub borders: Backends,
+    pub backends: Backends,
     rng: Mutex<ChaCha8Rng>,
 }
 
@@ -92,7 +92,7 @@
     /// Makes the world of a daemon that has just started.
     pub fn new(
         settings: Settings,
-        borders: Backends,
+        backends: Backends,
         tls: Option<Arc<PeerTls>>,
         incarnation: u64,
     ) -> Self {
@@ -120,7 +120,7 @@
             score: Mutex::default(),
             budgets: Mutex::default(),
             phase: watch::Sender::new(Phase::Starting),
-            borders,
+            backends,
             rng: Mutex::new(ChaCha8Rng::from_os_rng()),
             settings,
         }
