--- a/src/app/attempt.rs
+++ b/src/app/attempt.rs
@@ -38,7 +38,11 @@
 }
 
 /// Returns what a request needs of a placement, given how many tokens it has generated.
-pub fn request_needs(spec: &RequestSpec, generated: usize, exclude: BTreeSet<BoxId>) -> RequestNeeds {
+pub fn request_needs(
+    spec: &RequestSpec,
+    generated: usize,
+    exclude: BTreeSet<BoxId>,
+) -> RequestNeeds {
     let (prompt_tokens, max_tokens) = match &spec.work {
         Work::Model(work) => (count_tokens(&work.prompt), work.max_tokens),
         Work::Plain(_) => (0, 1),
@@ -155,9 +159,10 @@
     let hashes = spec
         .model()
         .map_or_else(Vec::new, |w| prefix_hashes(&w.prompt));
-    let (views, upstreams): (Vec<_>, Vec<_>) = views(world, &spec.service, world.my_domain(), &hashes)
-        .into_iter()
-        .unzip();
+    let (views, upstreams): (Vec<_>, Vec<_>) =
+        views(world, &spec.service, world.my_domain(), &hashes)
+            .into_iter()
+            .unzip();
     let needs = request_needs(spec, generated, exclude.clone());
     let policy = placement(&spec.policy);
     let chosen = policy
--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -214,10 +214,19 @@
             max_tokens: work.max_tokens as usize,
             priority: self.spec.terms.priority,
         };
-        self.world.backends.engine.complete(place.address, ask).await
+        self.world
+            .backends
+            .engine
+            .complete(place.address, ask)
+            .await
     }
 
-    async fn pump(&mut self, place: &ChosenUpstream, attempt: u32, mut frames: Frames) -> AttemptEnd {
+    async fn pump(
+        &mut self,
+        place: &ChosenUpstream,
+        attempt: u32,
+        mut frames: Frames,
+    ) -> AttemptEnd {
         let opened_ms = now_ms();
         let mut owners = self.cell.watch_owner();
         let first = Duration::from_millis(u64::from(self.spec.terms.first_token_ms) * 10);
