--- a/src/app/answer_reader.rs
+++ b/src/app/answer_reader.rs
@@ -146,19 +146,19 @@
         loop {
             let step = next_step(&cell, self.next_token);
             let end = match step {
-                Step::Wait => {
+                ReadStep::Wait => {
                     tokio::select! {
                         _ = changed.changed() => continue,
                         () = self.tx.closed() => return ReadFrom::Done,
                     }
                 }
-                Step::Tokens(tokens) => self.send_tokens(self.next_token, tokens).await,
-                Step::Ending(ending) => {
+                ReadStep::Tokens(tokens) => self.send_tokens(self.next_token, tokens).await,
+                ReadStep::Ending(ending) => {
                     self.send(AnswerEvent::Ending(ending)).await;
                     Some(ReadFrom::Done)
                 }
-                Step::Moved(to) => Some(ReadFrom::At(to)),
-                Step::NotHere => Some(ReadFrom::Locate),
+                ReadStep::Moved(to) => Some(ReadFrom::At(to)),
+                ReadStep::NotHere => Some(ReadFrom::Locate),
             };
             if let Some(next) = end {
                 return next;
@@ -271,7 +271,7 @@
 }
 
 /// What a reader at an offset gets next from this box.
-pub enum Step {
+pub enum ReadStep {
     /// Nothing yet: wait for a change of the record.
     Wait,
     /// These tokens.
@@ -286,33 +286,33 @@
 }
 
 /// Returns what a reader at an offset gets next from this box's record.
-pub fn next_step(cell: &RequestCell, at: usize) -> Step {
+pub fn next_step(cell: &RequestCell, at: usize) -> ReadStep {
     let r = cell.read();
     match &r.role {
         // A copy that holds the ending is complete and serves as well as the owner's record.
         Role::Copy { .. } if r.is_ended() => return complete_copy_step(&r, at),
-        Role::Copy { owner } => return Step::Moved(owner.clone()),
-        Role::Moved { to } => return Step::Moved(to.clone()),
+        Role::Copy { owner } => return ReadStep::Moved(owner.clone()),
+        Role::Moved { to } => return ReadStep::Moved(to.clone()),
         Role::Owner => {}
     }
     if at > r.tokens.len() {
-        return Step::NotHere;
+        return ReadStep::NotHere;
     }
     if at < r.durable {
-        return Step::Tokens(r.tokens[at..r.durable].to_vec());
+        return ReadStep::Tokens(r.tokens[at..r.durable].to_vec());
     }
     match r.shown_ending() {
-        Some(ending) => Step::Ending(ending.clone()),
-        None => Step::Wait,
+        Some(ending) => ReadStep::Ending(ending.clone()),
+        None => ReadStep::Wait,
     }
 }
 
-fn complete_copy_step(r: &Record, at: usize) -> Step {
+fn complete_copy_step(r: &Record, at: usize) -> ReadStep {
     if at > r.tokens.len() {
-        return Step::NotHere;
+        return ReadStep::NotHere;
     }
     if at < r.tokens.len() {
-        return Step::Tokens(r.tokens[at..].to_vec());
+        return ReadStep::Tokens(r.tokens[at..].to_vec());
     }
-    r.ending.clone().map_or(Step::Wait, Step::Ending)
+    r.ending.clone().map_or(ReadStep::Wait, ReadStep::Ending)
 }
--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -271,20 +271,20 @@
     let mut changed = cell.watch();
     loop {
         let event = match next_step(cell, at) {
-            Step::Wait => {
+            ReadStep::Wait => {
                 tokio::select! {
                     _ = changed.changed() => continue,
                     () = tx.closed() => return,
                 }
             }
-            Step::Tokens(tokens) => {
+            ReadStep::Tokens(tokens) => {
                 let offset = at;
                 at += tokens.len();
                 AttachEvent::Tokens { offset, tokens }
             }
-            Step::Ending(ending) => AttachEvent::Ending(ending),
-            Step::Moved(to) => AttachEvent::Moved(to),
-            Step::NotHere => AttachEvent::NotHere,
+            ReadStep::Ending(ending) => AttachEvent::Ending(ending),
+            ReadStep::Moved(to) => AttachEvent::Moved(to),
+            ReadStep::NotHere => AttachEvent::NotHere,
         };
         let last = !matches!(event, AttachEvent::Tokens { .. });
         if tx.send(event).await.is_err() || last {
