--- a/src/app/accept.rs
+++ b/src/app/accept.rs
@@ -112,13 +112,13 @@
     let admitted = AdmissionControl::admit(world, c, tokens, deadline_ms, fair).await;
     let admitted = admitted.map_err(|r| refusal_of(&r))?;
     credit_retry_budget(world, &spec);
-    let start = AdmittedRequest {
+    let request = AdmittedRequest {
         spec,
         admitted,
         spill,
         cross_domain_only: sub.cross_domain_only,
     };
-    start.go(world).await
+    request.start(world).await
 }
 
 /// Returns the tokens that a request is charged with: its prompt plus its maximum output
@@ -151,7 +151,7 @@
 }
 
 impl AdmittedRequest {
-    async fn go(self, world: &Arc<World>) -> Result<Accepted, Refusal> {
+    async fn start(self, world: &Arc<World>) -> Result<Accepted, Refusal> {
         let record = Record::new(self.spec.clone(), Role::Owner, 1, now_ms());
         let (cell, inserted) = world.requests.insert(record);
         if !inserted {
--- a/src/app/admission_control.rs
+++ b/src/app/admission_control.rs
@@ -42,7 +42,7 @@
     run_time_ms: f64,
 }
 
-/// An admitted request. Dropping it ends the request and frees its place.
+/// An admitted request. Dropping it ends the request and releases its slot.
 pub struct Admitted {
     world: Arc<World>,
     account: ClientAccount,
--- a/src/app/answer_reader.rs
+++ b/src/app/answer_reader.rs
@@ -5,8 +5,10 @@
     tokio::sync::mpsc,
 };
 
+/// Timeout for opening the stream of an answer on another box.
 const ATTACH_TIMEOUT: Duration = Duration::from_millis(1_000);
 const PAUSE: Duration = Duration::from_millis(100);
+/// Number of changes of the box that is read from, after which the reader pauses.
 const HOPS_BEFORE_PAUSE: u32 = 4;
 /// How long a request that no box knows is searched for, in milliseconds, in addition to the
 /// silence after which the holder of its copy takes it over.
@@ -51,6 +53,7 @@
     /// Offset of the next token to send.
     next_token: usize,
     spec_sent: bool,
+    /// True if the request is known to have been accepted.
     known: bool,
     deadline_ms: u64,
     tx: mpsc::Sender<AnswerEvent>,
--- a/src/app/attempt.rs
+++ b/src/app/attempt.rs
@@ -6,11 +6,14 @@
 
 /// Slots assumed for an upstream that has not reported its load yet.
 const DEFAULT_SLOTS: u32 = 32;
+/// Prefill speed assumed for an upstream that has not reported its load yet.
 const DEFAULT_PREFILL_TOKENS_PER_S: f64 = 8_000.0;
+/// Duration of a decoding step assumed for an upstream that has not reported its load yet.
 const DEFAULT_STEP_MS: f64 = 20.0;
 /// Probability that a reclaimable box is reclaimed in the next second. One reclaim a
 /// day on average is assumed, as the rates of the boxes are not measured.
 const RECLAIMABLE_HAZARD_PER_S: f64 = 1.0 / 86_400.0;
+/// Round-trip time assumed between a daemon and an upstream of its failure domain.
 const ROUND_TRIP_MS: f64 = 1.0;
 /// How long no request is sent to an upstream that refused a connection.
 const AVOID_MS: u64 = 1_000;
--- a/src/app/box_watch.rs
+++ b/src/app/box_watch.rs
@@ -17,10 +17,12 @@
 /// The part of a daemon's control traffic that reads of the list may use, in bytes per
 /// second.
 const LIST_BYTES_PER_S: u64 = 1_500;
+/// How long a read of reclaim notices may wait for a new one, in milliseconds.
 const NOTICE_WAIT_MS: u64 = 4_000;
 /// How long a box is remembered after it is gone: longer than any source lags, so that
 /// outdated facts don't bring it back.
 const GONE_RETENTION_MS: u64 = 3_600_000;
+/// Pause after a failed read of notices.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// Folds the platform's box list, which lags behind the state of the boxes.
--- a/src/app/claim_client.rs
+++ b/src/app/claim_client.rs
@@ -24,7 +24,9 @@
 const MAX_GIVEN_UP: usize = 10_000;
 /// Largest number of calls of [`ClaimClient::append`] that wait for an append.
 const MAX_PENDING: usize = 10_000;
+/// How long a read of the log may wait for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 2_000;
+/// Pause after a failed read or append.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// The outcome of appending a claim record.
--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -18,6 +18,7 @@
 /// notice, before it checks for open requests; also how long it then waits for the last
 /// events to be sent.
 const DRAIN_NOTICE: Duration = Duration::from_millis(300);
+/// Interval at which a stopping daemon checks for open requests.
 const STOP_POLL: Duration = Duration::from_millis(50);
 /// Longest interval between two score pages of a daemon, in milliseconds, as long as the
 /// limit of ten pages per second from all daemons allows it.
@@ -180,6 +181,7 @@
 const CLOCK_TICK: Duration = Duration::from_millis(200);
 /// A tick that takes longer than this shows that the process was paused.
 const PAUSE_THRESHOLD_MS: u64 = 2_000;
+/// Timeout of the read of the log by which the table is compared after a pause.
 const REVALIDATE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Detects that this process was paused. After a pause the daemon isn't ready until it has
--- a/src/app/duties.rs
+++ b/src/app/duties.rs
@@ -4,7 +4,9 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
+/// How long a read of the log may wait for new records, in milliseconds.
 const READ_WAIT_MS: u64 = 1_000;
+/// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Duration of a lease of a failure domain's duties, in milliseconds.
 pub const LEASE_TERM_MS: u64 = 6_000;
@@ -41,6 +43,7 @@
     let mut view = LeaseView::default();
     let mut next = 0;
     let mut first = true;
+    // When this box's own appends started, by offset: its lease runs from that time.
     let mut append_times: BTreeMap<u64, u64> = BTreeMap::new();
     let mut replacements = Replacements::default();
     let mut model_loads = ModelLoads::default();
--- a/src/app/hand_over.rs
+++ b/src/app/hand_over.rs
@@ -4,6 +4,7 @@
     std::{sync::Arc, time::Duration},
 };
 
+/// Timeout of a call that offers a request to a box.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(800);
 /// How often a request is moved to another failure domain before it must run where it is.
 const MAX_HOPS: u8 = 2;
--- a/src/app/load_watch.rs
+++ b/src/app/load_watch.rs
@@ -4,6 +4,7 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
+/// Interval between two reads of an engine.
 const READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads the load and the cache events of the engines that are assigned to this box.
--- a/src/app/locate.rs
+++ b/src/app/locate.rs
@@ -5,6 +5,7 @@
     std::time::Duration,
 };
 
+/// Timeout of a query for a request's owner.
 const LOCATE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Largest number of boxes that are queried in the failure domain of the first box in
 /// rendezvous order, and in all other failure domains together.
