--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -234,7 +234,7 @@
                 let all = requests.iter().map(|id| self.ownership(&holder, *id));
                 PeerReply::Ownership(all.collect())
             }
-            PeerCall::Heartbeat(news) => PeerReply::Heartbeat(take_news(&self.world, news)),
+            PeerCall::Heartbeat(news) => PeerReply::Heartbeat(apply_heartbeat(&self.world, news)),
             PeerCall::Hold(s) => self.hold(s),
             PeerCall::Replicate { owner, appends } => self.replicate(&owner, appends),
             PeerCall::TakeOver(t) => self.take_over(*t),
@@ -271,20 +271,20 @@
     let mut changed = cell.watch();
     loop {
         let event = match next_step(cell, at) {
-            Step::Wait => {
+            ReadStep::Wait => {
                 tokio::select! {
                     _ = changed.changed() => continue,
                     () = tx.closed() => return,
                 }
             }
-            Step::Tokens(tokens) => {
+            ReadStep::Tokens(tokens) => {
                 let offset = at;
                 at += tokens.len();
                 AttachEvent::Tokens { offset, tokens }
             }
-            Step::Ending(ending) => AttachEvent::Ending(ending),
-            Step::Moved(to) => AttachEvent::Moved(to),
-            Step::NotHere => AttachEvent::NotHere,
+            ReadStep::Ending(ending) => AttachEvent::Ending(ending),
+            ReadStep::Moved(to) => AttachEvent::Moved(to),
+            ReadStep::NotHere => AttachEvent::NotHere,
         };
         let last = !matches!(event, AttachEvent::Tokens { .. });
         if tx.send(event).await.is_err() || last {
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -133,12 +133,12 @@
         return Some(unclaimed(world, key));
     }
     match claim(world, &key).await {
-        ClaimEnd::Holds(claimant) => Some(claimant),
-        ClaimEnd::Lost(by) => {
+        ClaimOutcome::Holds(claimant) => Some(claimant),
+        ClaimOutcome::Lost(by) => {
             give_to_claimer(world, cell, &key, by).await;
             None
         }
-        ClaimEnd::GivenUp => {
+        ClaimOutcome::GivenUp => {
             let outcome = outcome_without_log(world, spec.id).await;
             let failure = Failure::new(outcome, "the right to run it could not be had", 2_000);
             finish(world, cell, Ending::Failed(failure), &RunScore::new(&spec));
@@ -202,7 +202,7 @@
 async fn call(
     world: &Arc<World>,
     cell: &Arc<RequestCell>,
-    place: &Place,
+    place: &ChosenUpstream,
     fence: Option<u64>,
     score: &mut RunScore,
 ) -> CallEnd {
@@ -214,7 +214,7 @@
         Work::Plain(call) => {
             let headers = headers_of(&spec, fence);
             let answer = world
-                .borders
+                .backends
                 .plain
                 .call(place.address, call, headers, left)
                 .await;
@@ -234,7 +234,7 @@
 async fn run_model_once(
     world: &Arc<World>,
     cell: &Arc<RequestCell>,
-    place: &Place,
+    place: &ChosenUpstream,
     work: &ModelWork,
     left: Duration,
 ) -> CallEnd {
@@ -248,7 +248,7 @@
         max_tokens: work.max_tokens as usize,
         priority: 0,
     };
-    let mut frames = match world.borders.engine.complete(place.address, ask).await {
+    let mut frames = match world.backends.engine.complete(place.address, ask).await {
         Ok(frames) => frames,
         Err(e) => return CallEnd::Failed(e),
     };
@@ -290,7 +290,7 @@
         .is_some()
 }
 
-fn record_failure(world: &World, place: &Place, e: &EngineError) {
+fn record_failure(world: &World, place: &ChosenUpstream, e: &EngineError) {
     if e.is_not_connected() {
         avoid(world, place);
     } else {
