--- a/src/app/hold.rs
+++ b/src/app/hold.rs
@@ -1,5 +1,5 @@
 use {
-    super::{World, give_way},
+    super::{World, yield_ownership},
     crate::{names::*, peer::*, policy::*, requests::*},
     std::{sync::Arc, time::Duration},
 };
@@ -53,7 +53,7 @@
             }
             HoldEnd::Held => return Durability::CrossDomain,
             HoldEnd::OwnedBy(owner) => {
-                give_way(cell, &candidate.id, owner);
+                yield_ownership(cell, &candidate.id, owner);
                 return Durability::None;
             }
             HoldEnd::Failed => {}
--- a/src/app/replicate.rs
+++ b/src/app/replicate.rs
@@ -137,13 +137,13 @@
                 }
             }
             AckState::Unknown => hold_again(world, cell, None),
-            AckState::Superseded(owner) => give_way(cell, holder, owner),
+            AckState::Superseded(owner) => yield_ownership(cell, holder, owner),
         }
     }
 }
 
 /// Another box owns the request: this one stops. `told_by` is who said so.
-pub fn give_way(cell: &RequestCell, told_by: &BoxId, owner: BoxId) {
+pub fn yield_ownership(cell: &RequestCell, told_by: &BoxId, owner: BoxId) {
     log::warn!(target: "replicate", "superseded. request={} by={owner} told_by={told_by}", cell.id());
     cell.change_owner(|r| {
         if r.is_owner() {
