--- a/src/app/accept.rs
+++ b/src/app/accept.rs
@@ -85,7 +85,7 @@
     if world.admission.running() >= world.settings.requests.max_requests {
         return Err(Refusal::not_run(503, "this box is full", 1_000));
     }
-    let table = world.table_in_force();
+    let table = world.active_table();
     let row = table.row(&sub.account, &sub.service, world.my_domain());
     let Some(c) = row else {
         let detail = format!(
--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -202,7 +202,7 @@
         }
         was_ready
     });
-    let from = world.table_in_force().folded_to;
+    let from = world.active_table().folded_to;
     let read = world.borders.log.read(TABLE_STREAM, from, 0);
     let reached = tokio::time::timeout(COMPARE_TIMEOUT, read).await;
     match reached {
--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -128,7 +128,7 @@
     }
     HeartbeatPayload {
         from: own_fact(world, &boxes),
-        table_folded_to: world.table_in_force().folded_to,
+        table_folded_to: world.active_table().folded_to,
         facts,
         loads,
     }
--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -46,7 +46,7 @@
 /// Follows the table in the log.
 pub async fn watch_table(world: Arc<World>) {
     loop {
-        let from = world.table_in_force().folded_to;
+        let from = world.active_table().folded_to;
         match world
             .borders
             .log
@@ -70,7 +70,7 @@
         .map(|r| (r.offset, r.data))
         .collect();
     fold_records(world, records);
-    if world.table_in_force().folded_to >= page.next {
+    if world.active_table().folded_to >= page.next {
         after_catching_up(world);
     }
 }
@@ -90,7 +90,7 @@
     }
     let parse = |r: LogEntry| Some((r.offset, serde_json::from_str(&r.data).ok()?));
     let records: Vec<(u64, TableRecord)> = entries.into_iter().filter_map(parse).collect();
-    let Some(table) = world.table_in_force().recover(first, &records) else {
+    let Some(table) = world.active_table().recover(first, &records) else {
         log::warn!(target: "table", "the log has no snapshot to go on from. first={first}");
         tokio::time::sleep(READ_PAUSE).await;
         return;
@@ -169,7 +169,7 @@
 
 /// A daemon that has what the log or a peer has is ready.
 fn after_catching_up(world: &World) {
-    if world.table_in_force().version > 0 {
+    if world.active_table().version > 0 {
         become_ready(world);
     }
 }
@@ -180,7 +180,7 @@
         let starts = *phase == Phase::Starting;
         if starts {
             *phase = Phase::Ready;
-            log::info!(target: "app", "ready. table={}", world.table_in_force().version);
+            log::info!(target: "app", "ready. table={}", world.active_table().version);
         }
         starts
     });
@@ -191,7 +191,7 @@
     if !world.settings.trial.relay {
         return;
     }
-    let mine = world.table_in_force().folded_to;
+    let mine = world.active_table().folded_to;
     if news.table_folded_to <= mine {
         if news.table_folded_to > 0 && news.table_folded_to == mine {
             after_catching_up(world);
@@ -201,7 +201,7 @@
     let (world, from) = (world.clone(), news.from.address);
     tokio::spawn(async move {
         let client = world.links.client(from);
-        let mine = world.table_in_force().folded_to;
+        let mine = world.active_table().folded_to;
         let reply = client
             .call(&PeerCall::FetchTable(mine), FETCH_TIMEOUT)
             .await;
@@ -213,7 +213,7 @@
 
 /// Fetches what a peer has and this box lacks, from the first that answers.
 pub async fn ask_peers_for_table(world: &Arc<World>) {
-    let from = world.table_in_force().folded_to;
+    let from = world.active_table().folded_to;
     for peer in world.holder_candidates().into_iter().take(ASKED_PEERS) {
         let call = PeerCall::FetchTable(from);
         if let Ok(PeerReply::Table(news)) = world.call_box(&peer.id, &call, FETCH_TIMEOUT).await {
@@ -227,7 +227,7 @@
     if let Some(records) = world.table_records.lock().since(from) {
         return TableUpdate::Records(records);
     }
-    let whole = serde_json::to_string(&*world.table_in_force());
+    let whole = serde_json::to_string(&*world.active_table());
     TableUpdate::Whole(whole.unwrap_or_default())
 }
 
@@ -249,12 +249,12 @@
 /// Any box may do it, and two at once do no harm: a snapshot carries the
 /// version it shows and folds to nothing where that is known.
 pub async fn keep_snapshots(world: Arc<World>) {
-    let mut last_at = world.table_in_force().folded_to;
+    let mut last_at = world.active_table().folded_to;
     let mut last_ms = now_ms();
     let interval_ms = world.settings.platform.log_retention_s * 1_000 / 4;
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let table = world.table_in_force();
+        let table = world.active_table();
         let passed = table.folded_to.saturating_sub(last_at);
         let due = passed >= SNAPSHOT_EVERY || now_ms().saturating_sub(last_ms) > interval_ms;
         if !due || table.version == 0 || !is_first_box(&world) {
--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns the table in force.
-    pub fn table_in_force(&self) -> Arc<Table> {
+    pub fn active_table(&self) -> Arc<Table> {
         self.table.read().clone()
     }
 
--- a/src/caller/caller_service.rs
+++ b/src/caller/caller_service.rs
@@ -55,7 +55,7 @@
         req: Request<RequestBody>,
         path: &str,
     ) -> Result<Response<Body>, Refusal> {
-        let table = self.world.table_in_force();
+        let table = self.world.active_table();
         if table.version == 0 {
             return Err(Refusal::not_run(503, "this box has no table yet", 1_000));
         }
@@ -77,7 +77,7 @@
     }
 
     fn models(&self, account: &ClientAccount) -> Response<Body> {
-        let table = self.world.table_in_force();
+        let table = self.world.active_table();
         let mine = |c: &&crate::contracts::Contract| {
             c.account == *account && c.failure_domain == *self.world.my_domain()
         };
--- a/src/caller/operator_service.rs
+++ b/src/caller/operator_service.rs
@@ -82,7 +82,7 @@
     let boxes = world.boxes.read();
     let views = domain_views(&boxes, &world.links);
     let (memory_bytes, cpu_ms) = usage();
-    let table = world.table_in_force();
+    let table = world.active_table();
     Status {
         id: world.me.id.clone(),
         incarnation: world.me.incarnation,
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -48,7 +48,7 @@
     };
     println!(
         "table in force. version={}",
-        world.daemons[0].world().table_in_force().version
+        world.daemons[0].world().active_table().version
     );
     let ask = value!({
         "model": "assistant",
