--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -239,7 +239,7 @@
             PeerCall::Replicate { owner, appends } => self.replicate(&owner, appends),
             PeerCall::TakeOver(t) => self.take_over(*t),
             PeerCall::Locate(id) => PeerReply::Located(locate_here(&self.world, id)),
-            PeerCall::FetchTable(from) => PeerReply::Table(table_news(&self.world, from)),
+            PeerCall::FetchTable(from) => PeerReply::Table(table_update_since(&self.world, from)),
             PeerCall::AppendClaims(records) => self.append_claims(records).await,
             PeerCall::AskClaim(key) if self.world.claims.release_again(&key) => {
                 PeerReply::Refused("given up".to_string())
--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -223,7 +223,7 @@
 }
 
 /// Returns what this box tells of the table to a peer that has folded to `from`.
-pub fn table_news(world: &World, from: u64) -> TableUpdate {
+pub fn table_update_since(world: &World, from: u64) -> TableUpdate {
     if let Some(records) = world.table_records.lock().since(from) {
         return TableUpdate::Records(records);
     }
