--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -63,7 +63,7 @@
     world.links.heard(&news.from.id);
     let back_link = !knows(world, &news.from);
     take_facts(world, &news);
-    follow_table(world, &news);
+    fetch_newer_table(world, &news);
     let mut reply = reply_to(world, &mut Told::default(), None);
     if back_link {
         // The caller is new here: it gets all that is known.
@@ -93,7 +93,7 @@
         Ok(PeerReply::Heartbeat(news)) => {
             world.links.heard(&news.from.id);
             take_facts(world, &news);
-            follow_table(world, &news);
+            fetch_newer_table(world, &news);
             (addr, Some(now_told))
         }
         _ => {
--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -187,7 +187,7 @@
 }
 
 /// Fetches what a peer has folded and this box has not.
-pub fn follow_table(world: &Arc<World>, news: &HeartbeatPayload) {
+pub fn fetch_newer_table(world: &Arc<World>, news: &HeartbeatPayload) {
     if !world.settings.trial.relay {
         return;
     }
