--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -211,7 +211,7 @@
         Ok(Ok(_)) => become_ready(world),
         // Without the log a peer's table is taken, if one answers.
         _ => {
-            ask_peers_for_table(world).await;
+            fetch_table_from_peers(world).await;
             become_ready(world);
         }
     }
--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -212,7 +212,7 @@
 }
 
 /// Fetches what a peer has and this box lacks, from the first that answers.
-pub async fn ask_peers_for_table(world: &Arc<World>) {
+pub async fn fetch_table_from_peers(world: &Arc<World>) {
     let from = world.active_table().folded_to;
     for peer in world.holder_candidates().into_iter().take(ASKED_PEERS) {
         let call = PeerCall::FetchTable(from);
