--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -99,7 +99,7 @@
             return self.tasks.abort_all();
         }
         tokio::time::sleep(STOP_NOTICE).await;
-        while owns_work(&self.world) {
+        while has_unfinished_requests(&self.world) {
             tokio::time::sleep(STOP_POLL).await;
         }
         publish_page(&self.world, &mut 0, now_ms()).await;
--- a/src/app/sweep.rs
+++ b/src/app/sweep.rs
@@ -257,7 +257,7 @@
 }
 
 /// Whether any request in flight is this box's to finish.
-pub fn owns_work(world: &World) -> bool {
+pub fn has_unfinished_requests(world: &World) -> bool {
     let is_open = |r: &Record| {
         let unread_end = r.is_ended() && r.readers > 0;
         r.is_owner() && (!r.is_ended() || unread_end)
