--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -71,7 +71,7 @@
         tasks.spawn(serve_callers(callers, world.clone()));
         tasks.spawn(crate::caller::serve_operators(operators, world.clone()));
         tasks.spawn(watch_table(world.clone()));
-        tasks.spawn(keep_snapshots(world.clone()));
+        tasks.spawn(append_snapshots(world.clone()));
         tasks.spawn(watch_claims(world.clone()));
         tasks.spawn(append_claims(world.clone()));
         tasks.spawn(watch_box_list(world.clone()));
--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -248,7 +248,7 @@
 ///
 /// Any box may do it, and two at once do no harm: a snapshot carries the
 /// version it shows and folds to nothing where that is known.
-pub async fn keep_snapshots(world: Arc<World>) {
+pub async fn append_snapshots(world: Arc<World>) {
     let mut last_at = world.active_table().folded_to;
     let mut last_ms = now_ms();
     let interval_ms = world.settings.platform.log_retention_s * 1_000 / 4;
