--- a/src/app/model_loads.rs
+++ b/src/app/model_loads.rs
@@ -4,16 +4,17 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// How long an order to load a model is given before it is given again, in milliseconds.
-const PATIENCE_MS: u64 = 30_000;
+/// Time after an order to load a model before the order is repeated, in milliseconds.
+const ORDER_RETRY_MS: u64 = 30_000;
 
-/// Has models loaded on engines that report none or another.
+/// Orders engines that report no model, or another one, to load the model of their service.
 #[derive(Debug, Default)]
 pub struct ModelLoads {
+    /// Time of the last order in Unix milliseconds, by box and incarnation.
     ordered: BTreeMap<(BoxId, u64), u64>,
 }
 
-/// An engine that lacks its model.
+/// An engine that hasn't loaded the model of its service.
 struct Unloaded {
     id: BoxId,
     incarnation: u64,
@@ -23,21 +24,23 @@
 }
 
 impl ModelLoads {
-    /// Orders what is missing, within the weight store's rate.
+    /// Orders the missing models, within the rate limit of the weight store.
     ///
-    /// An engine that checks no fence is ordered only once the lease is
-    /// `settled`: an earlier holder that was paused can't order any more.
+    /// `may_act` returns the fencing token while this daemon holds the duty's
+    /// lease. An engine that doesn't check fencing tokens gets an order only
+    /// once the lease is `settled`, that is, when an earlier lease holder that
+    /// was paused can't send orders any more.
     pub async fn step(&mut self, world: &World, may_act: &impl Fn() -> Option<u64>, settled: bool) {
-        for engine in unloaded(world) {
+        for engine in unloaded_engines(world) {
             let key = (engine.id.clone(), engine.incarnation);
             let ordered_ms = self.ordered.get(&key).copied().unwrap_or(0);
-            let waits = now_ms() < ordered_ms + PATIENCE_MS;
+            let waits = now_ms() < ordered_ms + ORDER_RETRY_MS;
             if waits || !(settled || engine.checks_fence) {
                 continue;
             }
             let model = engine.service.as_str();
             if world.borders.weights.pull(model).await.is_err() {
-                // The store's rate is used up: the others wait too.
+                // The rate limit of the weight store is reached: the remaining engines wait as well.
                 return;
             }
             let Some(fence) = may_act() else { return };
@@ -48,16 +51,16 @@
             };
             match world.borders.engine.order(engine.address, &order).await {
                 Ok(()) => {
-                    log::info!(target: "duties", "ordered a model. box={} model={model} fence={fence}", engine.id);
+                    log::info!(target: "duties", "model load ordered. box={} model={model} fence={fence}", engine.id);
                     self.ordered.insert(key, now_ms());
                 }
-                Err(e) => log::debug!(target: "duties", "an order failed. error=\"{e}\""),
+                Err(e) => log::debug!(target: "duties", "model load order failed. error=\"{e}\""),
             }
         }
     }
 }
 
-fn unloaded(world: &World) -> Vec<Unloaded> {
+fn unloaded_engines(world: &World) -> Vec<Unloaded> {
     let boxes = world.boxes.read();
     let stats = world.stats.lock();
     boxes
--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -6,51 +6,52 @@
     tokio::sync::mpsc,
 };
 
-/// The most requests in the table, kept answers and copies for others
-/// included, as a multiple of the most own requests.
-const MAX_HELD_FACTOR: usize = 8;
+/// Upper bound on the requests in the table, as a multiple of the configured
+/// maximum of own requests. Kept answers and copies for other boxes count too.
+const MAX_TABLE_FACTOR: usize = 8;
 
-/// What this daemon does for its peers.
+/// Serves the calls that other daemons send to this one.
 pub struct PeerService {
     world: Arc<World>,
 }
 
 impl PeerService {
-    /// Makes the desk.
+    /// Creates the service on the state of this daemon.
     pub fn new(world: Arc<World>) -> Self {
         Self { world }
     }
 
+    /// Stores a copy of a request that another box owns.
     fn hold(&self, s: Snapshot) -> PeerReply {
         let world = &self.world;
         if s.owner == world.me.id {
             return PeerReply::Refused("not for the owner itself".to_string());
         }
-        if world.requests.len() >= world.settings.requests.max_requests * MAX_HELD_FACTOR {
+        if world.requests.len() >= world.settings.requests.max_requests * MAX_TABLE_FACTOR {
             return PeerReply::Refused("full".to_string());
         }
         if world.leaves_at_ms().is_some() {
             return PeerReply::Refused("leaving".to_string());
         }
-        let record = record_of(
+        let record = record_from(
             &s,
             Role::Copy {
                 owner: s.owner.clone(),
             },
         );
-        let (cell, fresh) = world.requests.insert(record);
-        if fresh {
+        let (cell, inserted) = world.requests.insert(record);
+        if inserted {
             return PeerReply::Done;
         }
         if cell.read().spec.account != s.spec.account {
             return PeerReply::Refused("another account's".to_string());
         }
         let held = cell.change_owner(|r| {
-            if r.epoch > s.epoch || (r.epoch == s.epoch && !yields(r, &world.me.id, &s.owner)) {
+            if r.epoch > s.epoch || (r.epoch == s.epoch && !yields_to(r, &world.me.id, &s.owner)) {
                 return false;
             }
             let readers = r.readers;
-            *r = record_of(
+            *r = record_from(
                 &s,
                 Role::Copy {
                     owner: s.owner.clone(),
@@ -79,6 +80,7 @@
         PeerReply::Replicated(acks.collect())
     }
 
+    /// Appends tokens to a held copy, if the sender is its current owner.
     fn append(&self, from: &BoxId, a: CopyAppend) -> AckState {
         let Some(cell) = self.world.requests.get(a.request) else {
             return AckState::Unknown;
@@ -108,6 +110,7 @@
         })
     }
 
+    /// Becomes the owner of a request that its owner hands over.
     fn take_over(&self, t: TakeOver) -> PeerReply {
         let world = &self.world;
         if t.taker != world.me {
@@ -124,23 +127,23 @@
             return PeerReply::Refused("the right was taken before".to_string());
         }
         let s = t.snapshot;
-        let (cell, fresh) = world.requests.insert(record_of(&s, Role::Owner));
-        if !fresh {
+        let (cell, inserted) = world.requests.insert(record_from(&s, Role::Owner));
+        if !inserted {
             let taken = cell.change_owner(|r| {
                 if r.epoch >= s.epoch {
                     return false;
                 }
                 let readers = r.readers;
-                *r = record_of(&s, Role::Owner);
+                *r = record_from(&s, Role::Owner);
                 r.readers = readers;
                 true
             });
-            let doubled = !taken && {
+            let already_owned = !taken && {
                 let r = cell.read();
                 r.epoch == s.epoch && r.is_owner()
             };
-            if doubled {
-                // It runs already: a second run would commit its tokens twice.
+            if already_owned {
+                // The request runs here already: a second run would commit its tokens twice.
                 return PeerReply::Done;
             }
             if !taken {
@@ -151,6 +154,7 @@
         PeerReply::Done
     }
 
+    /// Returns the owner of a request of which `holder` has a copy, as far as this box knows.
     fn ownership(&self, holder: &BoxId, id: RequestId) -> Ownership {
         let Some(cell) = self.world.requests.get(id) else {
             return Ownership::Unknown;
@@ -177,25 +181,25 @@
     }
 }
 
-/// Whether a record makes room for another owner's copy of the same epoch.
+/// Returns true if this box replaces its record by a copy for another owner of the same epoch.
 ///
-/// One key can come in at two boxes at once. One of them yields: the one with
-/// the larger name, and only while it still looks for a holder itself and so
-/// has shown nothing. Yielding always leads to a smaller name or to a box that
-/// has its holder, so that it can't go in a circle.
-fn yields(r: &Record, me: &BoxId, owner: &BoxId) -> bool {
+/// The same key can be accepted by two boxes at once. The box with the larger
+/// id yields, and only while it still searches a holder for its copy and so has
+/// delivered no part of the answer. Ownership thus passes only to a smaller id
+/// or to a box that has its holder, so that boxes can't yield in a cycle.
+fn yields_to(r: &Record, me: &BoxId, owner: &BoxId) -> bool {
     match &r.role {
-        // The key was sent again after `not-run`, to another box.
+        // The client retried the key at another box after `not-run`.
         _ if r.is_not_run() => true,
         Role::Copy { owner: known } => known == owner,
         Role::Owner => r.holder == Holder::Searching && r.durable == 0 && owner < me,
-        // It gave way to this very owner, and can hold its copy.
+        // This box yielded to the same owner before, and can hold its copy.
         Role::Moved { to } => to == owner,
     }
 }
 
-/// Makes the record that a snapshot describes.
-fn record_of(s: &Snapshot, role: Role) -> Record {
+/// Builds a record from a snapshot.
+fn record_from(s: &Snapshot, role: Role) -> Record {
     let mut r = Record::new(Arc::new(s.spec.clone()), role, s.epoch, now_ms());
     r.tokens = s.tokens.clone();
     r.ending = s.ending.clone();
@@ -207,7 +211,8 @@
     r
 }
 
-/// Starts to run a request that this box owns from now on.
+/// Starts a request that this box now owns: finds a holder for its copy, and runs it unless it
+/// has ended.
 pub fn own(world: &Arc<World>, cell: &Arc<RequestCell>, right: Option<Claimant>) {
     let (world, cell) = (world.clone(), cell.clone());
     tokio::spawn(async move {
@@ -234,7 +239,7 @@
                 let all = requests.iter().map(|id| self.ownership(&holder, *id));
                 PeerReply::Ownership(all.collect())
             }
-            PeerCall::Heartbeat(news) => PeerReply::Heartbeat(take_news(&self.world, news)),
+            PeerCall::Heartbeat(payload) => PeerReply::Heartbeat(take_news(&self.world, payload)),
             PeerCall::Hold(s) => self.hold(s),
             PeerCall::Replicate { owner, appends } => self.replicate(&owner, appends),
             PeerCall::TakeOver(t) => self.take_over(*t),
@@ -248,12 +253,12 @@
         }
     }
 
-    async fn attach(&self, ask: Attach, tx: mpsc::Sender<AttachEvent>) {
-        let Some(cell) = self.world.requests.get(ask.request) else {
+    async fn attach(&self, query: Attach, tx: mpsc::Sender<AttachEvent>) {
+        let Some(cell) = self.world.requests.get(query.request) else {
             let _ = tx.send(AttachEvent::NotHere).await;
             return;
         };
-        if cell.read().spec.account != ask.account {
+        if cell.read().spec.account != query.account {
             let _ = tx.send(AttachEvent::NotYours).await;
             return;
         }
@@ -262,15 +267,16 @@
         if tx.send(AttachEvent::Spec(spec)).await.is_err() {
             return;
         }
-        send_answer(&cell, ask.from, tx).await;
+        send_answer(&cell, query.from, tx).await;
     }
 }
 
+/// Streams the answer from an offset on until it ends, moves to another box, or the reader leaves.
 async fn send_answer(cell: &RequestCell, from: usize, tx: mpsc::Sender<AttachEvent>) {
-    let mut at = from;
+    let mut position = from;
     let mut changed = cell.watch();
     loop {
-        let event = match next_step(cell, at) {
+        let event = match next_step(cell, position) {
             Step::Wait => {
                 tokio::select! {
                     _ = changed.changed() => continue,
@@ -278,8 +284,8 @@
                 }
             }
             Step::Tokens(tokens) => {
-                let offset = at;
-                at += tokens.len();
+                let offset = position;
+                position += tokens.len();
                 AttachEvent::Tokens { offset, tokens }
             }
             Step::Ending(ending) => AttachEvent::Ending(ending),
--- a/src/app/replacements.rs
+++ b/src/app/replacements.rs
@@ -4,14 +4,18 @@
     std::collections::BTreeSet,
 };
 
-/// Orders a box for each that is leaving.
+/// Orders a replacement for each upstream box that is leaving or gone.
 #[derive(Debug, Default)]
 pub struct Replacements {
+    /// Client tokens of the orders that were placed.
     done: BTreeSet<String>,
 }
 
 impl Replacements {
-    /// Orders what is missing; `may_act` is asked again before each order.
+    /// Orders the missing replacements.
+    ///
+    /// `may_act` returns the fencing token while this daemon holds the duty's
+    /// lease; it is called again before each order.
     pub async fn step(&mut self, world: &World, may_act: &impl Fn() -> Option<u64>) {
         for b in lost_upstreams(world) {
             let token = format!("replace-{}-{}", b.id, b.incarnation);
@@ -24,10 +28,11 @@
         }
     }
 
-    /// Orders a replacement: of the same class, or on-demand where that is refused.
+    /// Orders a replacement of the same class, or an on-demand box if that class is refused.
     ///
-    /// The token is the same whoever orders, so that an order whose answer was
-    /// lost, and is given again by this or the next holder, is taken once.
+    /// Returns true if the order was accepted. The client token depends only on
+    /// the lost box, so that the cloud API accepts the order once even if its
+    /// answer is lost and this or the next holder of the lease repeats it.
     async fn order(
         &self,
         world: &World,
@@ -51,21 +56,23 @@
                 }
                 Err(PlatformError::Refused) => {}
                 Err(e) => {
-                    log::debug!(target: "duties", "an order failed. error=\"{e}\"");
-                    return self.is_taken(world, token).await;
+                    log::debug!(target: "duties", "box order failed. error=\"{e}\"");
+                    return self.is_accepted(world, token).await;
                 }
             }
         }
         false
     }
 
-    /// An order whose answer was lost is settled by the list of orders.
-    async fn is_taken(&self, world: &World, token: &str) -> bool {
+    /// Looks an order whose answer was lost up in the list of accepted orders.
+    async fn is_accepted(&self, world: &World, token: &str) -> bool {
         let orders = world.borders.cloud.orders().await;
         orders.is_ok_and(|o| o.iter().any(|o| o.client_token == token))
     }
 }
 
+/// Returns the upstreams of this failure domain that are leaving or gone, and left in the last 10
+/// minutes or leave later.
 fn lost_upstreams(world: &World) -> Vec<BoxFact> {
     let recent = now_ms().saturating_sub(600_000);
     let boxes = world.boxes.read();
--- a/src/app/replicate.rs
+++ b/src/app/replicate.rs
@@ -6,25 +6,26 @@
     tokio::sync::mpsc,
 };
 
-/// Requests in one message.
+/// Upper bound on the requests in one message.
 const MAX_BATCH: usize = 512;
-/// Tokens of one request in one message.
+/// Upper bound on the tokens of one request in one message.
 const MAX_TOKENS: usize = 4_096;
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Failed sends in a row after which the holder is taken as lost.
+/// Consecutive failed sends after which the holder counts as lost.
 const MAX_FAILURES: u32 = 2;
 
-/// One sender for each box that holds copies for this one.
+/// The senders to the boxes that hold copies of this box's requests, one per box.
 ///
-/// A sender has one message on its way at a time; what comes meanwhile goes
-/// into the next one, so that messages grow with the load and not in number.
+/// A sender has one message in flight at a time. Changes that occur meanwhile
+/// are batched into the next message, so that under load the messages grow in
+/// size and not in number.
 #[derive(Debug, Default)]
 pub struct Replicators {
     senders: Mutex<HashMap<BoxId, mpsc::UnboundedSender<Arc<RequestCell>>>>,
 }
 
 impl Replicators {
-    /// Marks a request as having news for its copy.
+    /// Queues a request whose copy is behind.
     pub fn mark(&self, world: &Arc<World>, cell: &Arc<RequestCell>) {
         let holder = match &cell.read().holder {
             Holder::At(holder) => holder.clone(),
@@ -42,12 +43,13 @@
         let _ = tx.send(cell.clone());
     }
 
-    /// Ends the senders to boxes that are gone.
+    /// Stops the senders to the boxes for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&BoxId) -> bool) {
         self.senders.lock().retain(|id, _| keep(id));
     }
 }
 
+/// Sends queued changes to one holder until the sender is stopped.
 async fn send_to(
     world: Arc<World>,
     holder: BoxId,
@@ -68,18 +70,20 @@
         match world.call_box(&holder, &call, REPLICATE_TIMEOUT).await {
             Ok(PeerReply::Replicated(acks)) => {
                 failures = 0;
-                apply(&world, &cells, &holder, acks);
+                apply_acks(&world, &cells, &holder, acks);
             }
             _ => {
                 failures += 1;
-                retry_or_leave(&world, &cells, &holder, failures).await;
+                retry_or_replace_holder(&world, &cells, &holder, failures).await;
             }
         }
         cells.clear();
     }
 }
 
-async fn retry_or_leave(
+/// Queues the requests again after a failed send, or looks for another holder after
+/// `MAX_FAILURES`.
+async fn retry_or_replace_holder(
     world: &Arc<World>,
     cells: &[Arc<RequestCell>],
     holder: &BoxId,
@@ -92,7 +96,7 @@
         }
         return;
     }
-    log::info!(target: "replicate", "a holder is lost. box={holder} requests={}", cells.len());
+    log::info!(target: "replicate", "copy holder lost. box={holder} requests={}", cells.len());
     for cell in cells {
         hold_again(world, cell, Some(holder.clone()));
     }
@@ -107,20 +111,21 @@
             continue;
         }
         let end = r.tokens.len().min(r.durable + MAX_TOKENS);
-        let whole = end == r.tokens.len();
+        let is_up_to_date = end == r.tokens.len();
         appends.push(CopyAppend {
             request: cell.id(),
             epoch: r.epoch,
             offset: r.durable,
             tokens: r.tokens[r.durable..end].to_vec(),
-            ending: r.ending.clone().filter(|_| whole),
+            ending: r.ending.clone().filter(|_| is_up_to_date),
             upstream: r.upstream.clone(),
         });
     }
     appends
 }
 
-fn apply(world: &Arc<World>, cells: &[Arc<RequestCell>], holder: &BoxId, acks: Vec<Ack>) {
+/// Applies a holder's acknowledgements to the requests.
+fn apply_acks(world: &Arc<World>, cells: &[Arc<RequestCell>], holder: &BoxId, acks: Vec<Ack>) {
     let by_id: HashMap<RequestId, &Arc<RequestCell>> = cells.iter().map(|c| (c.id(), c)).collect();
     for ack in acks {
         let Some(cell) = by_id.get(&ack.request) else {
@@ -142,9 +147,10 @@
     }
 }
 
-/// Another box owns the request: this one stops. `told_by` is who said so.
+/// Gives up ownership of a request that another box owns. `told_by` is the box that reported
+/// the other owner.
 pub fn yield_ownership(cell: &RequestCell, told_by: &BoxId, owner: BoxId) {
-    log::warn!(target: "replicate", "superseded. request={} by={owner} told_by={told_by}", cell.id());
+    log::warn!(target: "replicate", "ownership superseded. request={} by={owner} told_by={told_by}", cell.id());
     cell.change_owner(|r| {
         if r.is_owner() {
             r.role = Role::Moved { to: owner };
--- a/src/app/run_model.rs
+++ b/src/app/run_model.rs
@@ -8,31 +8,32 @@
 
 const BACKOFF_BASE_MS: u64 = 50;
 const BACKOFF_CAP_MS: u64 = 2_000;
-/// An attempt that says nothing for this long has stalled.
-const STALL: Duration = Duration::from_millis(3_000);
-/// How long an attempt may take to its first token, beyond the target's tenfold.
-const FIRST_STALL: Duration = Duration::from_millis(5_000);
-/// How long to wait for an upstream when there is none.
-const NO_PLACE_PAUSE_MS: u64 = 200;
+/// Time without a frame after which an attempt that has brought tokens counts as stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Time without a frame after which an attempt counts as stalled before its first token, in
+/// addition to ten times the target for the first token.
+const FIRST_TOKEN_STALL_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Pause before the search for an upstream is repeated, in milliseconds.
+const NO_UPSTREAM_PAUSE_MS: u64 = 200;
 
-/// How an attempt ended.
+/// The outcome of one attempt at one upstream.
 #[derive(Debug)]
-enum AttemptEnd {
-    /// The answer is whole.
-    Whole,
-    /// The request is not this box's any more, or nobody wants it.
-    Stop,
-    /// The deadline passed.
+enum AttemptOutcome {
+    /// The answer is complete.
+    Complete,
+    /// This box doesn't own the request any more, or the request has ended.
+    Stopped,
+    /// The request's deadline passed.
     Expired,
-    /// It was told to go on elsewhere.
+    /// An order moved the request away from the upstream, to the named one if there is one.
     Moved(Option<BoxId>),
     /// The answer was cut off or stalled.
-    Lost,
-    /// It was refused or not reached.
+    Interrupted,
+    /// The upstream refused the attempt or wasn't reached.
     Refused(EngineError),
 }
 
-/// One model request on its way through attempts.
+/// The state of one model request across its attempts.
 struct ModelRun<'a> {
     world: &'a Arc<World>,
     cell: &'a Arc<RequestCell>,
@@ -41,10 +42,14 @@
     splice: Splice,
     rng: ChaCha8Rng,
     orders: watch::Receiver<MoveOrder>,
+    /// Upstreams that aren't chosen for the next attempt.
     exclude: BTreeSet<BoxId>,
+    /// Retries after refusals.
     retries: u32,
-    losses: u32,
+    /// Attempts that were interrupted.
+    interruptions: u32,
     attempts: u32,
+    /// True if an upstream may have started the request.
     started: bool,
     score: RunScore,
 }
@@ -64,46 +69,47 @@
         orders: cell.orders(),
         exclude: BTreeSet::new(),
         retries: 0,
-        losses: 0,
+        interruptions: 0,
         attempts: 0,
         started: committed > 0 || epoch > 1,
         score: RunScore::new(&spec),
         spec,
     };
-    run.go().await;
+    run.run_attempts().await;
 }
 
 impl ModelRun<'_> {
-    async fn go(&mut self) {
-        let mut next = self.first_place();
+    /// Makes attempts until the request ends or moves to another box.
+    async fn run_attempts(&mut self) {
+        let mut next = self.prior_upstream();
         loop {
-            if let Some(end) = self.over() {
-                return self.finish(end);
+            if let Some(ending) = self.expired() {
+                return self.finish(ending);
             }
-            let place = match next.take().or_else(|| self.choose()) {
-                Some(place) => place,
+            let upstream = match next.take().or_else(|| self.choose()) {
+                Some(upstream) => upstream,
                 None => {
-                    if self.no_place().await {
+                    if self.await_upstream().await {
                         return;
                     }
                     continue;
                 }
             };
-            match self.attempt(&place).await {
-                AttemptEnd::Whole => {
+            match self.attempt(&upstream).await {
+                AttemptOutcome::Complete => {
                     let total = self.splice.committed();
                     return self.finish(Ending::Whole { total });
                 }
-                AttemptEnd::Stop => return,
-                AttemptEnd::Expired => {}
-                AttemptEnd::Moved(to) => next = to.and_then(|id| self.place_of(&id)),
-                AttemptEnd::Lost if !self.world.settings.trial.resume => {
+                AttemptOutcome::Stopped => return,
+                AttemptOutcome::Expired => {}
+                AttemptOutcome::Moved(to) => next = to.and_then(|id| self.live_upstream(&id)),
+                AttemptOutcome::Interrupted if !self.world.settings.trial.resume => {
                     let failure = Failure::new(Outcome::MayHaveRun, "the answer was cut off", 0);
                     return self.finish(Ending::Failed(failure));
                 }
-                AttemptEnd::Lost => self.after_loss(&place).await,
-                AttemptEnd::Refused(e) => {
-                    if !self.after_refusal(&place, e).await {
+                AttemptOutcome::Interrupted => self.after_interruption(&upstream).await,
+                AttemptOutcome::Refused(e) => {
+                    if !self.after_refusal(&upstream, e).await {
                         return;
                     }
                 }
@@ -111,13 +117,13 @@
         }
     }
 
-    /// A request that was taken over goes on at its upstream, which may still run it.
-    fn first_place(&self) -> Option<Place> {
+    /// Returns the upstream of a request that was taken over, which may still run it.
+    fn prior_upstream(&self) -> Option<Place> {
         let id = self.cell.read().upstream.clone()?;
-        self.place_of(&id)
+        self.live_upstream(&id)
     }
 
-    fn place_of(&self, id: &BoxId) -> Option<Place> {
+    fn live_upstream(&self, id: &BoxId) -> Option<Place> {
         let boxes = self.world.boxes.read();
         let b = boxes.get(id)?;
         (b.state == BoxState::Live).then(|| Place::of(b))
@@ -134,7 +140,8 @@
         )
     }
 
-    fn over(&self) -> Option<Ending> {
+    /// Returns the ending of a request whose deadline has passed.
+    fn expired(&self) -> Option<Ending> {
         if now_ms() < self.spec.deadline_ms {
             return None;
         }
@@ -150,63 +157,64 @@
         )))
     }
 
-    /// Without a place here the request goes to a failure domain that has one.
+    /// Moves the request to another failure domain if no upstream here can take it, or else waits.
     ///
-    /// Returns whether this box is done with it.
-    async fn no_place(&mut self) -> bool {
+    /// Returns true if this box has nothing more to do for the request.
+    async fn await_upstream(&mut self) -> bool {
         if self.is_stopped() {
             return true;
         }
         if move_to_other_domain(self.world, self.cell).await {
             return true;
         }
-        // Each place here was tried: they may be tried again.
+        // Every upstream here was tried: lets them all be tried again.
         self.exclude.clear();
-        let pause = NO_PLACE_PAUSE_MS.min(self.left_ms());
+        let pause = NO_UPSTREAM_PAUSE_MS.min(self.remaining_ms());
         tokio::time::sleep(Duration::from_millis(pause)).await;
         false
     }
 
-    async fn attempt(&mut self, place: &Place) -> AttemptEnd {
+    /// Makes one attempt, and cancels it at the upstream if it ended early.
+    async fn attempt(&mut self, upstream: &Place) -> AttemptOutcome {
         self.orders.mark_unchanged();
-        if *self.orders.borrow() == self.leave_order(place) {
-            self.exclude.insert(place.id.clone());
+        if *self.orders.borrow() == self.leave_order(upstream) {
+            self.exclude.insert(upstream.id.clone());
         }
         let attempt = self.splice.next_attempt();
         self.attempts += 1;
-        self.cell.change(|r| r.upstream = Some(place.id.clone()));
-        let in_flight = InFlight::start(self.world, place);
-        let opened = self.open(place, attempt).await;
+        self.cell.change(|r| r.upstream = Some(upstream.id.clone()));
+        let in_flight = InFlight::start(self.world, upstream);
+        let opened = self.open(upstream, attempt).await;
         let end = match opened {
             Ok(frames) => {
                 self.started = true;
-                self.pump(place, attempt, frames).await
+                self.read_frames(upstream, attempt, frames).await
             }
-            Err(e) => AttemptEnd::Refused(e),
+            Err(e) => AttemptOutcome::Refused(e),
         };
         self.score.cost_micros += in_flight.cost_micros();
         if matches!(
             end,
-            AttemptEnd::Stop | AttemptEnd::Moved(_) | AttemptEnd::Expired
+            AttemptOutcome::Stopped | AttemptOutcome::Moved(_) | AttemptOutcome::Expired
         ) {
-            self.cancel(place);
+            self.cancel(upstream);
         }
         end
     }
 
-    fn leave_order(&self, place: &Place) -> MoveOrder {
+    fn leave_order(&self, upstream: &Place) -> MoveOrder {
         MoveOrder::Leave {
-            from: place.id.clone(),
+            from: upstream.id.clone(),
             to: None,
         }
     }
 
-    async fn open(&self, place: &Place, attempt: u32) -> Result<Frames, EngineError> {
+    async fn open(&self, upstream: &Place, attempt: u32) -> Result<Frames, EngineError> {
         let generated = self.cell.read().tokens.clone();
         let Some(work) = self.spec.model() else {
             return Err(EngineError::CutOff);
         };
-        let ask = CompletionRequest {
+        let request = CompletionRequest {
             request_id: self.spec.id.uuid(),
             attempt,
             prompt: &work.prompt,
@@ -214,61 +222,71 @@
             max_tokens: work.max_tokens as usize,
             priority: self.spec.terms.priority,
         };
-        self.world.borders.engine.complete(place.address, ask).await
+        self.world
+            .borders
+            .engine
+            .complete(upstream.address, request)
+            .await
     }
 
-    async fn pump(&mut self, place: &Place, attempt: u32, mut frames: Frames) -> AttemptEnd {
+    /// Reads the answer until the attempt ends.
+    async fn read_frames(
+        &mut self,
+        upstream: &Place,
+        attempt: u32,
+        mut frames: Frames,
+    ) -> AttemptOutcome {
         let opened_ms = now_ms();
-        let mut owners = self.cell.watch_owner();
+        let mut owner_changes = self.cell.watch_owner();
         let first = Duration::from_millis(u64::from(self.spec.terms.first_token_ms) * 10);
-        let mut max_wait = FIRST_STALL + first;
-        let expiry = tokio::time::sleep(Duration::from_millis(self.left_ms()));
+        let mut max_wait = FIRST_TOKEN_STALL_TIMEOUT + first;
+        let expiry = tokio::time::sleep(Duration::from_millis(self.remaining_ms()));
         tokio::pin!(expiry);
         let stall = tokio::time::sleep(max_wait);
         tokio::pin!(stall);
-        let mut heard = Instant::now();
+        let mut last_frame_at = Instant::now();
         loop {
             tokio::select! {
                 frame = frames.recv() => match frame {
                     Some(Ok(frame)) => {
-                        heard = Instant::now();
-                        if self.take(place, attempt, frame, opened_ms) {
-                            max_wait = STALL;
+                        last_frame_at = Instant::now();
+                        if self.take_frame(upstream, attempt, frame, opened_ms) {
+                            max_wait = STALL_TIMEOUT;
                         }
                         if self.splice.is_complete() {
-                            return AttemptEnd::Whole;
+                            return AttemptOutcome::Complete;
                         }
                     }
-                    _ => return AttemptEnd::Lost,
+                    _ => return AttemptOutcome::Interrupted,
                 },
                 Ok(()) = self.orders.changed() => {
                     let order = self.orders.borrow().clone();
-                    if let MoveOrder::Leave { from, to } = order && from == place.id {
+                    if let MoveOrder::Leave { from, to } = order && from == upstream.id {
                         self.exclude.insert(from);
-                        return AttemptEnd::Moved(to);
+                        return AttemptOutcome::Moved(to);
                     }
                 }
-                _ = owners.changed() => {
+                _ = owner_changes.changed() => {
                     if self.is_stopped() {
-                        return AttemptEnd::Stop;
+                        return AttemptOutcome::Stopped;
                     }
                 }
-                () = &mut expiry => return AttemptEnd::Expired,
+                () = &mut expiry => return AttemptOutcome::Expired,
                 () = &mut stall => {
-                    // The timer is set again when it fires, not with every frame.
-                    if heard.elapsed() >= max_wait {
-                        return AttemptEnd::Lost;
+                    // The timer is reset when it fires, not with every frame.
+                    if last_frame_at.elapsed() >= max_wait {
+                        return AttemptOutcome::Interrupted;
                     }
-                    stall.as_mut().reset(heard + max_wait);
+                    stall.as_mut().reset(last_frame_at + max_wait);
                 }
             }
         }
     }
 
-    /// Takes a frame; returns whether it brought tokens.
-    fn take(
+    /// Processes a frame; returns true if it brought new tokens.
+    fn take_frame(
         &mut self,
-        place: &Place,
+        upstream: &Place,
         attempt: u32,
         frame: CompletionFrame,
         opened_ms: u64,
@@ -277,7 +295,7 @@
             return false;
         }
         if let Some(usage) = frame.usage {
-            self.note_usage(place, usage);
+            self.record_usage(upstream, usage);
         }
         let first = self.splice.committed() == 0;
         let tokens = self.splice.take(AnswerChunk {
@@ -290,16 +308,16 @@
             return false;
         }
         let now = now_ms();
-        self.score.tokens(tokens.len(), now);
+        self.score.record_tokens(tokens.len(), now);
         if first && attempt == 1 {
-            self.note_first(place, now - opened_ms);
+            self.record_first_token(upstream, now - opened_ms);
         }
         let still_owner = self.cell.change(|r| {
-            let mine = r.is_owner() && r.epoch == self.epoch;
-            if mine {
+            let is_owner = r.is_owner() && r.epoch == self.epoch;
+            if is_owner {
                 r.commit(tokens);
             }
-            mine
+            is_owner
         });
         if still_owner {
             self.world.replicators.mark(self.world, self.cell);
@@ -307,27 +325,27 @@
         true
     }
 
-    fn note_usage(&mut self, place: &Place, usage: EngineUsage) {
+    fn record_usage(&mut self, upstream: &Place, usage: EngineUsage) {
         let computed = u64::from(usage.prompt_tokens.saturating_sub(usage.cached_tokens));
         if self.attempts > 1 || self.epoch > 1 {
             self.cell.change(|r| r.recomputed += computed);
             metrics::counter!("saddlepulley_recomputed_tokens_total").increment(computed);
         }
-        self.score.computed += computed;
+        self.score.computed_tokens += computed;
         let Some(work) = self.spec.model() else {
             return;
         };
         let hashes = prefix_hashes(&work.prompt);
-        self.world.hints.lock().stored(&place.id, &hashes);
+        self.world.hints.lock().stored(&upstream.id, &hashes);
     }
 
-    /// The adaptive limit learns from the time to the first token, less the
-    /// request's own prefill.
-    fn note_first(&self, place: &Place, ms: u64) {
+    /// Gives the time to the first token, without the request's own prefill, to the upstream's
+    /// adaptive concurrency limit as a sample.
+    fn record_first_token(&self, upstream: &Place, ms: u64) {
         let mut stats = self.world.stats.lock();
-        let s = stats.of(&place.id);
+        let s = stats.of(&upstream.id);
         let rate = s.load.as_ref().map_or(f64::MAX, |l| l.prefill_tokens_per_s);
-        let prefill_ms = self.score.computed as f64 / rate.max(1.0) * 1_000.0;
+        let prefill_ms = self.score.computed_tokens as f64 / rate.max(1.0) * 1_000.0;
         let in_flight = s.in_flight;
         s.limit.sample((ms as f64 - prefill_ms).max(1.0), in_flight);
     }
@@ -337,33 +355,40 @@
         !r.is_owner() || r.epoch != self.epoch || r.is_ended()
     }
 
-    /// An answer that was cut off goes on elsewhere. This costs no retry budget:
-    /// the request was accepted, and its upstream is gone, not overloaded.
-    async fn after_loss(&mut self, place: &Place) {
-        self.exclude.insert(place.id.clone());
-        let ms = full_jitter_ms(self.losses, BACKOFF_BASE_MS, BACKOFF_CAP_MS, &mut self.rng);
-        self.losses += 1;
-        tokio::time::sleep(Duration::from_millis(ms.min(self.left_ms()))).await;
+    /// Prepares the next attempt after an interrupted one, at another upstream.
+    ///
+    /// This takes nothing from the retry budget: the request was accepted, and
+    /// its upstream is gone, not overloaded.
+    async fn after_interruption(&mut self, upstream: &Place) {
+        self.exclude.insert(upstream.id.clone());
+        let ms = full_jitter_ms(
+            self.interruptions,
+            BACKOFF_BASE_MS,
+            BACKOFF_CAP_MS,
+            &mut self.rng,
+        );
+        self.interruptions += 1;
+        tokio::time::sleep(Duration::from_millis(ms.min(self.remaining_ms()))).await;
     }
 
-    /// Returns whether to go on.
-    async fn after_refusal(&mut self, place: &Place, e: EngineError) -> bool {
+    /// Handles a refused attempt; returns true if another attempt may follow.
+    async fn after_refusal(&mut self, upstream: &Place, e: EngineError) -> bool {
         self.started |= !e.is_not_run();
         if e.is_not_connected() {
-            avoid(self.world, place);
-            self.exclude.insert(place.id.clone());
+            avoid(self.world, upstream);
+            self.exclude.insert(upstream.id.clone());
             return true;
         }
         if e.is_cut_off() {
-            self.after_loss(place).await;
+            self.after_interruption(upstream).await;
             return true;
         }
-        self.world.stats.lock().of(&place.id).limit.refused();
+        self.world.stats.lock().of(&upstream.id).limit.refused();
         let style = placement(&self.spec.policy).retry_style();
         if style == RetryStyle::Immediate || !self.world.settings.trial.budget {
             return true;
         }
-        self.exclude.insert(place.id.clone());
+        self.exclude.insert(upstream.id.clone());
         if !spend_retry(self.world, &self.spec) {
             let outcome = if self.started {
                 Outcome::MayHaveRun
@@ -376,27 +401,28 @@
         }
         let ms = full_jitter_ms(self.retries, BACKOFF_BASE_MS, BACKOFF_CAP_MS, &mut self.rng);
         self.retries += 1;
-        tokio::time::sleep(Duration::from_millis(ms.min(self.left_ms()))).await;
+        tokio::time::sleep(Duration::from_millis(ms.min(self.remaining_ms()))).await;
         true
     }
 
-    fn cancel(&self, place: &Place) {
+    /// Cancels the attempt at the upstream in the background.
+    fn cancel(&self, upstream: &Place) {
         let naive = self.spec.policy.as_str() == NaivePlacement::NAME;
         if naive || !self.world.settings.trial.cancel {
             return;
         }
-        // The box that took the request over may go on reading at this upstream.
+        // The box that took over the request may continue to read the answer of this upstream.
         if matches!(self.cell.read().role, Role::Moved { .. }) {
             return;
         }
         let engine = self.world.borders.engine.clone();
-        let (address, id) = (place.address, self.spec.id.uuid());
+        let (address, id) = (upstream.address, self.spec.id.uuid());
         tokio::spawn(async move {
             let _ = engine.cancel(address, id).await;
         });
     }
 
-    fn left_ms(&self) -> u64 {
+    fn remaining_ms(&self) -> u64 {
         self.spec.deadline_ms.saturating_sub(now_ms())
     }
 
@@ -405,7 +431,7 @@
     }
 }
 
-/// Ends a request that this box owns, and notes how its policy did.
+/// Ends a request that this box owns, and records its figures under its placement policy.
 pub fn finish(world: &Arc<World>, cell: &Arc<RequestCell>, ending: Ending, score: &RunScore) {
     let (ended, recomputed) =
         cell.change_owner(|r| (r.end(ending.clone(), now_ms()), r.recomputed));
--- a/src/app/run_plain.rs
+++ b/src/app/run_plain.rs
@@ -13,16 +13,17 @@
 
 const BACKOFF_BASE_MS: u64 = 20;
 const BACKOFF_CAP_MS: u64 = 1_000;
-/// How often a call that was refused before its start is sent elsewhere.
-const MAX_NOT_RUN: u32 = 8;
+/// Upper bound on the attempts for a call that may run only once. A further attempt follows only
+/// an attempt that was refused before its start.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// How one call ended.
-enum CallEnd {
+/// The outcome of one call to an upstream.
+enum CallOutcome {
     Answer(Ending),
     Failed(EngineError),
 }
 
-/// Runs a call to a plain service, or a model request that may not be repeated.
+/// Runs a call to a plain service, or a model request that isn't repeatable.
 pub async fn run_plain(world: &Arc<World>, cell: &Arc<RequestCell>, right: Option<Claimant>) {
     let spec = cell.spec();
     if !cell.read().is_owner() {
@@ -44,7 +45,7 @@
     run_once(world, cell, claimant).await;
 }
 
-/// A repeatable call: each failure may be tried again within the budget.
+/// Runs a repeatable call: each failure may be retried within the retry budget.
 async fn run_repeatable(world: &Arc<World>, cell: &Arc<RequestCell>) {
     let spec = cell.spec();
     let mut score = RunScore::new(&spec);
@@ -59,27 +60,27 @@
         if now_ms() >= spec.deadline_ms {
             break expired(may_have_run);
         }
-        let Some(place) = choose(world, &spec, 0, &exclude, &mut rng) else {
+        let Some(upstream) = choose(world, &spec, 0, &exclude, &mut rng) else {
             if exclude.is_empty() {
-                break Failure::new(not_run_if(!may_have_run), "no upstream", 1_000);
+                break Failure::new(not_run_or_unknown(!may_have_run), "no upstream", 1_000);
             }
             exclude.clear();
             continue;
         };
-        let e = match call(world, cell, &place, None, &mut score).await {
-            CallEnd::Answer(ending) => return finish(world, cell, ending, &score),
-            CallEnd::Failed(e) => e,
+        let e = match call(world, cell, &upstream, None, &mut score).await {
+            CallOutcome::Answer(ending) => return finish(world, cell, ending, &score),
+            CallOutcome::Failed(e) => e,
         };
         may_have_run |= !e.is_not_run();
-        record_failure(world, &place, &e);
-        exclude.insert(place.id.clone());
+        record_failure(world, &upstream, &e);
+        exclude.insert(upstream.id.clone());
         let immediate = placement(&spec.policy).retry_style() == RetryStyle::Immediate;
         if immediate || e.is_not_connected() {
             continue;
         }
         if !spend_retry(world, &spec) {
             let detail = format!("no retry is left: {e}");
-            break Failure::new(not_run_if(!may_have_run), detail, 1_000);
+            break Failure::new(not_run_or_unknown(!may_have_run), detail, 1_000);
         }
         let ms = full_jitter_ms(retries, BACKOFF_BASE_MS, BACKOFF_CAP_MS, &mut rng);
         retries += 1;
@@ -88,41 +89,42 @@
     finish(world, cell, Ending::Failed(failure), &score);
 }
 
-/// A call that may run once: only a failure that proves it did not start lets
-/// it be sent to another upstream.
+/// Runs a call that may run only once: it is sent to another upstream only after a failure that
+/// proves that it did not start.
 async fn run_once(world: &Arc<World>, cell: &Arc<RequestCell>, mut claimant: Claimant) {
     let spec = cell.spec();
     let mut score = RunScore::new(&spec);
     let mut rng = world.fork_rng();
     let mut exclude = BTreeSet::new();
-    for _ in 0..MAX_NOT_RUN {
+    for _ in 0..MAX_ATTEMPTS {
         let usable = cell.read().is_owner() && now_ms() < spec.deadline_ms;
-        let place = choose(world, &spec, 0, &exclude, &mut rng).filter(|_| usable);
-        let Some(place) = place else { break };
+        let upstream = choose(world, &spec, 0, &exclude, &mut rng).filter(|_| usable);
+        let Some(upstream) = upstream else { break };
         let ClaimantState::Holds(right) = claimant.state().clone() else {
             break;
         };
         let ClaimCommand::Dispatch(fence) = claimant.dispatch() else {
             break;
         };
-        let e = match call(world, cell, &place, Some(fence), &mut score).await {
-            CallEnd::Answer(ending) => return finish(world, cell, ending, &score),
-            CallEnd::Failed(e) => e,
+        let e = match call(world, cell, &upstream, Some(fence), &mut score).await {
+            CallOutcome::Answer(ending) => return finish(world, cell, ending, &score),
+            CallOutcome::Failed(e) => e,
         };
-        record_failure(world, &place, &e);
+        record_failure(world, &upstream, &e);
         if !e.is_not_run() {
             let failure = Failure::new(Outcome::MayHaveRun, e.to_string(), 0);
             return finish(world, cell, Ending::Failed(failure), &score);
         }
         claimant.not_started(right);
-        exclude.insert(place.id.clone());
+        exclude.insert(upstream.id.clone());
     }
     world.claims.give_up(&mut claimant);
     let failure = Failure::new(Outcome::NotRun, "no upstream took the call", 1_000);
     finish(world, cell, Ending::Failed(failure), &score);
 }
 
-/// Claims the request; ends it here if another box has the right or the log is down.
+/// Claims the right to run the request; ends the request here if another box holds that right or
+/// the log is unreachable.
 async fn claim_or_end(world: &Arc<World>, cell: &Arc<RequestCell>) -> Option<Claimant> {
     let spec = cell.spec();
     let key = ClaimKey {
@@ -135,7 +137,7 @@
     match claim(world, &key).await {
         ClaimEnd::Holds(claimant) => Some(claimant),
         ClaimEnd::Lost(by) => {
-            give_to_claimer(world, cell, &key, by).await;
+            yield_to_claimant(world, cell, &key, by).await;
             None
         }
         ClaimEnd::GivenUp => {
@@ -147,7 +149,7 @@
     }
 }
 
-/// A right that nobody agreed to, for trials without claims.
+/// Returns a claim that isn't in the log, for trials without claims.
 fn unclaimed(world: &World, key: ClaimKey) -> Claimant {
     let nonce = uuid::Uuid::new_v4();
     let mut claims = KeyClaims::default();
@@ -157,8 +159,10 @@
     claimant
 }
 
-/// Without the log nobody here knows whether the key ran elsewhere: it did not
-/// if none of the boxes that would hold its copy knows of another owner.
+/// Returns the outcome of a request whose claim could not be written to the log.
+///
+/// The request did not run elsewhere if none of the boxes that would hold its
+/// copy knows of another owner.
 async fn outcome_without_log(world: &World, id: RequestId) -> Outcome {
     match locate(world, id, 0).await {
         Found::At(owner) if owner == world.me.id => Outcome::NotRun,
@@ -167,15 +171,15 @@
     }
 }
 
-/// The request belongs to the box whose claim was first: its answer is read there.
-async fn give_to_claimer(
+/// Leaves the request to the box whose claim was first; the answer is read from that box.
+async fn yield_to_claimant(
     world: &Arc<World>,
     cell: &Arc<RequestCell>,
     key: &ClaimKey,
     by: BoxIncarnation,
 ) {
     let failure = if by.id == world.me.id {
-        // An earlier life of this box claimed it; nobody can tell how far it came.
+        // An earlier incarnation of this box claimed the request; how far it ran is unknown.
         Failure::new(Outcome::MayHaveRun, "the box that had the right is gone", 0)
     } else if given_up_elsewhere(world, key, &by).await {
         Failure::new(Outcome::NotRun, "another box gave the request up", 500)
@@ -191,56 +195,58 @@
     );
 }
 
+/// Returns true if the box that holds the claim answers that it gave the request up.
 async fn given_up_elsewhere(world: &World, key: &ClaimKey, by: &BoxIncarnation) -> bool {
-    let ask = crate::peer::PeerCall::AskClaim(key.clone());
+    let query = crate::peer::PeerCall::AskClaim(key.clone());
     let reply = world
-        .call_box(&by.id, &ask, Duration::from_millis(800))
+        .call_box(&by.id, &query, Duration::from_millis(800))
         .await;
     matches!(reply, Ok(crate::peer::PeerReply::Refused(_)))
 }
 
+/// Sends the request to one upstream, and adds the cost to the score.
 async fn call(
     world: &Arc<World>,
     cell: &Arc<RequestCell>,
-    place: &Place,
+    upstream: &Place,
     fence: Option<u64>,
     score: &mut RunScore,
-) -> CallEnd {
+) -> CallOutcome {
     let spec = cell.spec();
-    cell.change(|r| r.upstream = Some(place.id.clone()));
-    let in_flight = InFlight::start(world, place);
-    let left = Duration::from_millis(spec.deadline_ms.saturating_sub(now_ms()));
+    cell.change(|r| r.upstream = Some(upstream.id.clone()));
+    let in_flight = InFlight::start(world, upstream);
+    let remaining = Duration::from_millis(spec.deadline_ms.saturating_sub(now_ms()));
     let end = match &spec.work {
         Work::Plain(call) => {
             let headers = headers_of(&spec, fence);
             let answer = world
                 .borders
                 .plain
-                .call(place.address, call, headers, left)
+                .call(upstream.address, call, headers, remaining)
                 .await;
             match answer {
-                Ok(answer) => CallEnd::Answer(Ending::Plain(answer)),
-                Err(e) => CallEnd::Failed(e),
+                Ok(answer) => CallOutcome::Answer(Ending::Plain(answer)),
+                Err(e) => CallOutcome::Failed(e),
             }
         }
-        Work::Model(work) => run_model_once(world, cell, place, work, left).await,
+        Work::Model(work) => run_model_once(world, cell, upstream, work, remaining).await,
     };
     score.cost_micros += in_flight.cost_micros();
-    score.tokens(1, now_ms());
+    score.record_tokens(1, now_ms());
     end
 }
 
-/// A model request that may not be repeated: one attempt, no resume.
+/// Runs a model request that isn't repeatable: one attempt, without resuming an interrupted answer.
 async fn run_model_once(
     world: &Arc<World>,
     cell: &Arc<RequestCell>,
-    place: &Place,
+    upstream: &Place,
     work: &ModelWork,
-    left: Duration,
-) -> CallEnd {
+    remaining: Duration,
+) -> CallOutcome {
     let mut splice = Splice::default();
     let attempt = splice.next_attempt();
-    let ask = CompletionRequest {
+    let request = CompletionRequest {
         request_id: cell.id().uuid(),
         attempt,
         prompt: &work.prompt,
@@ -248,12 +254,17 @@
         max_tokens: work.max_tokens as usize,
         priority: 0,
     };
-    let mut frames = match world.borders.engine.complete(place.address, ask).await {
+    let mut frames = match world
+        .borders
+        .engine
+        .complete(upstream.address, request)
+        .await
+    {
         Ok(frames) => frames,
-        Err(e) => return CallEnd::Failed(e),
+        Err(e) => return CallOutcome::Failed(e),
     };
-    let end = BootInstant::now() + left;
-    while let Ok(Some(Ok(frame))) = timeout_at(end, frames.recv()).await {
+    let deadline = BootInstant::now() + remaining;
+    while let Ok(Some(Ok(frame))) = timeout_at(deadline, frames.recv()).await {
         let tokens = splice.take(AnswerChunk {
             attempt: frame.attempt,
             offset: frame.offset,
@@ -264,10 +275,10 @@
         world.replicators.mark(world, cell);
         if splice.is_complete() {
             let total = splice.committed();
-            return CallEnd::Answer(Ending::Whole { total });
+            return CallOutcome::Answer(Ending::Whole { total });
         }
     }
-    CallEnd::Failed(EngineError::CutOff)
+    CallOutcome::Failed(EngineError::CutOff)
 }
 
 fn headers_of(spec: &RequestSpec, fence: Option<u64>) -> HeaderMap {
@@ -290,15 +301,15 @@
         .is_some()
 }
 
-fn record_failure(world: &World, place: &Place, e: &EngineError) {
+fn record_failure(world: &World, upstream: &Place, e: &EngineError) {
     if e.is_not_connected() {
-        avoid(world, place);
+        avoid(world, upstream);
     } else {
-        world.stats.lock().of(&place.id).limit.refused();
+        world.stats.lock().of(&upstream.id).limit.refused();
     }
 }
 
-fn not_run_if(not_run: bool) -> Outcome {
+fn not_run_or_unknown(not_run: bool) -> Outcome {
     if not_run {
         Outcome::NotRun
     } else {
--- a/src/app/score_board.rs
+++ b/src/app/score_board.rs
@@ -5,12 +5,13 @@
     std::collections::BTreeMap,
 };
 
-/// The share of gaps between tokens that may be over the target.
+/// Share of the gaps between tokens that may exceed the target in a request that met its targets.
 const SLOW_GAPS_ALLOWED: f64 = 0.05;
-/// The longest time to a first token that is told apart, in milliseconds.
-const MAX_FIRST_MS: u64 = 600_000;
+/// Upper bound of the histogram of times to the first token, in milliseconds; longer times are
+/// counted at the bound.
+const MAX_FIRST_TOKEN_MS: u64 = 600_000;
 
-/// What one run of a request cost and how fast it was.
+/// The cost and the latencies of one request.
 #[derive(Clone, Debug)]
 pub struct RunScore {
     /// When the request was accepted, in Unix milliseconds.
@@ -21,14 +22,14 @@
     last_ms: u64,
     gaps: u64,
     slow_gaps: u64,
-    /// Prompt and earlier answer tokens that upstreams took in.
-    pub computed: u64,
-    /// Its part of the upstreams' price, in millionths of a currency unit.
+    /// Prompt and earlier answer tokens that upstreams processed, without those from their caches.
+    pub computed_tokens: u64,
+    /// The request's share of the upstreams' price, in millionths of a currency unit.
     pub cost_micros: f64,
 }
 
 impl RunScore {
-    /// Starts to score a request.
+    /// Creates an empty score with the request's latency targets.
     pub fn new(spec: &RequestSpec) -> Self {
         Self {
             accepted_at_ms: spec.accepted_at_ms,
@@ -38,13 +39,13 @@
             last_ms: 0,
             gaps: 0,
             slow_gaps: 0,
-            computed: 0,
+            computed_tokens: 0,
             cost_micros: 0.0,
         }
     }
 
-    /// Notes tokens that were committed.
-    pub fn tokens(&mut self, n: usize, now_ms: u64) {
+    /// Records the time of committed tokens.
+    pub fn record_tokens(&mut self, n: usize, now_ms: u64) {
         if self.first_ms.is_none() {
             self.first_ms = Some(now_ms.saturating_sub(self.accepted_at_ms));
         } else {
@@ -57,17 +58,17 @@
         self.last_ms = now_ms;
     }
 
-    /// Returns whether both targets were met.
+    /// Returns true if the targets for the first token and for the gaps between tokens were met.
     pub fn on_target(&self) -> bool {
         let first = self.first_ms.is_some_and(|ms| ms <= self.first_target_ms);
         first && self.slow_gaps as f64 <= self.gaps as f64 * SLOW_GAPS_ALLOWED
     }
 }
 
-/// Whose figures they are.
+/// The policy, client account and service that a score belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ScoreKey {
-    /// The policy.
+    /// The placement policy.
     pub policy: PolicyName,
     /// The client account.
     pub account: ClientAccount,
@@ -75,24 +76,24 @@
     pub service: ServiceName,
 }
 
-/// How one policy did for one account and service.
+/// The figures of one policy for one client account and service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Score {
     /// Requests that ended.
     pub requests: u64,
-    /// Those answered whole.
+    /// Requests with a complete answer.
     pub whole: u64,
-    /// Those answered whole and within both targets.
+    /// Requests with a complete answer that met both latency targets.
     pub on_target: u64,
-    /// Those that ended as `not-run`.
+    /// Requests that ended as `not-run`.
     pub not_run: u64,
-    /// Those that ended as `may-have-run` or `expired`.
+    /// Requests that ended as `may-have-run` or `expired`.
     pub may_have_run: u64,
     /// Tokens of answers.
     pub answer_tokens: u64,
-    /// Prompt and earlier answer tokens that upstreams took in.
+    /// Prompt and earlier answer tokens that upstreams processed, without those from their caches.
     pub computed_tokens: u64,
-    /// Of these, those taken in again because earlier work was lost.
+    /// The part of `computed_tokens` that was processed again because earlier work was lost.
     pub recomputed_tokens: u64,
     /// The price, in millionths of a currency unit.
     pub cost_micros: f64,
@@ -101,7 +102,7 @@
 }
 
 impl Score {
-    /// Adds other figures to these.
+    /// Adds the figures of another score.
     pub fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.whole += other.whole;
@@ -115,8 +116,8 @@
         self.first_ms.extend(&other.first_ms);
     }
 
-    /// Returns the price of a request that met the targets, in millionths of a
-    /// currency unit; none if no request did.
+    /// Returns the total price per request that met its targets, in millionths of a
+    /// currency unit, or none if no request met them.
     pub fn cost_at_target(&self) -> Option<f64> {
         (self.on_target > 0).then(|| self.cost_micros / self.on_target as f64)
     }
@@ -131,61 +132,63 @@
     }
 }
 
-/// The figures of one stretch of time, as a daemon publishes them.
+/// The figures of one time interval, as a daemon publishes them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScorePage {
-    /// The box.
+    /// The box of the daemon.
     pub by: BoxId,
     /// The box's failure domain.
     pub failure_domain: FailureDomain,
-    /// The page's number in this life of the box; a missing one shows a gap.
+    /// The page's number within this incarnation of the box; a missing number shows a lost page.
     pub number: u64,
-    /// The life of the box.
+    /// The incarnation of the box.
     pub incarnation: u64,
-    /// The start, in Unix milliseconds.
+    /// The start of the interval, in Unix milliseconds.
     pub from_ms: u64,
-    /// The end, in Unix milliseconds.
+    /// The end of the interval, in Unix milliseconds.
     pub to_ms: u64,
-    /// The figures.
+    /// The scores of the interval.
     pub scores: Vec<(ScoreKey, Score)>,
 }
 
-/// The figures since the last page.
+/// Collects the figures of ended requests for the next page and in total.
 #[derive(Debug, Default)]
 pub struct ScoreBoard {
+    /// Figures since the last page.
     scores: BTreeMap<ScoreKey, (Score, Option<Histogram<u64>>)>,
+    /// Figures since the daemon started.
     total: BTreeMap<ScoreKey, Score>,
 }
 
 impl ScoreBoard {
-    /// Notes a request that ended.
+    /// Records a request that ended.
     pub fn record(&mut self, spec: &RequestSpec, ending: &Ending, run: &RunScore, recomputed: u64) {
         let key = ScoreKey {
             policy: spec.policy.clone(),
             account: spec.account.clone(),
             service: spec.service.clone(),
         };
-        let mut one = Score {
+        let mut delta = Score {
             requests: 1,
-            computed_tokens: run.computed,
+            computed_tokens: run.computed_tokens,
             recomputed_tokens: recomputed,
             cost_micros: run.cost_micros,
             ..Score::default()
         };
         match ending {
             Ending::Whole { total } => {
-                one.whole = 1;
-                one.answer_tokens = *total as u64;
+                delta.whole = 1;
+                delta.answer_tokens = *total as u64;
             }
-            Ending::Plain(answer) => one.whole = u64::from(answer.status < 500),
-            Ending::Failed(f) if f.outcome == Outcome::NotRun => one.not_run = 1,
-            Ending::Failed(_) => one.may_have_run = 1,
+            Ending::Plain(answer) => delta.whole = u64::from(answer.status < 500),
+            Ending::Failed(f) if f.outcome == Outcome::NotRun => delta.not_run = 1,
+            Ending::Failed(_) => delta.may_have_run = 1,
         }
-        one.on_target = u64::from(one.whole == 1 && run.on_target());
-        count(&one);
-        self.total.entry(key.clone()).or_default().add(&one);
+        delta.on_target = u64::from(delta.whole == 1 && run.on_target());
+        count(&delta);
+        self.total.entry(key.clone()).or_default().add(&delta);
         let (score, histogram) = self.scores.entry(key).or_default();
-        score.add(&one);
+        score.add(&delta);
         if let Some(ms) = run.first_ms {
             histogram
                 .get_or_insert_with(new_histogram)
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Takes the figures since the last page.
+    /// Returns the figures since the last page and clears them.
     pub fn take(&mut self) -> Vec<(ScoreKey, Score)> {
         let scores = std::mem::take(&mut self.scores);
         scores
@@ -218,15 +221,16 @@
     }
 }
 
-fn count(one: &Score) {
-    metrics::counter!("saddlepulley_requests_total").increment(one.requests);
-    metrics::counter!("saddlepulley_on_target_total").increment(one.on_target);
-    metrics::counter!("saddlepulley_not_run_total").increment(one.not_run);
-    metrics::counter!("saddlepulley_may_have_run_total").increment(one.may_have_run);
-    metrics::counter!("saddlepulley_answer_tokens_total").increment(one.answer_tokens);
+/// Adds the figures of one request to the metrics.
+fn count(delta: &Score) {
+    metrics::counter!("saddlepulley_requests_total").increment(delta.requests);
+    metrics::counter!("saddlepulley_on_target_total").increment(delta.on_target);
+    metrics::counter!("saddlepulley_not_run_total").increment(delta.not_run);
+    metrics::counter!("saddlepulley_may_have_run_total").increment(delta.may_have_run);
+    metrics::counter!("saddlepulley_answer_tokens_total").increment(delta.answer_tokens);
 }
 
 fn new_histogram() -> Histogram<u64> {
-    // The bounds are constants that the library takes; a failure would be a fault of ours.
-    Histogram::new_with_bounds(1, MAX_FIRST_MS, 2).expect("valid histogram bounds")
+    // The bounds are constants that the library accepts, so that this can't fail.
+    Histogram::new_with_bounds(1, MAX_FIRST_TOKEN_MS, 2).expect("valid histogram bounds")
 }
--- a/src/app/sweep.rs
+++ b/src/app/sweep.rs
@@ -4,59 +4,60 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// How long an answer that nobody reads goes on.
-const UNREAD_MS: u64 = 30_000;
-/// How long the record of a moved request stays.
-const MOVED_MS: u64 = 30_000;
-/// How often an owner that lives on is asked about each copy.
-const ASK_EVERY_MS: u64 = 5_000;
-/// The least time between two rounds.
-const NEWS_PAUSE: Duration = Duration::from_millis(50);
-/// How often the requests are gone over.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// Time after which a request whose answer nobody reads is ended, in milliseconds.
+const UNREAD_TIMEOUT_MS: u64 = 30_000;
+/// Time for which the record of a moved request is kept, in milliseconds.
+const MOVED_RETENTION_MS: u64 = 30_000;
+/// Interval of the ownership queries about all copies to an owner that stays up, in milliseconds.
+const OWNERSHIP_QUERY_INTERVAL_MS: u64 = 5_000;
+/// Pause before a sweep that a state change causes, and so the minimum interval of sweeps.
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum interval of sweeps over the requests.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Goes over the requests: takes over those whose owner is gone, looks for
-/// holders, ends what nobody reads, and forgets what was kept long enough.
+/// Sweeps the requests: takes over those whose owner is gone, looks for holders of copies, ends
+/// requests whose answer nobody reads, and removes records whose retention time is over.
 pub async fn sweep_requests(world: Arc<World>) {
-    let mut watches: BTreeMap<BoxId, OwnerWatch> = BTreeMap::new();
+    let mut owner_states: BTreeMap<BoxId, OwnerState> = BTreeMap::new();
     loop {
-        // A box that started anew tells so: its requests aren't left waiting.
+        // A restarted box announces its new incarnation. The sweep follows at once, so that the
+        // requests that the box owned don't wait for the next interval.
         tokio::select! {
-            () = tokio::time::sleep(SWEEP_EVERY) => {}
-            () = world.news.notified() => tokio::time::sleep(NEWS_PAUSE).await,
+            () = tokio::time::sleep(SWEEP_INTERVAL) => {}
+            () = world.news.notified() => tokio::time::sleep(MIN_SWEEP_INTERVAL).await,
         }
         let cells = world.requests.all();
-        look_after_copies(&world, &cells, &mut watches).await;
+        check_owners(&world, &cells, &mut owner_states).await;
         for cell in &cells {
             sweep_one(&world, cell);
         }
-        forget(&world, &cells);
+        remove_expired(&world, &cells);
         world.admission.wake_all(&world);
         metrics::gauge!("saddlepulley_requests").set(cells.len() as f64);
     }
 }
 
-/// What this box knows of an owner whose copies it holds.
+/// The state of an owner of copies that this box holds.
 #[derive(Clone, Copy, Debug, Default)]
-struct OwnerWatch {
-    /// Since when it doesn't answer.
+struct OwnerState {
+    /// Time of the first unanswered ping, in Unix milliseconds; none if the owner answers.
     silent_since_ms: Option<u64>,
-    /// The life that answered last.
+    /// The incarnation that answered the last ownership query.
     incarnation: u64,
-    /// When it was asked about each copy.
-    asked_ms: u64,
+    /// Time of the last answered ownership query, in Unix milliseconds.
+    queried_ms: u64,
 }
 
-/// Looks after the owners of held copies: a copy is taken over if its owner is
-/// silent for too long, is gone, or started anew and forgot it.
+/// Checks the owners of held copies: takes over a copy if its owner is silent for too long, is
+/// gone, or has restarted and doesn't know the request any more.
 ///
-/// An owner whose answers are being copied shows by that that it lives; else it
-/// is pinged. It is asked about each copy when it started anew and now and then:
-/// that message grows with the copies.
-async fn look_after_copies(
+/// An owner that replicates answers to this box counts as alive; any other owner
+/// is pinged. The ownership query names every copy, so that its size grows with
+/// their number. It is sent only after a restart of the owner and at intervals.
+async fn check_owners(
     world: &Arc<World>,
     cells: &[Arc<RequestCell>],
-    watches: &mut BTreeMap<BoxId, OwnerWatch>,
+    owner_states: &mut BTreeMap<BoxId, OwnerState>,
 ) {
     let mut by_owner: BTreeMap<BoxId, Vec<Arc<RequestCell>>> = BTreeMap::new();
     for cell in cells {
@@ -64,54 +65,55 @@
             by_owner.entry(owner).or_default().push(cell.clone());
         }
     }
-    watches.retain(|id, _| by_owner.contains_key(id));
-    let looks = by_owner.into_iter().map(|(owner, copies)| {
-        let watch = watches.get(&owner).copied().unwrap_or_default();
-        look_at_owner(world, owner, copies, watch)
+    owner_states.retain(|id, _| by_owner.contains_key(id));
+    let checks = by_owner.into_iter().map(|(owner, copies)| {
+        let state = owner_states.get(&owner).copied().unwrap_or_default();
+        check_owner(world, owner, copies, state)
     });
-    watches.extend(futures_util::future::join_all(looks).await);
+    owner_states.extend(futures_util::future::join_all(checks).await);
 }
 
-async fn look_at_owner(
+/// Checks one owner; returns the owner's updated state.
+async fn check_owner(
     world: &Arc<World>,
     owner: BoxId,
     copies: Vec<Arc<RequestCell>>,
-    mut watch: OwnerWatch,
-) -> (BoxId, OwnerWatch) {
+    mut state: OwnerState,
+) -> (BoxId, OwnerState) {
     let within = Duration::from_millis(world.settings.peers.silence_ms / 2);
     let now = now_ms();
-    let asked = now < watch.asked_ms + ASK_EVERY_MS;
-    if asked && is_same_incarnation(world, &owner, watch.incarnation) {
+    let recently_queried = now < state.queried_ms + OWNERSHIP_QUERY_INTERVAL_MS;
+    if recently_queried && is_same_incarnation(world, &owner, state.incarnation) {
         let ms = world.settings.peers.silence_ms / 2;
         if world.links.heard_within(&owner, ms) {
-            watch.silent_since_ms = None;
-            return (owner, watch);
+            state.silent_since_ms = None;
+            return (owner, state);
         }
     }
     let Ok(PeerReply::Alive(incarnation)) = world.call_box(&owner, &PeerCall::Ping, within).await
     else {
-        let since = *watch.silent_since_ms.get_or_insert(now);
+        let since = *state.silent_since_ms.get_or_insert(now);
         let silent_ms = now_ms().saturating_sub(since);
         if silent_ms >= world.settings.peers.silence_ms || is_gone(world, &owner) {
             copies.iter().for_each(|c| take_over(world, c, &owner));
         }
-        return (owner, watch);
+        return (owner, state);
     };
-    watch.silent_since_ms = None;
-    if incarnation == watch.incarnation && asked {
-        return (owner, watch);
+    state.silent_since_ms = None;
+    if incarnation == state.incarnation && recently_queried {
+        return (owner, state);
     }
     let call = PeerCall::AskOwner {
         holder: world.me.id.clone(),
         requests: copies.iter().map(|c| c.id()).collect(),
     };
     if let Ok(PeerReply::Ownership(all)) = world.call_box(&owner, &call, within).await {
-        watch.incarnation = incarnation;
-        watch.asked_ms = now;
-        let told = copies.iter().zip(all);
-        told.for_each(|(c, is)| take_note(world, c, &owner, is));
+        state.incarnation = incarnation;
+        state.queried_ms = now;
+        let answers = copies.iter().zip(all);
+        answers.for_each(|(c, o)| apply_ownership(world, c, &owner, o));
     }
-    (owner, watch)
+    (owner, state)
 }
 
 fn is_same_incarnation(world: &World, id: &BoxId, incarnation: u64) -> bool {
@@ -119,9 +121,14 @@
     boxes.get(id).is_some_and(|b| b.incarnation == incarnation)
 }
 
-/// Draws the conclusion from what an owner says of a copy held here.
-fn take_note(world: &Arc<World>, cell: &Arc<RequestCell>, owner: &BoxId, is: Ownership) {
-    match is {
+/// Updates a held copy by its owner's answer to an ownership query.
+fn apply_ownership(
+    world: &Arc<World>,
+    cell: &Arc<RequestCell>,
+    owner: &BoxId,
+    ownership: Ownership,
+) {
+    match ownership {
         Ownership::Owner => {}
         Ownership::CopyElsewhere => world.requests.remove(cell.id()),
         Ownership::OwnedBy(other) if other != world.me.id => cell.change(|r| {
@@ -137,6 +144,7 @@
     matches!(&r.role, Role::Copy { owner: known } if known == owner) && !r.is_ended()
 }
 
+/// Returns the owner of a copy of a request that has not ended.
 fn live_owner(cell: &RequestCell) -> Option<BoxId> {
     let r = cell.read();
     match &r.role {
@@ -150,6 +158,7 @@
     boxes.get(id).is_none_or(|b| b.state == BoxState::Gone)
 }
 
+/// Finds a holder for a request that lacks one, or ends a request whose answer nobody reads.
 fn sweep_one(world: &Arc<World>, cell: &Arc<RequestCell>) {
     let r = cell.read();
     let unread_ms = now_ms().saturating_sub(r.unread_since_ms);
@@ -166,7 +175,7 @@
             drop(r);
             hold_again(world, cell, None);
         }
-        Role::Owner if !r.is_ended() && r.readers == 0 && unread_ms > UNREAD_MS => {
+        Role::Owner if !r.is_ended() && r.readers == 0 && unread_ms > UNREAD_TIMEOUT_MS => {
             drop(r);
             abandon(world, cell);
         }
@@ -174,20 +183,21 @@
     }
 }
 
-/// A holder that is leaving takes its copies with it.
+/// Returns true if the holder of a request's copy is leaving or gone: its copies are lost with it.
 fn is_leaving(world: &World, holder: &Holder) -> bool {
     let Holder::At(id) = holder else { return false };
     let boxes = world.boxes.read();
     boxes.get(id).is_some_and(|b| b.state != BoxState::Live)
 }
 
-/// The owner is gone: this box goes on with the request, if it may be repeated.
+/// Takes over a request whose owner is gone: runs it if it is repeatable, or else ends it as
+/// `may-have-run`.
 fn take_over(world: &Arc<World>, cell: &Arc<RequestCell>, owner: &BoxId) {
     let repeatable = cell.change_owner(|r| {
         if !is_copy_of(r, owner) {
             return None;
         }
-        log::info!(target: "app", "taking a request over. request={} role={:?}", r.spec.id, r.role);
+        log::info!(target: "app", "taking over a request. request={} role={:?}", r.spec.id, r.role);
         r.role = Role::Owner;
         r.epoch += 1;
         r.durable = 0;
@@ -205,6 +215,7 @@
     own(world, cell, None);
 }
 
+/// Ends a repeatable request whose answer nobody reads.
 fn abandon(world: &Arc<World>, cell: &Arc<RequestCell>) {
     if !cell.spec().repeatable {
         return;
@@ -214,8 +225,9 @@
     run_model::finish(world, cell, Ending::Failed(failure), &score);
 }
 
-/// Forgets ended requests, the oldest first where the kept answers take too much.
-fn forget(world: &World, cells: &[Arc<RequestCell>]) {
+/// Removes requests whose retention time is over, and then the oldest ended requests while kept
+/// answers exceed their limits on bytes or number.
+fn remove_expired(world: &World, cells: &[Arc<RequestCell>]) {
     let s = &world.settings.requests;
     let now = now_ms();
     let mut kept = Vec::new();
@@ -228,15 +240,16 @@
             r.unread_since_ms
         };
         let age = now.saturating_sub(since);
-        let over = if moved {
-            age > MOVED_MS && r.readers == 0
+        let is_expired = if moved {
+            age > MOVED_RETENTION_MS && r.readers == 0
         } else if r.is_ended() {
             age > s.keep_answers_s * 1_000
         } else {
-            // A copy whose owner let it go long after its deadline.
+            // A request that has not ended long after its deadline, such as a copy that its
+            // owner has dropped.
             now > r.spec.deadline_ms + s.keep_answers_s * 1_000
         };
-        if over {
+        if is_expired {
             drop(r);
             world.requests.remove(cell.id());
         } else if r.is_ended() {
@@ -245,22 +258,26 @@
     }
     kept.sort_unstable();
     let mut bytes: usize = kept.iter().map(|(_, b, _)| b).sum();
-    let mut left = kept.len();
+    let mut remaining = kept.len();
     for (_, b, id) in kept {
-        if bytes <= s.keep_answers_bytes && left <= 4 * s.max_requests {
+        if bytes <= s.keep_answers_bytes && remaining <= 4 * s.max_requests {
             return;
         }
         world.requests.remove(id);
         bytes -= b;
-        left -= 1;
+        remaining -= 1;
     }
 }
 
-/// Whether any request in flight is this box's to finish.
+/// Returns true if this box owns a request that is still running or whose answer is being read.
 pub fn has_unfinished_requests(world: &World) -> bool {
-    let is_open = |r: &Record| {
-        let unread_end = r.is_ended() && r.readers > 0;
-        r.is_owner() && (!r.is_ended() || unread_end)
+    let is_unfinished = |r: &Record| {
+        let is_being_read = r.is_ended() && r.readers > 0;
+        r.is_owner() && (!r.is_ended() || is_being_read)
     };
-    world.requests.all().iter().any(|c| is_open(&c.read()))
+    world
+        .requests
+        .all()
+        .iter()
+        .any(|c| is_unfinished(&c.read()))
 }
