--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -11,7 +11,7 @@
     tokio::sync::{Notify, watch},
 };
 
-/// The systems outside, each behind a trait.
+/// The external systems that a daemon uses, each behind a trait.
 #[derive(Clone)]
 pub struct Backends {
     /// Model engines.
@@ -28,68 +28,68 @@
     pub weights: Arc<dyn WeightStore>,
 }
 
-/// Where this daemon is in its life.
+/// The phase of a daemon's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no table yet, or its clock jumped: not ready.
+    /// The daemon has no table yet, or its clock jumped: it doesn't accept requests.
     Starting,
-    /// It takes requests.
+    /// The daemon accepts requests.
     Ready,
-    /// A planned stop: what is in flight finishes here.
+    /// A planned stop: requests in flight finish on this box.
     Draining,
-    /// It will be taken back at this time, in Unix milliseconds.
+    /// The box will be reclaimed at this time, in Unix milliseconds.
     Leaving(u64),
 }
 
-/// All that the parts of a daemon share.
+/// The state that all parts of a daemon share.
 ///
 /// Lock order, outer before inner: `table`, `boxes`, `journal`, `links`,
-/// `stats`, `hints`, the admission desk, the claim desk, a shard of `requests`,
+/// `stats`, `hints`, `admission`, `claims`, a shard of `requests`,
 /// a request's record, `score`, `rng`. No lock is held across an await.
 pub struct World {
     /// The settings.
     pub settings: Settings,
-    /// This box and its life.
+    /// This box and its incarnation.
     pub me: BoxIncarnation,
-    /// The table in force.
+    /// The active table.
     pub table: RwLock<Arc<Table>>,
-    /// The table's last records, for peers.
+    /// The last records of the table, kept for peers that lag.
     pub table_records: Mutex<TableRecords>,
     /// All known boxes.
     pub boxes: RwLock<BoxTable>,
-    /// Which boxes changed, for links.
+    /// Boxes whose facts changed, for the heartbeats to peers.
     pub journal: Mutex<Journal>,
-    /// Loads that changed, for links.
+    /// Upstreams whose load changed, for the heartbeats to peers.
     pub load_journal: Mutex<Journal>,
-    /// Wakes the links when there is news.
+    /// Wakes the tasks that send or process state changes.
     pub news: Notify,
     /// Links to peers.
     pub links: LinkTable,
-    /// What was measured of upstreams.
+    /// Measurements of upstreams.
     pub stats: Mutex<StatsTable>,
-    /// What upstreams are thought to have cached.
+    /// Prompt prefixes that upstreams probably have cached.
     pub hints: Mutex<CacheHints>,
-    /// Admission.
+    /// Admission control.
     pub admission: AdmissionControl,
-    /// Claims.
+    /// Claims on requests that may run only once.
     pub claims: ClaimClient,
-    /// All requests.
+    /// The requests that this box owns, holds copies of, or has moved.
     pub requests: RequestTable,
-    /// What is sent to the holders of copies.
+    /// Senders to the boxes that hold copies of this box's requests.
     pub replicators: Replicators,
-    /// How each policy did.
+    /// Figures of ended requests by policy, client account and service.
     pub score: Mutex<ScoreBoard>,
-    /// Retry budgets by row.
+    /// Retry budgets by client account and service.
     pub budgets: Mutex<std::collections::BTreeMap<(ClientAccount, ServiceName), RetryBudget>>,
-    /// Where this daemon is in its life.
+    /// The daemon's current phase.
     pub phase: watch::Sender<Phase>,
-    /// The systems outside.
+    /// The external systems.
     pub borders: Backends,
     rng: Mutex<ChaCha8Rng>,
 }
 
 impl World {
-    /// Makes the world of a daemon that has just started.
+    /// Creates the state of a daemon that has just started.
     pub fn new(
         settings: Settings,
         borders: Backends,
@@ -131,20 +131,20 @@
         &self.settings.this_box.failure_domain
     }
 
-    /// Returns a seeded generator of its own for one decision maker.
+    /// Returns a new random number generator, seeded from this daemon's generator.
     pub fn fork_rng(&self) -> ChaCha8Rng {
         ChaCha8Rng::seed_from_u64(self.rng.lock().next_u64())
     }
 
-    /// Returns the table in force.
+    /// Returns the active table.
     pub fn active_table(&self) -> Arc<Table> {
         self.table.read().clone()
     }
 
-    /// Folds facts about boxes and tells the links of those that were new.
+    /// Merges facts about boxes, announces those that changed anything, and returns them.
     pub fn fold_facts(&self, facts: &[BoxFact]) -> Vec<BoxFact> {
         if !self.settings.trial.leaving {
-            return self.put_facts(facts);
+            return self.replace_facts(facts);
         }
         let mut boxes = self.boxes.write();
         let mut journal = self.journal.lock();
@@ -163,14 +163,14 @@
         changed
     }
 
-    /// Takes each fact as the newest truth, for trials without monotone states.
-    fn put_facts(&self, facts: &[BoxFact]) -> Vec<BoxFact> {
+    /// Replaces the facts regardless of their order, for trials without monotone states.
+    fn replace_facts(&self, facts: &[BoxFact]) -> Vec<BoxFact> {
         let mut boxes = self.boxes.write();
         facts.iter().for_each(|f| boxes.put(f));
         Vec::new()
     }
 
-    /// Moves a box's state forward and tells the links.
+    /// Moves a box's state forward and announces the change.
     pub fn advance_box(&self, id: &BoxId, incarnation: u64, state: BoxState, leaves_at_ms: u64) {
         if !self.settings.trial.leaving {
             return;
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Returns the live entry boxes other than this one, as holders of copies.
+    /// Returns the live entry boxes other than this one, which can hold copies.
     pub fn holder_candidates(&self) -> Vec<HolderCandidate> {
         let boxes = self.boxes.read();
         boxes
@@ -199,7 +199,7 @@
             .collect()
     }
 
-    /// Returns how many daemons of this failure domain answer, this one included.
+    /// Returns the number of daemons of this failure domain that aren't silent, including this one.
     pub fn domain_daemons(&self) -> usize {
         let boxes = self.boxes.read();
         let others = boxes
@@ -210,21 +210,21 @@
         others + 1
     }
 
-    /// Calls another box.
+    /// Calls another box, and records for its link whether it answered.
     ///
     /// # Errors
     ///
-    /// Returns how the call failed.
+    /// Returns an error if the box is unknown or the call fails or times out.
     pub async fn call_box(
         &self,
         id: &BoxId,
         call: &PeerCall,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
         let Some(client) = self.client_of(id) else {
             return Err(PeerError::NotConnected(format!("no box {id}")));
         };
-        let outcome = client.call(call, within).await;
+        let outcome = client.call(call, timeout).await;
         match &outcome {
             Ok(_) => self.links.heard(id),
             Err(_) => self.links.failed(id),
@@ -232,7 +232,7 @@
         outcome
     }
 
-    /// Returns the client of another box.
+    /// Returns the client for calls to another box, if that is a known entry box.
     pub fn client_of(&self, id: &BoxId) -> Option<Arc<PeerClient>> {
         let addr = {
             let boxes = self.boxes.read();
@@ -241,12 +241,12 @@
         Some(self.links.client(addr))
     }
 
-    /// Returns whether this daemon takes new requests.
+    /// Returns true if this daemon accepts new requests.
     pub fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Ready
     }
 
-    /// Returns when this box is taken back, if it will be.
+    /// Returns the time at which this box will be reclaimed, in Unix milliseconds, if it is leaving.
     pub fn leaves_at_ms(&self) -> Option<u64> {
         match *self.phase.borrow() {
             Phase::Leaving(at) => Some(at),
@@ -262,17 +262,18 @@
         }
     }
 
+    /// Enters the phase `Leaving` when a fact shows that this incarnation is leaving.
     fn on_own_fact(&self, fact: &BoxFact) {
         if fact.incarnation != self.me.incarnation || fact.state == BoxState::Live {
             return;
         }
         self.phase.send_if_modified(|phase| {
-            let news = !matches!(phase, Phase::Leaving(_));
-            if news {
+            let starts_leaving = !matches!(phase, Phase::Leaving(_));
+            if starts_leaving {
                 log::warn!(target: "app", "this box is leaving. at_ms={}", fact.leaves_at_ms);
                 *phase = Phase::Leaving(fact.leaves_at_ms);
             }
-            news
+            starts_leaving
         });
     }
 }
