--- a/tests/decisions/table_fold.rs
+++ b/tests/decisions/table_fold.rs
@@ -1,4 +1,5 @@
-//! Edits fold by one rule, and nothing goes back.
+//! Tests of applying edits and snapshots of the table: every daemon reaches the same table, and
+//! versions never decrease.
 
 use {proptest::prelude::*, saddlepulley::contracts::*, std::collections::BTreeMap, uuid::Uuid};
 
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn two_operators_on_the_same_row_get_one_winner() {
+fn concurrent_edits_of_one_row_accept_the_first_and_reject_the_second() {
     let mut table = published();
     let a = edited(&table, "weight = 2", "weight = 3", 2);
     let b = edited(&table, "weight = 2", "weight = 9", 3);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn two_operators_on_different_rows_both_succeed() {
+fn concurrent_edits_of_different_rows_are_both_accepted() {
     let mut table = published();
     let a = edited(&table, "weight = 2", "weight = 3", 2);
     let b = edited(&table, "weight = 1", "weight = 5", 3);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_file_based_on_an_older_version_changes_only_what_its_author_changed() {
+fn a_file_based_on_an_older_version_does_not_revert_later_edits_of_other_rows() {
     let mut table = published();
     let base = table.clone();
     let stale = TableFile::show(&table);
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_doubled_append_folds_once() {
+fn an_edit_appended_twice_is_applied_once() {
     let mut table = published();
     let a = edited(&table, "weight = 2", "weight = 3", 2);
     table.fold(1, TableRecord::Edit(a.clone()));
@@ -118,8 +119,8 @@
     assert_eq!(table.entries, before);
 }
 
-/// One random history of edits, doubled and racing, with snapshots in between.
-fn history(moves: &[(u8, u8, bool)]) -> Vec<(u64, TableRecord)> {
+/// Builds a history of edits with duplicates, edits based on stale versions, and snapshots.
+fn random_history(steps: &[(u8, u8, bool)]) -> Vec<(u64, TableRecord)> {
     let mut table = Table::default();
     let mut records = Vec::new();
     let first = file(FILE).edit_of(&table, Uuid::from_u128(1));
@@ -130,8 +131,12 @@
     };
     push(&mut table, TableRecord::Edit(first));
     let mut stale = table.clone();
-    for (n, (row, weight, lag)) in moves.iter().enumerate() {
-        let base = if *lag { stale.clone() } else { table.clone() };
+    for (n, (row, weight, is_stale)) in steps.iter().enumerate() {
+        let base = if *is_stale {
+            stale.clone()
+        } else {
+            table.clone()
+        };
         let key = ["acme/assistant/txc-a", "acme/lookup/txc-a"][usize::from(*row) % 2];
         let mut entry = base.entries[key].entry.clone();
         if let Entry::Row(c) = &mut entry {
@@ -158,45 +163,47 @@
 }
 
 proptest! {
-    /// A daemon that starts anywhere retention allows ends with the same table
-    /// as one that read everything, and versions only grow.
+    /// A daemon that starts after the log's retention has dropped the first records recovers from
+    /// a snapshot. It must end with the same table as a daemon that read every record, and
+    /// versions must never decrease.
     #[test]
-    fn every_reader_ends_with_the_same_table(
-        moves in prop::collection::vec((any::<u8>(), any::<u8>(), any::<bool>()), 1..40),
+    fn a_daemon_that_starts_after_retention_ends_with_the_same_table(
+        steps in prop::collection::vec((any::<u8>(), any::<u8>(), any::<bool>()), 1..40),
         first in 0..40u64,
     ) {
-        let records = history(&moves);
-        let mut whole = Table::default();
+        let records = random_history(&steps);
+        let mut complete = Table::default();
         let mut last = 0;
         for (offset, record) in &records {
-            whole.fold(*offset, record.clone());
-            prop_assert!(whole.version >= last);
-            last = whole.version;
+            complete.fold(*offset, record.clone());
+            prop_assert!(complete.version >= last);
+            last = complete.version;
         }
-        let left: Vec<_> = records.iter().filter(|(o, _)| *o >= first).cloned().collect();
+        let retained: Vec<_> = records.iter().filter(|(o, _)| *o >= first).cloned().collect();
         if first == 0 {
             return Ok(());
         }
-        if let Some(recovered) = Table::default().recover(first, &left) {
-            prop_assert_eq!(&recovered.entries, &whole.entries);
-            prop_assert_eq!(recovered.version, whole.version);
+        if let Some(recovered) = Table::default().recover(first, &retained) {
+            prop_assert_eq!(&recovered.entries, &complete.entries);
+            prop_assert_eq!(recovered.version, complete.version);
         }
     }
 
-    /// A reader that was cut off, missed records and recovers never goes back.
+    /// A daemon that was disconnected may miss records that the log's retention drops meanwhile.
+    /// Its recovery from a snapshot must not lead to an older table than the one it had.
     #[test]
-    fn recovery_never_goes_back(
-        moves in prop::collection::vec((any::<u8>(), any::<u8>(), any::<bool>()), 1..40),
-        read in 0..20usize,
+    fn recovery_after_missed_records_never_decreases_the_version(
+        steps in prop::collection::vec((any::<u8>(), any::<u8>(), any::<bool>()), 1..40),
+        read_count in 0..20usize,
         first in 0..40u64,
     ) {
-        let records = history(&moves);
+        let records = random_history(&steps);
         let mut mine = Table::default();
-        for (offset, record) in records.iter().take(read) {
+        for (offset, record) in records.iter().take(read_count) {
             mine.fold(*offset, record.clone());
         }
-        let left: Vec<_> = records.iter().filter(|(o, _)| *o >= first).cloned().collect();
-        if let Some(recovered) = mine.recover(first, &left) {
+        let retained: Vec<_> = records.iter().filter(|(o, _)| *o >= first).cloned().collect();
+        if let Some(recovered) = mine.recover(first, &retained) {
             prop_assert!(recovered.version >= mine.version);
             prop_assert!(recovered.folded_to > mine.folded_to);
         }
