--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Enters the phase `Leaving` when a fact shows that this incarnation is leaving.
+    /// Enters the phase `Leaving` when a fact shows that this incarnation is leaving or gone.
     fn on_own_fact(&self, fact: &BoxFact) {
         if fact.incarnation != self.me.incarnation || fact.state == BoxState::Live {
             return;
