--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -75,7 +75,7 @@
         tasks.spawn(serve_callers(callers, world.clone()));
         tasks.spawn(crate::caller::serve_operators(operators, world.clone()));
         tasks.spawn(watch_table(world.clone()));
-        tasks.spawn(keep_snapshots(world.clone()));
+        tasks.spawn(append_snapshots(world.clone()));
         tasks.spawn(watch_claims(world.clone()));
         tasks.spawn(append_claims(world.clone()));
         tasks.spawn(watch_box_list(world.clone()));
@@ -104,7 +104,7 @@
             return self.tasks.abort_all();
         }
         tokio::time::sleep(DRAIN_NOTICE).await;
-        while owns_work(&self.world) {
+        while has_unfinished_requests(&self.world) {
             tokio::time::sleep(STOP_POLL).await;
         }
         publish_page(&self.world, &mut 0, now_ms()).await;
@@ -208,7 +208,7 @@
         }
         was_ready
     });
-    let from = world.table_in_force().folded_to;
+    let from = world.active_table().folded_to;
     let read = world.backends.log.read(TABLE_STREAM, from, 0);
     let reached = tokio::time::timeout(REVALIDATE_TIMEOUT, read).await;
     match reached {
@@ -217,7 +217,7 @@
         Ok(Ok(_)) => become_ready(world),
         // Without the log, a peer's table is used if a peer answers.
         _ => {
-            ask_peers_for_table(world).await;
+            fetch_table_from_peers(world).await;
             become_ready(world);
         }
     }
--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -69,7 +69,7 @@
     world.links.heard(&payload.from.id);
     let is_new = !is_known(world, &payload.from);
     apply_facts(world, &payload);
-    follow_table(world, &payload);
+    fetch_newer_table(world, &payload);
     let mut reply = reply_to(world, &mut LinkCursor::default(), None);
     if is_new {
         reply = reply_to(world, &mut LinkCursor::default(), Some(DEFAULT_LINKS));
@@ -98,7 +98,7 @@
         Ok(PeerReply::Heartbeat(payload)) => {
             world.links.heard(&payload.from.id);
             apply_facts(world, &payload);
-            follow_table(world, &payload);
+            fetch_newer_table(world, &payload);
             (addr, Some(new_cursor))
         }
         _ => {
@@ -134,7 +134,7 @@
     }
     HeartbeatPayload {
         from: current_own_fact(world, &boxes),
-        table_folded_to: world.table_in_force().folded_to,
+        table_folded_to: world.active_table().folded_to,
         facts,
         loads,
     }
--- a/src/app/hold.rs
+++ b/src/app/hold.rs
@@ -1,5 +1,5 @@
 use {
-    super::{World, give_way},
+    super::{World, yield_ownership},
     crate::{names::*, peer::*, policy::*, requests::*},
     std::{sync::Arc, time::Duration},
 };
@@ -54,7 +54,7 @@
             }
             HoldOutcome::Held => return Durability::CrossDomain,
             HoldOutcome::OwnedBy(owner) => {
-                give_way(cell, &candidate.id, owner);
+                yield_ownership(cell, &candidate.id, owner);
                 return Durability::None;
             }
             HoldOutcome::Failed => {}
