--- a/src/cli/cli_error.rs
+++ b/src/cli/cli_error.rs
@@ -6,7 +6,7 @@
     std::process::ExitCode,
 };
 
-/// Says why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CliError {
     /// {0}
@@ -17,9 +17,9 @@
     Table(#[from] TableError),
     /// {0}
     App(#[from] AppError),
-    /// the platform: {0}
+    /// platform: {0}
     Platform(#[from] PlatformError),
-    /// a daemon: {0}
+    /// daemon: {0}
     Daemon(#[from] HttpError),
     /// conflict: another edit changed {0}
     Conflict(String),
@@ -36,7 +36,8 @@
 }
 
 impl CliError {
-    /// Returns the exit code: 1 failed, 2 usage, 3 conflict.
+    /// Returns the exit code: 2 for wrong usage or a wrong file, 3 for a conflict, 1 for any other
+    /// failure.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Usage(_) | Self::Conf(_) | Self::Table(_) => ExitCode::from(2),
--- a/src/cli/demo.rs
+++ b/src/cli/demo.rs
@@ -14,9 +14,11 @@
 };
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-const NOTICE_MS: u64 = 2_000;
-const BETWEEN_RECLAIMS: Duration = Duration::from_secs(20);
-const FIGURES_EVERY: Duration = Duration::from_secs(5);
+/// Time between the announcement of a reclaim and the stop of the engine.
+const RECLAIM_NOTICE_MS: u64 = 2_000;
+const RECLAIM_INTERVAL: Duration = Duration::from_secs(20);
+const FIGURES_INTERVAL: Duration = Duration::from_secs(5);
+/// Pause after each request of the load, per daemon.
 const LOAD_PAUSE: Duration = Duration::from_millis(100);
 
 /// Runs `demo`.
@@ -35,14 +37,14 @@
     block_on(async {
         let world = DemoWorld::start().await?;
         if once {
-            return show_once(&world).await;
+            return run_once(&world).await;
         }
-        show_on(&world).await
+        run_until_stopped(&world).await
     })
 }
 
-/// Makes each kind of call once and prints the figures.
-async fn show_once(world: &DemoWorld) -> Result<(), CliError> {
+/// Makes one call of each kind and prints the score of each policy.
+async fn run_once(world: &DemoWorld) -> Result<(), CliError> {
     let [a, b, _] = &callers(world)[..] else {
         return Err(CliError::Failed("expected three daemons".to_string()));
     };
@@ -50,17 +52,17 @@
         "table in force. version={}",
         world.daemons[0].world().table_in_force().version
     );
-    let ask = value!({
+    let completion = value!({
         "model": "assistant",
         "messages": [{ "role": "user", "content": "Where is the retry budget worked out?" }],
         "max_tokens": 12,
     });
-    show(
+    print_response(
         "model",
-        &call(*a, "/v1/chat/completions", &ask, None).await?,
+        &call(*a, "/v1/chat/completions", &completion, None).await?,
     );
     let key = RequestId::fresh();
-    show(
+    print_response(
         "lookup",
         &call(
             *b,
@@ -71,11 +73,11 @@
         .await?,
     );
     let order = value!({ "item": "umbrella" });
-    show(
+    print_response(
         "release code",
         &call(*a, "/codes/issue", &order, Some(key)).await?,
     );
-    show(
+    print_response(
         "the same key at another box",
         &call(*b, "/codes/issue", &order, Some(key)).await?,
     );
@@ -83,8 +85,8 @@
     Ok(())
 }
 
-/// Goes on until it is stopped: some load, and a reclaim now and then.
-async fn show_on(world: &DemoWorld) -> Result<(), CliError> {
+/// Sends a constant load and reclaims engines at intervals until SIGINT.
+async fn run_until_stopped(world: &DemoWorld) -> Result<(), CliError> {
     let callers = callers(world);
     println!("Platform at {}, callers at {callers:?}.\n", world.platform);
     println!(
@@ -99,28 +101,28 @@
     for addr in callers {
         tokio::spawn(async move {
             loop {
-                let ask =
+                let completion =
                     value!({ "model": "assistant", "prompt": "a little load", "max_tokens": 100 });
-                let _ = call(addr, "/v1/completions", &ask, None).await;
+                let _ = call(addr, "/v1/completions", &completion, None).await;
                 tokio::time::sleep(LOAD_PAUSE).await;
             }
         });
     }
-    let mut reclaims = tokio::time::interval(BETWEEN_RECLAIMS);
-    let mut figures = tokio::time::interval(FIGURES_EVERY);
+    let mut reclaims = tokio::time::interval(RECLAIM_INTERVAL);
+    let mut figures = tokio::time::interval(FIGURES_INTERVAL);
     reclaims.tick().await;
-    let mut next = world
+    let mut reclaimable = world
         .engines
         .iter()
         .filter(|(name, _)| !name.ends_with("-1"));
     loop {
         tokio::select! {
             _ = reclaims.tick() => {
-                let Some((name, _)) = next.next() else { continue };
-                println!("reclaiming {name} with {NOTICE_MS} ms of notice");
-                world.reclaim(&[name], NOTICE_MS).await?;
-                tokio::time::sleep(Duration::from_millis(NOTICE_MS)).await;
-                world.take(name);
+                let Some((name, _)) = reclaimable.next() else { continue };
+                println!("reclaiming {name} with {RECLAIM_NOTICE_MS} ms of notice");
+                world.reclaim(&[name], RECLAIM_NOTICE_MS).await?;
+                tokio::time::sleep(Duration::from_millis(RECLAIM_NOTICE_MS)).await;
+                world.stop_engine(name);
             }
             _ = figures.tick() => print_figures(world),
             _ = tokio::signal::ctrl_c() => return Ok(()),
@@ -157,11 +159,11 @@
     Ok(HttpClient::default().call(req, CALL_TIMEOUT).await?)
 }
 
-fn show(what: &str, body: &Bytes) {
-    println!("{what}: {}", String::from_utf8_lossy(body));
+fn print_response(title: &str, body: &Bytes) {
+    println!("{title}: {}", String::from_utf8_lossy(body));
 }
 
-/// Prints how each policy did, all daemons together.
+/// Prints the score of each policy, summed over all daemons.
 fn print_figures(world: &DemoWorld) {
     let mut by_policy: BTreeMap<PolicyName, Score> = BTreeMap::new();
     for daemon in &world.daemons {
--- a/src/cli/demo_world.rs
+++ b/src/cli/demo_world.rs
@@ -14,40 +14,41 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The demo's table, which is also the commented default table.
+/// The demo's table, with a comment for each key; it is also the default table.
 pub const DEMO_TABLE: &str = include_str!("demo-table.toml");
-/// The demo's bearer token for callers.
+/// Bearer token of the demo's callers.
 pub const DEMO_TOKEN: &str = "demo-acme";
-/// The demo's bearer token for operators.
+/// Bearer token of the demo's operators.
 pub const DEMO_OPERATOR_TOKEN: &str = "demo-operator";
 
 const DOMAINS: [&str; 3] = ["txc-a", "txc-b", "txc-c"];
 const ENGINES_PER_DOMAIN: usize = 3;
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Stand-ins and daemons in this process.
+/// Stand-ins for the platform and the upstreams, and daemons, all in this process.
 pub struct DemoWorld {
-    /// The platform's address.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// The daemons.
+    /// One daemon per failure domain.
     pub daemons: Vec<Daemon>,
-    /// The engines' names and addresses.
+    /// Names and addresses of the engines.
     pub engines: Vec<(String, SocketAddr)>,
     standins: Vec<Running>,
 }
 
 impl DemoWorld {
-    /// Starts everything and publishes the table.
+    /// Starts the platform, the upstreams and the daemons, publishes the table, and waits until
+    /// all daemons are ready.
     pub async fn start() -> Result<Self, CliError> {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let platform = Platform::start(any).await?;
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let platform = Platform::start(any_port).await?;
         let mut world = Self {
             platform: platform.addr(),
             daemons: Vec::new(),
             engines: Vec::new(),
             standins: vec![platform],
         };
-        let boxes = world.start_upstreams(any).await?;
+        let boxes = world.start_upstreams(any_port).await?;
         world.control("boxes", &value!(boxes)).await?;
         let log = PlatformHttp::new(world.platform);
         publish(&log, &TableFile::parse("demo-table.toml", DEMO_TABLE)?).await?;
@@ -56,14 +57,14 @@
         Ok(world)
     }
 
-    /// Announces that boxes will be taken back.
+    /// Lets the platform announce that it reclaims boxes after a notice.
     pub async fn reclaim(&self, boxes: &[&str], notice_ms: u64) -> Result<(), CliError> {
         let order = value!({ "boxes": boxes, "notice_ms": notice_ms });
         self.control("reclaim", &order).await
     }
 
-    /// Stops an engine, as when its box is taken.
-    pub fn take(&self, name: &str) {
+    /// Stops an engine, as the reclaim of its box does.
+    pub fn stop_engine(&self, name: &str) {
         let addr = self
             .engines
             .iter()
@@ -74,7 +75,7 @@
         }
     }
 
-    async fn start_upstreams(&mut self, any: SocketAddr) -> Result<Vec<Value>, CliError> {
+    async fn start_upstreams(&mut self, any_port: SocketAddr) -> Result<Vec<Value>, CliError> {
         let mut boxes = Vec::new();
         for domain in DOMAINS {
             for n in 1..=ENGINES_PER_DOMAIN {
@@ -83,9 +84,16 @@
                     name: name.clone(),
                     ..EngineConfig::default()
                 };
-                let engine = Engine::start(any, cfg).await?;
+                let engine = Engine::start(any_port, cfg).await?;
                 let class = if n == 1 { "on-demand" } else { "reclaimable" };
-                boxes.push(listed(&name, domain, "engine", "assistant", class, &engine));
+                boxes.push(box_entry(
+                    &name,
+                    domain,
+                    "engine",
+                    "assistant",
+                    class,
+                    &engine,
+                ));
                 self.engines.push((name, engine.addr()));
                 self.standins.push(engine);
             }
@@ -96,8 +104,15 @@
                     work_ms: 3,
                     checks_fence: service == "codes",
                 };
-                let plain = Plain::start(any, cfg).await?;
-                boxes.push(listed(&name, domain, "plain", service, "on-demand", &plain));
+                let plain = Plain::start(any_port, cfg).await?;
+                boxes.push(box_entry(
+                    &name,
+                    domain,
+                    "plain",
+                    service,
+                    "on-demand",
+                    &plain,
+                ));
                 self.standins.push(plain);
             }
         }
@@ -132,7 +147,8 @@
             let mut phase = daemon.world().phase.subscribe();
             let _ = phase.wait_for(|_| daemon.world().is_ready()).await;
         }
-        // Each has heard of the others, so that the first request gets its copy.
+        // A request is copied to another box before its answer is shown, so every daemon has to
+        // know the others before the first request.
         for daemon in &self.daemons {
             while daemon.world().holder_candidates().len() + 1 < DOMAINS.len() {
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -140,8 +156,8 @@
         }
     }
 
-    async fn control(&self, what: &str, order: &Value) -> Result<(), CliError> {
-        let path = format!("/control/{what}");
+    async fn control(&self, command: &str, order: &Value) -> Result<(), CliError> {
+        let path = format!("/control/{command}");
         let body = order.to_string();
         let client = HttpClient::default();
         client
@@ -151,7 +167,7 @@
     }
 }
 
-fn listed(
+fn box_entry(
     name: &str,
     domain: &str,
     kind: &str,
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -17,15 +17,15 @@
         files.push(file);
     }
     finish(args)?;
-    let story = request_history(&request, log_sources(&files)?)?;
-    if story.is_empty() {
+    let history = request_history(&request, log_sources(&files)?)?;
+    if history.is_empty() {
         return Err(CliError::Failed(format!("no line names request {request}")));
     }
-    print!("{story}");
+    print!("{history}");
     Ok(())
 }
 
-/// Opens log files; standard input without any.
+/// Opens log files, or standard input if no file is given.
 pub fn log_sources(files: &[PathBuf]) -> Result<Vec<LogSource>, CliError> {
     if files.is_empty() {
         return Ok(vec![("-".into(), Box::new(BufReader::new(stdin())))]);
--- a/src/cli/gateway_command.rs
+++ b/src/cli/gateway_command.rs
@@ -11,7 +11,7 @@
     tokio::signal::unix::{Signal, SignalKind, signal},
 };
 
-/// Names the settings file where the command line doesn't.
+/// Environment variable with the path of the settings file, used without `--settings`.
 const SETTINGS_VARIABLE: &str = "SADDLEPULLEY_NODE_FILE";
 
 /// Runs `gateway`.
@@ -26,21 +26,21 @@
     let path = path.or_else(from_variable).ok_or_else(|| {
         CliError::Usage(format!("expected --settings FILE or {SETTINGS_VARIABLE}"))
     })?;
-    // One machine has a fraction of one core: more threads would only wait.
+    // A box has a fraction of one processor core: more threads would only wait for it.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    // First of all: until then a hangup ends the process.
+    // Handlers are installed before anything else: without one, SIGHUP ends the process.
     let signals = {
         let _context = runtime.enter();
-        Signals::take_over()?
+        Signals::install()?
     };
     let settings = GatewaySettings::read(&path)?;
     LogWriter::install().map_err(|e| CliError::Failed(e.to_string()))?;
     runtime.block_on(run_gateway(settings, signals))
 }
 
-/// The signals that a daemon takes in.
+/// The signals that a daemon handles.
 struct Signals {
     term: Signal,
     interrupt: Signal,
@@ -48,7 +48,7 @@
 }
 
 impl Signals {
-    fn take_over() -> std::io::Result<Self> {
+    fn install() -> std::io::Result<Self> {
         Ok(Self {
             term: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -56,14 +56,14 @@
         })
     }
 
-    /// Waits for a planned stop.
-    async fn until_stop(mut self) {
+    /// Waits for SIGTERM or SIGINT, which start a planned stop.
+    async fn wait_for_stop(mut self) {
         loop {
             tokio::select! {
                 _ = self.term.recv() => return,
                 _ = self.interrupt.recv() => return,
-                // Nothing in the settings changes while a daemon runs.
-                _ = self.hangup.recv() => log::info!(target: "gateway", "hangup: settings are read at the next start"),
+                // Settings are not reloaded while a daemon runs.
+                _ = self.hangup.recv() => log::info!(target: "gateway", "SIGHUP ignored. settings are read only at the start"),
             }
         }
     }
@@ -86,7 +86,7 @@
             attach_platform(&mut process, store, cloud);
         }
     }
-    signals.until_stop().await;
+    signals.wait_for_stop().await;
     process.stop().await;
     log::logger().flush();
     Ok(())
--- a/src/cli/logs.rs
+++ b/src/cli/logs.rs
@@ -3,16 +3,18 @@
     std::{io, time::SystemTime},
 };
 
-/// Sends logs to standard error: a time, a level, the part's name and a short sentence.
+/// Installs a logger that writes to standard error: time, level, the part of the daemon that logs,
+/// and the message.
 ///
 /// # Errors
 ///
-/// Returns an error if logs were set up before.
+/// Returns an error if a logger is already installed.
 pub fn start_logs(s: &LogSettings) -> Result<(), log::SetLoggerError> {
     let format = s.format;
     fern::Dispatch::new()
         .level(s.level)
-        // Our parts have short names; libraries log by their module paths.
+        // The targets of this crate are short names; libraries log under their module paths,
+        // which contain `::`.
         .filter(|meta| !meta.target().contains("::"))
         .format(move |out, message, record| {
             let time = humantime::format_rfc3339_millis(SystemTime::now());
--- a/src/cli/operator_client.rs
+++ b/src/cli/operator_client.rs
@@ -7,19 +7,19 @@
 
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Calls daemons on their operators' addresses.
+/// Client for the operator endpoints of daemons.
 pub struct OperatorClient {
     client: HttpClient,
     headers: HeaderMap,
 }
 
 impl OperatorClient {
-    /// Makes a client with the token of the environment.
+    /// Makes a client with the bearer token in `SADDLEPULLEY_TOKEN`.
     pub fn from_env() -> Self {
         Self::with_token(&env::var("SADDLEPULLEY_TOKEN").unwrap_or_default())
     }
 
-    /// Makes a client with a token.
+    /// Makes a client with a bearer token.
     pub fn with_token(token: &str) -> Self {
         let mut headers = HeaderMap::new();
         if let Ok(mut value) = HeaderValue::from_str(&format!("Bearer {token}")) {
@@ -38,7 +38,7 @@
         Ok(from_json(&self.client.call(req, TIMEOUT).await?)?)
     }
 
-    /// Tells a daemon to drain.
+    /// Makes a daemon drain.
     pub async fn drain(&self, at: SocketAddr) -> Result<(), CliError> {
         let req = request("POST", at, "/drain", &self.headers, Default::default())?;
         self.client.call(req, TIMEOUT).await?;
@@ -46,10 +46,10 @@
     }
 }
 
-/// Reads a list of addresses.
+/// Parses a comma-separated list of addresses.
 pub fn parse_addrs(text: &str) -> Result<Vec<SocketAddr>, CliError> {
-    let wrong = |part: &str| CliError::Usage(format!("expected IP:port, found `{part}`"));
+    let usage_error = |part: &str| CliError::Usage(format!("expected IP:port, found `{part}`"));
     text.split(',')
-        .map(|part| part.trim().parse().map_err(|_| wrong(part)))
+        .map(|part| part.trim().parse().map_err(|_| usage_error(part)))
         .collect()
 }
--- a/src/cli/rollout_command.rs
+++ b/src/cli/rollout_command.rs
@@ -6,10 +6,10 @@
     std::{collections::BTreeMap, path::PathBuf},
 };
 
-/// The part of the log that tells of roll-outs.
-const PART: &str = "rollout";
-/// How a leader's line begins that tells of a step.
-const STEP: &str = "step.";
+/// The part under which daemons log rollouts.
+const ROLLOUT_PART: &str = "rollout";
+/// Start of the message that the leader of a rollout logs at each step.
+const STEP_PREFIX: &str = "step.";
 
 /// Runs `rollout`.
 pub fn rollout(mut args: Arguments) -> Result<(), CliError> {
@@ -24,18 +24,18 @@
     }
 }
 
-/// Prints the newest step of each service's roll-out.
+/// Prints the newest step of each service's rollout.
 fn status(args: Arguments, as_json: bool) -> Result<(), CliError> {
     let mut newest: BTreeMap<String, SourcedLine> = BTreeMap::new();
-    for told in steps(args, |_| true)? {
-        let service = told.line.value("service").unwrap_or_default().to_string();
-        newest.insert(service, told);
+    for step in steps(args, |_| true)? {
+        let service = step.line.value("service").unwrap_or_default().to_string();
+        newest.insert(service, step);
     }
     let newest: Vec<SourcedLine> = newest.into_values().collect();
     print_lines(&newest, as_json)
 }
 
-/// Prints each step of a service's roll-outs, with the figures that decided.
+/// Prints each step of a service's rollouts, with the figures that decided on it.
 fn explain(mut args: Arguments, as_json: bool) -> Result<(), CliError> {
     let service: String = args.free_from_str()?;
     let lines = steps(args, |line| line.value("service") == Some(&service))?;
@@ -51,15 +51,16 @@
         files.push(file);
     }
     finish(args)?;
-    let is_step =
-        |line: &LogLine| line.part == PART && line.message.starts_with(STEP) && is_wanted(line);
+    let is_step = |line: &LogLine| {
+        line.part == ROLLOUT_PART && line.message.starts_with(STEP_PREFIX) && is_wanted(line)
+    };
     Ok(read_lines(log_sources(&files)?, is_step)?)
 }
 
 fn print_lines(lines: &[SourcedLine], as_json: bool) -> Result<(), CliError> {
     if lines.is_empty() {
         return Err(CliError::Failed(
-            "no line tells of a step of a roll-out".into(),
+            "no log line reports a rollout step".into(),
         ));
     }
     match as_json {
@@ -69,8 +70,8 @@
     Ok(())
 }
 
-fn step_as_json(told: &SourcedLine) -> Value {
-    let fields = told.line.message.split_whitespace();
+fn step_as_json(logged: &SourcedLine) -> Value {
+    let fields = logged.line.message.split_whitespace();
     let fields = fields.filter_map(|field| field.split_once('='));
     let mut step: Map<String, Value> = fields
         .map(|(name, value)| {
@@ -78,7 +79,7 @@
             (name.to_string(), number.unwrap_or_else(|_| json!(value)))
         })
         .collect();
-    step.insert("time_ms".into(), json!(told.line.time_ms));
-    step.insert("source".into(), json!(told.source));
+    step.insert("time_ms".into(), json!(logged.line.time_ms));
+    step.insert("source".into(), json!(logged.source));
     Value::Object(step)
 }
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -8,7 +8,7 @@
     std::{ffi::OsString, process::ExitCode},
 };
 
-/// Runs the command line and returns the exit code.
+/// Runs the command that the arguments name and returns the exit code.
 pub fn run(args: Vec<OsString>) -> ExitCode {
     match dispatch(Arguments::from_vec(args)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -43,8 +43,8 @@
     run(args)
 }
 
-/// Returns the version of this build, that of the messages which its daemons speak, and the
-/// oldest that they speak with others.
+/// Returns the version of this build, the version of the messages that its daemons send, and the
+/// oldest message version that they accept from other daemons.
 fn version() -> String {
     format!(
         "saddlepulley {}, messages {DATAGRAM_VERSION}, speaks with daemons from messages \
@@ -72,11 +72,11 @@
     Some(found)
 }
 
-/// Runs a future on a runtime with a pool of workers.
+/// Runs a future to completion on a multi-threaded runtime.
 ///
 /// # Errors
 ///
-/// Returns the future's error, or that of starting the runtime.
+/// Returns the error of the future, or an error if the runtime can't be started.
 pub fn block_on<T>(f: impl Future<Output = Result<T, CliError>>) -> Result<T, CliError> {
     tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -84,11 +84,11 @@
         .block_on(f)
 }
 
-/// Refuses arguments that no command took.
+/// Refuses arguments that the command did not use.
 ///
 /// # Errors
 ///
-/// Returns [`CliError::Usage`] that names them.
+/// Returns [`CliError::Usage`] with the unused arguments.
 pub fn finish(args: Arguments) -> Result<(), CliError> {
     let rest = args.finish();
     if rest.is_empty() {
--- a/src/cli/table_command.rs
+++ b/src/cli/table_command.rs
@@ -12,18 +12,18 @@
 };
 
 const DEFAULT_WAIT_S: u64 = 30;
-const POLL: Duration = Duration::from_millis(100);
-/// How often an append is tried whose answer is lost or refused.
-const APPEND_TRIES: u32 = 5;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Largest number of attempts to append an edit whose answer is lost or refused.
+const MAX_APPEND_ATTEMPTS: u32 = 5;
 
-/// An edit or snapshot of the log with what became of it.
-pub struct Folded {
-    /// The offset in the log.
+/// A record of the table's log and the outcome of folding it.
+pub struct FoldedRecord {
+    /// Offset of the record in the log.
     pub offset: u64,
     /// The record.
     pub record: TableRecord,
-    /// What became of it.
-    pub verdict: EditOutcome,
+    /// Outcome of folding the record.
+    pub outcome: EditOutcome,
 }
 
 /// Runs `table`.
@@ -70,10 +70,10 @@
     }
 }
 
-/// Publishes a file as one edit, and returns the version that it made.
+/// Publishes a file as one edit and returns the version of the table that the edit produced.
 ///
-/// The edit's identity makes an append that is repeated after a lost answer
-/// fold once.
+/// An append whose answer is lost is retried. Its edit keeps its identity, so that it is folded
+/// only once.
 pub async fn publish(log: &dyn PlatformLog, file: &TableFile) -> Result<u64, CliError> {
     let records = read_log(log).await?;
     let edit = edit_for(&records, file)?;
@@ -82,57 +82,58 @@
     }
     let id = edit.id;
     let data = serde_json::to_string(&TableRecord::Edit(edit)).unwrap_or_default();
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let appended = log.append(TABLE_STREAM, data.clone()).await;
         match read_table(log).await {
             Ok((_, folded)) => {
-                if let Some(verdict) = verdict_of(&folded, id) {
-                    return to_version(verdict);
+                if let Some(outcome) = outcome_of(&folded, id) {
+                    return accepted_version(outcome);
                 }
             }
-            Err(e) if tries >= APPEND_TRIES => return Err(e),
+            Err(e) if attempts >= MAX_APPEND_ATTEMPTS => return Err(e),
             Err(_) => {}
         }
-        if tries >= APPEND_TRIES {
+        if attempts >= MAX_APPEND_ATTEMPTS {
             appended?;
             return Err(CliError::Failed("the edit is not in the log".to_string()));
         }
-        tokio::time::sleep(POLL * tries).await;
+        tokio::time::sleep(POLL_INTERVAL * attempts).await;
     }
 }
 
-/// Reads the table from the log, with every record's verdict.
+/// Reads the table from the log, with the outcome of every record.
 ///
 /// # Errors
 ///
-/// Returns how the log could not be read, or that it has no start.
-pub async fn read_table(log: &dyn PlatformLog) -> Result<(Table, Vec<Folded>), CliError> {
+/// Returns an error if the log can't be read, or if its first records are gone and no snapshot
+/// replaces them.
+pub async fn read_table(log: &dyn PlatformLog) -> Result<(Table, Vec<FoldedRecord>), CliError> {
     read_log(log).await?.fold()
 }
 
-/// What the log's stream of the table holds.
+/// The records of the log's `table` stream, from the oldest that the log still holds.
 struct TableLog {
     first: u64,
     records: Vec<(u64, TableRecord)>,
 }
 
 impl TableLog {
-    fn fold(&self) -> Result<(Table, Vec<Folded>), CliError> {
+    fn fold(&self) -> Result<(Table, Vec<FoldedRecord>), CliError> {
         let mut table = self.start()?;
         let mut folded = Vec::new();
         for (offset, record) in &self.records {
-            folded.push(Folded {
+            folded.push(FoldedRecord {
                 offset: *offset,
                 record: record.clone(),
-                verdict: table.fold(*offset, record.clone()),
+                outcome: table.fold(*offset, record.clone()),
             });
         }
         Ok((table, folded))
     }
 
-    /// Returns the table as it was at a version, if the log still tells.
+    /// Returns the table as it was at a version, or none if the log no longer holds that version.
     fn at_version(&self, version: u64) -> Option<Table> {
         let mut table = if version == 0 {
             return Some(Table::default());
@@ -180,13 +181,13 @@
     Ok(TableLog { first, records })
 }
 
-/// Works out the edit that a file makes. What already stands in the table is no
-/// change.
+/// Computes the edit that a file makes to the table. Changes that the table already has are left
+/// out.
 fn edit_for(log: &TableLog, file: &TableFile) -> Result<Edit, CliError> {
     let (current, _) = log.fold()?;
     let Some(base) = log.at_version(file.based_on) else {
         let why = format!(
-            "all rows: `based_on = {}` is older than the log tells",
+            "all rows: the log no longer holds the version `based_on = {}`",
             file.based_on
         );
         return Err(CliError::Conflict(why));
@@ -204,54 +205,54 @@
     })
 }
 
-fn verdict_of(folded: &[Folded], id: Uuid) -> Option<EditOutcome> {
-    let is_it = |f: &&Folded| matches!(&f.record, TableRecord::Edit(e) if e.id == id);
-    folded.iter().find(is_it).map(|f| f.verdict.clone())
+fn outcome_of(folded: &[FoldedRecord], id: Uuid) -> Option<EditOutcome> {
+    let is_it = |f: &&FoldedRecord| matches!(&f.record, TableRecord::Edit(e) if e.id == id);
+    folded.iter().find(is_it).map(|f| f.outcome.clone())
 }
 
-fn to_version(verdict: EditOutcome) -> Result<u64, CliError> {
-    match verdict {
+fn accepted_version(outcome: EditOutcome) -> Result<u64, CliError> {
+    match outcome {
         EditOutcome::Accepted(version) => Ok(version),
         EditOutcome::Conflict(keys) => Err(CliError::Conflict(keys.join(", "))),
         EditOutcome::Invalid(why) => Err(CliError::Failed(why)),
         EditOutcome::Doubled | EditOutcome::Stale => {
-            Err(CliError::Failed("the edit was folded before".to_string()))
+            Err(CliError::Failed("the edit was already folded".to_string()))
         }
     }
 }
 
-/// Waits until a version is in force on all named daemons, and shows when it
-/// came in force in each failure domain.
+/// Waits until a version is in force on all given daemons, and prints for each failure domain
+/// when it came in force.
 async fn wait_in_force(version: u64, at: &[SocketAddr], wait: Duration) -> Result<(), CliError> {
     let client = OperatorClient::from_env();
     let started = Instant::now();
-    let mut open: Vec<SocketAddr> = at.to_vec();
+    let mut pending: Vec<SocketAddr> = at.to_vec();
     let mut domains: BTreeMap<FailureDomain, Duration> = BTreeMap::new();
-    while !open.is_empty() {
-        let mut still = Vec::new();
-        for addr in open {
+    while !pending.is_empty() {
+        let mut not_reached = Vec::new();
+        for addr in pending {
             match client.status(addr).await {
                 Ok(s) if s.table_version >= version => {
                     domains.insert(s.failure_domain, started.elapsed());
                 }
-                _ => still.push(addr),
+                _ => not_reached.push(addr),
             }
         }
-        open = still;
+        pending = not_reached;
         if started.elapsed() > wait {
             break;
         }
-        if !open.is_empty() {
-            tokio::time::sleep(POLL).await;
+        if !pending.is_empty() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     for (domain, after) in &domains {
         println!("in force. domain={domain} after_ms={}", after.as_millis());
     }
-    if open.is_empty() {
+    if pending.is_empty() {
         return Ok(());
     }
-    Err(CliError::Failed(format!("not in force yet on {open:?}")))
+    Err(CliError::Failed(format!("not in force yet on {pending:?}")))
 }
 
 fn print_edit(edit: &Edit) {
@@ -268,7 +269,7 @@
     }
 }
 
-fn print_log(folded: &[Folded]) {
+fn print_log(folded: &[FoldedRecord]) {
     for f in folded {
         match &f.record {
             TableRecord::Edit(e) => {
@@ -277,7 +278,7 @@
                     "{} edit {} {:?} {}",
                     f.offset,
                     e.id,
-                    f.verdict,
+                    f.outcome,
                     keys.join(", ")
                 );
             }
