--- a/src/conf/checked_numbers.rs
+++ b/src/conf/checked_numbers.rs
@@ -1,10 +1,10 @@
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// Reads a share.
+/// Deserializes a share, a number above 0 and at most 1.
 ///
 /// # Errors
 ///
-/// Returns what was expected if it is not above 0 and at most 1.
+/// Returns an error that names the number if it is out of this range.
 pub fn share<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let number = f64::deserialize(deserializer)?;
     match number > 0.0 && number <= 1.0 {
@@ -15,11 +15,11 @@
     }
 }
 
-/// Reads a length, a factor or an amount.
+/// Deserializes a finite number above 0, such as a duration or a factor.
 ///
 /// # Errors
 ///
-/// Returns what was expected if it is not above 0 or not finite.
+/// Returns an error that names the number if it is not above 0, or not finite.
 pub fn positive<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let number = f64::deserialize(deserializer)?;
     match number > 0.0 && number.is_finite() {
@@ -30,11 +30,11 @@
     }
 }
 
-/// Reads an amount that may be nothing.
+/// Deserializes a finite number that is 0 or more.
 ///
 /// # Errors
 ///
-/// Returns what was expected if it is below 0 or not finite.
+/// Returns an error that names the number if it is below 0, or not finite.
 pub fn not_negative<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let number = f64::deserialize(deserializer)?;
     match number >= 0.0 && number.is_finite() {
@@ -45,11 +45,11 @@
     }
 }
 
-/// Reads a count.
+/// Deserializes a count of at least 1.
 ///
 /// # Errors
 ///
-/// Returns what was expected if it is 0.
+/// Returns an error if the count is 0.
 pub fn at_least_one<'de, D: Deserializer<'de>>(deserializer: D) -> Result<usize, D::Error> {
     match usize::deserialize(deserializer)? {
         0 => Err(D::Error::custom("expected 1 or more, found 0")),
--- a/src/conf/conf_error.rs
+++ b/src/conf/conf_error.rs
@@ -1,22 +1,22 @@
 use std::path::PathBuf;
 
-/// Says what is wrong with the settings, and where.
+/// A fault in a settings file, and its place.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum ConfError {
-    /// {path}: can't be read: {source}
+    /// {path}: failed to read the file: {source}
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the failure.
         source: std::io::Error,
     },
     /// {path}:{line}: {message}
     Parse {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The line, from 1.
+        /// Number of the line, counted from 1.
         line: usize,
-        /// What was expected.
+        /// What is wrong, or what was expected instead.
         message: String,
     },
 }
--- a/src/conf/gateway_settings.rs
+++ b/src/conf/gateway_settings.rs
@@ -14,47 +14,47 @@
     },
 };
 
-/// The settings of a daemon on the routed path (`saddlepulley gateway`).
+/// Settings of a daemon that routes by host and path (`saddlepulley gateway`).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// This machine.
+    /// Identity of this box.
     pub node: NodeSettings,
-    /// Where it listens.
+    /// Addresses that the daemon listens on.
     pub listen: GatewayListen,
-    /// Where configuration and upstreams come from.
+    /// Source of the configuration and of the list of upstreams.
     pub source: SourceSettings,
-    /// Other daemons.
+    /// How other daemons are found.
     #[serde(default)]
     pub peers: GatewayPeers,
-    /// Bounds that hold for all daemons.
+    /// Bounds that hold for all daemons together.
     #[serde(default)]
     pub bounds: GatewayBounds,
-    /// Duties that one daemon has at a time.
+    /// Duties, which one daemon at a time performs for all.
     #[serde(default)]
     pub duties: DutySettings,
-    /// By which weights fleets are planned.
+    /// Policy by which fleets are planned.
     #[serde(default)]
     pub fleet: FleetPolicy,
-    /// What is reckoned with before any answer was seen.
+    /// Estimates that are used until answers have been observed.
     #[serde(default)]
-    pub first_guess: FirstGuess,
-    /// Which mechanisms are on.
+    pub first_guess: InitialEstimates,
+    /// Switches for single mechanisms.
     #[serde(default)]
     pub mechanisms: Mechanisms,
 }
 
-/// Who this machine is.
+/// Identity of a box, and the failure domains.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Its name.
+    /// Name of the box.
     pub name: BoxId,
-    /// Its failure domain; `zone` in files for earlier builds.
+    /// Failure domain of the box; `zone` in files for earlier builds.
     #[serde(alias = "zone")]
     pub domain: FailureDomain,
-    /// Its share of processor cores: where boxes differ, the larger ones of a
-    /// failure domain place requests for the others.
+    /// Processor cores that the box has; may be a fraction. Where boxes differ, the larger ones
+    /// of a failure domain place requests for the others.
     #[serde(default = "one_core", deserialize_with = "positive")]
     pub capacity: f64,
     /// All failure domains, with their regions; `zones` in files for earlier builds.
@@ -66,49 +66,49 @@
     1.0
 }
 
-/// Where the daemon listens.
+/// Addresses that the daemon listens on.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewayListen {
-    /// For clients.
+    /// Address for clients.
     pub clients: SocketAddr,
-    /// For the balancer's question whether it is ready.
+    /// Address for the readiness checks of the load balancer.
     pub readiness: SocketAddr,
-    /// For other daemons, by TCP and UDP.
+    /// Address for other daemons, over TCP and UDP.
     pub peers: SocketAddr,
-    /// For metrics.
+    /// Address that serves metrics; none are served without it.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// Where configuration and upstreams come from.
+/// Source of the configuration and of the list of upstreams.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", tag = "kind")]
 pub enum SourceSettings {
-    /// A file of routes and upstreams, read again when it changes.
+    /// A file of routes and upstreams, which is read again when it changes.
     File {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The users' platform.
+    /// The platform on which the boxes run.
     Platform {
-        /// The address of its store.
+        /// Address of the platform's store.
         store: SocketAddr,
-        /// The address of its API for duties.
+        /// Address of the platform's API that duties call.
         #[serde(default)]
         cloud: Option<SocketAddr>,
     },
 }
 
-/// Other daemons.
+/// How other daemons are found.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayPeers {
-    /// Daemons to ask first; some may be gone.
+    /// Daemons that are queried at the start, before others are known; some may be gone.
     pub seeds: Vec<SocketAddr>,
-    /// How long a daemon that starts waits for its seeds before it reads the
-    /// shared source itself, in milliseconds: daemons that start together would all
-    /// read it at once. It should be longer than the time within which they start.
+    /// How long a starting daemon waits for its seeds before it reads the shared source itself,
+    /// in milliseconds. Without the wait, daemons that start together would all read the source
+    /// at once; it should be longer than the time within which they start.
     pub seeds_patience_ms: u64,
 }
 
@@ -125,21 +125,20 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayBounds {
-    /// Repeated sends for each first one.
+    /// Retries to a service per first send, over all daemons.
     pub retry_ratio: f64,
-    /// Repeated sends on top of the ratio, in a window of some seconds.
+    /// Retries allowed on top of the ratio in a window of some seconds, over all daemons.
     pub retry_slack: f64,
-    /// How long a planned stop may take, in seconds.
+    /// Longest duration of a planned stop, in seconds.
     pub stop_s: f64,
-    /// Within how long after its source says that an upstream leaves no daemon
-    /// may send it work, in milliseconds.
+    /// Time after the source reports that an upstream is leaving, from which on no daemon may
+    /// send it requests, in milliseconds.
     pub drain_ms: u64,
-    /// The part of a service's requests that a new version may get which turns out to
-    /// be bad.
+    /// Largest share of a service's requests that a bad new version may receive.
     pub canary_share: f64,
-    /// How exactly quotas have to hold.
+    /// How far quotas may be exceeded.
     pub quotas: QuotaBounds,
-    /// When a request is held back under which upstreams end.
+    /// When a request is held back because upstreams crash while they run it.
     pub quarantine: QuarantineBounds,
 }
 
@@ -157,19 +156,19 @@
     }
 }
 
-/// Duties that one daemon has at a time.
+/// Settings of the duties, which one daemon at a time performs for all.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DutySettings {
-    /// Whether usage is reported.
+    /// Report the usage of client accounts.
     pub usage: bool,
-    /// Whether upstreams are ordered.
+    /// Order upstreams by demand.
     pub scaling: bool,
-    /// How long the lease of the duties lasts, in milliseconds.
+    /// Duration of the lease on the duties, in milliseconds.
     pub lease_ms: u64,
-    /// The length of a window of usage, in seconds.
+    /// Length of a usage window, in seconds.
     pub usage_window_s: u64,
-    /// How long after its end a window's usage is due, in seconds.
+    /// Time after the end of a window at which its usage is due, in seconds.
     pub usage_delay_s: u64,
 }
 
@@ -185,23 +184,23 @@
     }
 }
 
-/// What a daemon reckons with at upstreams before it has seen answers: it only
-/// sets off the parts of an estimate against each other for the first second.
+/// Estimates of the times at upstreams, used until answers have been observed. They only weigh the
+/// parts of a placement estimate against each other, for the first second.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct FirstGuess {
-    /// How long an engine takes to read a prompt token, in milliseconds.
+pub struct InitialEstimates {
+    /// Prefill time of an engine per prompt token, in milliseconds.
     #[serde(deserialize_with = "positive")]
     pub ms_per_token: f64,
-    /// How long a first event takes where nothing waits, in milliseconds.
+    /// Time to the first event at an upstream with no waiting requests, in milliseconds.
     #[serde(deserialize_with = "positive")]
     pub first_event_ms: f64,
-    /// How long a request stays at an upstream, in milliseconds.
+    /// Time that a request spends at an upstream, in milliseconds.
     #[serde(deserialize_with = "positive")]
     pub stay_ms: f64,
 }
 
-impl Default for FirstGuess {
+impl Default for InitialEstimates {
     fn default() -> Self {
         Self {
             ms_per_token: 0.02,
@@ -212,11 +211,11 @@
 }
 
 impl GatewaySettings {
-    /// Reads and checks a file.
+    /// Reads and parses a settings file.
     ///
     /// # Errors
     ///
-    /// Returns the file and line that are wrong.
+    /// Returns an error if the file can't be read, or the line that is wrong.
     pub fn read(path: &Path) -> Result<Self, ConfError> {
         let text = fs::read_to_string(path).map_err(|source| ConfError::Read {
             path: path.to_path_buf(),
@@ -225,11 +224,11 @@
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Parses the text of a file; `path` is only named in errors.
+    /// Parses the text of a file; `path` is used only in errors.
     ///
     /// # Errors
     ///
-    /// Returns the line that is wrong and what was expected.
+    /// Returns the line that is wrong, and what was expected.
     pub fn parse(path: &str, text: &str) -> Result<Self, ConfError> {
         toml::from_str(text).map_err(|e| ConfError::Parse {
             path: path.to_string(),
--- a/src/conf/mechanisms.rs
+++ b/src/conf/mechanisms.rs
@@ -1,19 +1,20 @@
 use serde::Deserialize;
 
-/// Mechanisms that can be switched off, one by one, to measure what each is
-/// worth (docs/DECISIONS.md has the table). All are on by default.
+/// Mechanisms that can be switched off one by one, to measure the effect of each. All are on by
+/// default.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Mechanisms {
-    /// Engines' reading speed is learned; else the first guess stays in force.
+    /// Learn the prefill speed of engines; if off, the speed in `first_guess` stays in force.
     pub learned_speed: bool,
-    /// The slack of the quotas' bound covers what daemons have not heard yet.
+    /// Use the slack in the bound on quotas for admissions at other daemons that have not been
+    /// announced yet; if off, quotas have no slack.
     pub quota_slack: bool,
-    /// Requests are held a little for their quota's turn and for the first
-    /// configuration; else they are sent back at once.
+    /// Hold requests for a short time until their quota admits them or the first configuration
+    /// arrives; if off, they are refused at once.
     pub held_requests: bool,
-    /// Prompts that share parts have a home among the upstreams that all daemons
-    /// agree on; else each daemon goes by what it has sent where itself.
+    /// Give prompts that share parts a home upstream on which all daemons agree; if off, each
+    /// daemon relies only on what it has itself sent to each upstream.
     pub homes: bool,
 }
 
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon and of the operator's command line.
+//! Settings files of the daemons, with their defaults and checks.
 
 mod checked_numbers;
 mod conf_error;
--- a/src/conf/settings.rs
+++ b/src/conf/settings.rs
@@ -5,62 +5,62 @@
     std::{fs, net::SocketAddr, path::Path, path::PathBuf},
 };
 
-/// The settings of one daemon.
+/// Settings of a daemon on an entry box (`saddlepulley serve`).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This box.
+    /// Identity of this box.
     #[serde(rename = "box")]
     pub this_box: BoxSettings,
-    /// Where it listens.
+    /// Addresses that the daemon listens on.
     pub listen: ListenSettings,
-    /// The platform.
+    /// Access to the platform.
     pub platform: PlatformSettings,
-    /// Other daemons.
+    /// Links to other daemons.
     pub peers: PeerSettings,
-    /// Requests.
+    /// Bounds on requests.
     #[serde(default)]
     pub requests: RequestSettings,
-    /// Operators.
+    /// Authentication of operators.
     #[serde(default)]
     pub operators: OperatorSettings,
-    /// Logs.
+    /// Level and format of the logs.
     #[serde(default)]
     pub logs: LogSettings,
-    /// Mechanisms that a trial switches off.
+    /// Mechanisms that can be switched off in trials.
     #[serde(default)]
     pub trial: TrialSettings,
 }
 
-/// Mechanisms that can be switched off, to show what each is for. Only where
-/// links are plain, that is on loopback.
+/// Mechanisms that can be switched off, to show what each is for. Accepted only if links are
+/// plain, that is on loopback.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TrialSettings {
-    /// Requests are copied to another box before their answer is shown.
+    /// Copy requests to another box before their answer is shown.
     pub copies: bool,
-    /// Requests are handed over when this box will be taken back.
+    /// Hand requests over to other boxes when this box is about to be reclaimed.
     pub hand_over: bool,
-    /// An answer that was cut off goes on elsewhere.
+    /// Continue an answer that was cut off at another upstream.
     pub resume: bool,
-    /// A call that may run once is claimed in the log.
+    /// Claim calls that may run only once in the log.
     pub claims: bool,
-    /// A box that is leaving gets no new work.
+    /// Send no new requests to a box that is leaving.
     pub leaving: bool,
-    /// A stopping daemon finishes what is in flight.
+    /// Finish the requests in flight when the daemon stops.
     pub drain: bool,
-    /// Tables are relayed between daemons.
+    /// Relay tables between daemons.
     pub relay: bool,
-    /// Requests go to another failure domain if they would be late here.
+    /// Send requests to another failure domain if they would miss their target in this one.
     pub spill: bool,
-    /// Requests wait for a fair turn, and are refused early.
+    /// Queue requests fairly, and refuse them early.
     pub queue: bool,
-    /// Requests in flight at an upstream are limited adaptively. Off: the
-    /// measurement of the overload speaks against it (docs/MEASUREMENTS.md).
+    /// Limit the requests in flight at an upstream adaptively. Off by default: measured under
+    /// overload, the limit kept a burst from ending.
     pub limit: bool,
-    /// Retries are spent from the row's budget, with full jitter.
+    /// Take retries from the row's budget, and delay them with full jitter.
     pub budget: bool,
-    /// An answer that nobody waits for any more is cancelled at its deadline.
+    /// Cancel an answer at its deadline when nobody waits for it any more.
     pub cancel: bool,
 }
 
@@ -83,72 +83,73 @@
     }
 }
 
-/// Who this box is.
+/// Identity of a box.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoxSettings {
-    /// Its name.
+    /// Name of the box; no two boxes share one.
     pub id: BoxId,
-    /// Its failure domain.
+    /// Failure domain of the box.
     pub failure_domain: FailureDomain,
 }
 
-/// Where the daemon listens.
+/// Addresses that the daemon listens on.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For other daemons.
+    /// Address for other daemons.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Address for operators: status, drain, metrics.
     pub operators: SocketAddr,
-    /// The address that peers are told, where it isn't the one listened on.
+    /// Address that is announced to peers, if it differs from the one listened on.
     #[serde(default)]
     pub peers_advertised: Option<SocketAddr>,
 }
 
 impl ListenSettings {
-    /// Returns the address that peers are told.
+    /// Returns the address that is announced to peers.
     pub fn advertised(&self) -> SocketAddr {
         self.peers_advertised.unwrap_or(self.peers)
     }
 }
 
-/// Where the platform is.
+/// Access to the platform.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Its address.
+    /// Address of the platform.
     pub address: SocketAddr,
-    /// How long its log keeps a record, in seconds.
+    /// Retention of records in the platform's log, in seconds.
     #[serde(default = "default_log_retention_s")]
     pub log_retention_s: u64,
 }
 
-/// How daemons reach each other.
+/// Links between daemons.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Daemons to ask first.
+    /// Daemons that are queried at the start, before others are known.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Milliseconds between heartbeats.
+    /// Interval between heartbeats on a link, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// Milliseconds of silence after which a peer is taken as gone.
+    /// Silence after which a peer counts as gone, in milliseconds. The boxes that hold copies of
+    /// its requests then take these over.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
-    /// Whether links go without TLS.
+    /// Run links without TLS; allowed only on loopback.
     #[serde(default)]
     pub plain: bool,
-    /// The certificate's file.
+    /// File of this box's certificate.
     #[serde(default)]
     pub tls_cert: Option<PathBuf>,
-    /// The key's file.
+    /// File of the certificate's private key.
     #[serde(default)]
     pub tls_key: Option<PathBuf>,
-    /// The file of the authority's certificate.
+    /// File with the certificate of the authority that signs the certificates of all daemons.
     #[serde(default)]
     pub tls_ca: Option<PathBuf>,
 }
@@ -157,19 +158,20 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestSettings {
-    /// The window of a non-repeatable call's key, in seconds.
+    /// Window in which the key of a non-repeatable call is valid, in seconds. Shorter than the
+    /// log's retention less twice the clock skew.
     pub key_window_s: u64,
-    /// How far clocks may be apart, in seconds.
+    /// Largest difference between the clocks of callers and boxes, in seconds.
     pub clock_skew_s: u64,
-    /// How long a kept answer stays, in seconds.
+    /// How long the answer of a finished request is kept, in seconds.
     pub keep_answers_s: u64,
-    /// How much all kept answers may take, in bytes.
+    /// Total size of kept answers, in bytes.
     pub keep_answers_bytes: usize,
-    /// The largest body, in bytes.
+    /// Largest body of a request, in bytes.
     pub max_body_bytes: usize,
-    /// The most requests at once.
+    /// Largest number of concurrent requests on this box.
     pub max_requests: usize,
-    /// The deadline of a request that names none, in milliseconds.
+    /// Deadline of a request that names none, in milliseconds after its arrival.
     pub deadline_ms: u64,
 }
 
@@ -187,21 +189,21 @@
     }
 }
 
-/// Who may operate.
+/// Authentication of operators.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// SHA-256 of the operators' token, in hexadecimal.
+    /// SHA-256 of the operators' bearer token, in hexadecimal. If empty, operators are refused.
     pub token_sha256: String,
 }
 
-/// What is logged.
+/// Level and format of the logs.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The level.
+    /// Least severe level that is logged.
     pub level: log::LevelFilter,
-    /// The form.
+    /// Format of the lines.
     pub format: LogFormat,
 }
 
@@ -214,22 +216,22 @@
     }
 }
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// Text with key=value fields.
+    /// Text with `key=value` fields.
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads, parses and checks a settings file.
     ///
     /// # Errors
     ///
-    /// Returns the file, line and key that are wrong.
+    /// Returns an error if the file can't be read, or the line and key that are wrong.
     pub fn read(path: &Path) -> Result<Self, ConfError> {
         let text = fs::read_to_string(path).map_err(|source| ConfError::Read {
             path: path.to_path_buf(),
@@ -238,7 +240,7 @@
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Parses and checks the text of a file; `path` is only named in errors.
+    /// Parses and checks the text of a file; `path` is used only in errors.
     ///
     /// # Errors
     ///
@@ -309,7 +311,7 @@
 fn line_of_key(text: &str, key: &str) -> usize {
     let name_of = |line: &str| line.split('=').next().unwrap_or("").trim().to_string();
     let set = |line: &str| name_of(line) == key;
-    // A key that isn't set has its default; a commented one shows where it would stand.
+    // A key that isn't set has its default; a commented-out one shows where it belongs.
     let commented = |line: &str| name_of(line) == format!("# {key}");
     let found = text
         .lines()
