--- a/src/contracts/contract.rs
+++ b/src/contracts/contract.rs
@@ -14,45 +14,45 @@
     pub service: ServiceName,
     /// The failure domain that the row is for.
     pub failure_domain: FailureDomain,
-    /// The account's weight in fair sharing, 1 to 1,000.
+    /// Weight of the account in fair queueing, 1 to 1,000.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests a second that are admitted in this failure domain.
+    /// Requests admitted per second in this failure domain.
     #[serde(default = "default_rate")]
     pub rate: f64,
-    /// Requests at once in this failure domain.
+    /// Concurrent requests admitted in this failure domain.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
-    /// Prompt and answer tokens a second; 0 means no limit.
+    /// Prompt and answer tokens admitted per second; 0 means no limit.
     #[serde(default)]
     pub tokens_per_s: f64,
-    /// The target for the first token, or a plain call's answer, in milliseconds.
+    /// Target for the time to the first token, or to the answer of a plain call, in milliseconds.
     #[serde(default = "default_first_token_ms")]
     pub first_token_ms: u32,
-    /// The target for the time between tokens, in milliseconds.
+    /// Target for the time between tokens, in milliseconds.
     #[serde(default = "default_between_tokens_ms")]
     pub between_tokens_ms: u32,
-    /// The share of requests, between 0 and 1, that shall meet the targets.
+    /// Share of requests that should meet the targets, from 0 to 0.99999.
     #[serde(default = "default_objective")]
     pub objective: f64,
-    /// The share of each policy in the row's requests, in any unit.
+    /// Share of the row's requests that each policy gets, as a relative weight.
     #[serde(default = "default_policies")]
     pub policies: BTreeMap<PolicyName, u32>,
-    /// The class of box that the row's requests may run on.
+    /// Class of the boxes on which the row's requests may run.
     #[serde(default)]
     pub class: ClassPreference,
     /// Retries allowed per admitted request, 0 to 1.
     #[serde(default = "default_retry_budget")]
     pub retry_budget: f64,
-    /// Whether calls may be repeated when the caller doesn't say.
+    /// True if calls may be repeated unless the caller says otherwise.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
-    /// The priority passed to engines; higher goes first.
+    /// Priority that is passed to engines; higher goes first.
     #[serde(default)]
     pub priority: u8,
 }
 
-/// Which class of box the requests of a row may run on.
+/// The class of boxes on which the requests of a row may run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClassPreference {
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountEntry {
-    /// The account's name.
+    /// Name of the account.
     pub name: ClientAccount,
     /// SHA-256 of each valid bearer token, in hexadecimal.
     pub token_sha256: Vec<String>,
--- a/src/contracts/edit.rs
+++ b/src/contracts/edit.rs
@@ -5,7 +5,7 @@
     uuid::Uuid,
 };
 
-/// What the table holds under one key.
+/// An entry of the table, stored under one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Entry {
@@ -16,7 +16,7 @@
 }
 
 impl Entry {
-    /// Returns the key under which the table holds the entry.
+    /// Returns the key under which the table stores the entry.
     pub fn key(&self) -> String {
         match self {
             Self::Account(a) => format!("account:{}", a.name),
@@ -25,19 +25,19 @@
     }
 }
 
-/// One change of an edit: what stands under a key from now on.
+/// One change of an edit: the new value of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version of the entry that the change was based on; 0 for none.
+    /// Version of the entry that the change is based on; 0 if there was none.
     pub base: u64,
-    /// The new entry, or none to take it away.
+    /// The new entry, or none to remove the key.
     pub entry: Option<Entry>,
 }
 
 /// An edit of the table, as operators append it to the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// The edit's identity; an append that was doubled folds once.
+    /// Identity of the edit. An edit that was appended twice is folded once.
     pub id: Uuid,
     /// The changes by key.
     pub changes: BTreeMap<String, Change>,
@@ -49,6 +49,7 @@
 pub enum TableRecord {
     /// An edit.
     Edit(Edit),
-    /// The whole table at an earlier version, appended again before retention drops it.
+    /// The full table at an earlier version, appended before retention drops the records that it
+    /// was folded from.
     Snapshot(super::Table),
 }
--- a/src/contracts/mod.rs
+++ b/src/contracts/mod.rs
@@ -1,4 +1,5 @@
-//! Contracts: the rows of the table that operators publish, and how edits of it fold.
+//! Contracts: the rows of the table that operators publish, and the rule by which edits of the
+//! table are folded from the log.
 
 mod contract;
 mod edit;
--- a/src/contracts/table.rs
+++ b/src/contracts/table.rs
@@ -6,42 +6,43 @@
     uuid::Uuid,
 };
 
-/// How many edit identities the table remembers to fold a doubled append once.
-pub const REMEMBERED_EDITS: usize = 256;
+/// Number of edit identities that the table remembers, to fold an edit once that was appended
+/// twice.
+pub const MAX_REMEMBERED_EDITS: usize = 256;
 
 /// An entry with the version that set it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned {
-    /// The log offset, plus one, of the edit that set the entry.
+    /// Log offset, plus one, of the edit that set the entry.
     pub version: u64,
     /// The entry.
     pub entry: Entry,
 }
 
-/// What became of an edit.
+/// The outcome of folding a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EditOutcome {
-    /// It is in force from this version on.
+    /// The edit is in force from this version on.
     Accepted(u64),
-    /// Another edit changed these keys first.
+    /// Another edit changed these keys first; nothing of this edit is applied.
     Conflict(Vec<String>),
-    /// It breaks a rule of the table; nothing of it is applied.
+    /// The edit breaks a rule of the table; nothing of it is applied.
     Invalid(String),
-    /// The same edit was folded before.
+    /// The same edit is already folded.
     Doubled,
-    /// The record is older than the table, as a snapshot or a doubled read may be.
+    /// The record adds nothing to the table: it is a snapshot, or its offset was already folded.
     Stale,
 }
 
 /// The table in force. Every daemon folds the same records by the same rule.
 ///
-/// The version is the log offset, plus one, of the last accepted record, so it
-/// only grows and 0 means that there is no table yet.
+/// The version is the log offset, plus one, of the last accepted record. It therefore only grows,
+/// and 0 means that there is no table yet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     /// The version in force.
     pub version: u64,
-    /// Offsets below this are folded.
+    /// Offset of the next record to fold; all records below it are folded.
     pub folded_to: u64,
     /// The entries by key.
     pub entries: BTreeMap<String, Versioned>,
@@ -57,17 +58,17 @@
         self.folded_to = offset + 1;
         match record {
             TableRecord::Edit(edit) => self.fold_edit(offset + 1, edit),
-            // Whoever has folded all records before it knows what it shows.
+            // A table that has folded all records before the snapshot already has its content.
             TableRecord::Snapshot(_) => EditOutcome::Stale,
         }
     }
 
-    /// Works out the table from what retention has left of the log: the last
-    /// snapshot that leaves no gap to the record `first`, and the edits after it.
+    /// Rebuilds the table from the records that retention has left in the log: from the last
+    /// snapshot that leaves no gap to the record `first`, and from the edits after it.
     ///
-    /// A reader that missed records must not fold later edits without it: it
-    /// would take over some changes and lose others. Returns none if there is no
-    /// such snapshot, or none that is newer than this table.
+    /// A reader that missed records must not fold later edits without such a snapshot, since it
+    /// would apply some changes and lose others. Returns none if there is no such snapshot, or if
+    /// the result is not newer than this table.
     pub fn recover(&self, first: u64, records: &[(u64, TableRecord)]) -> Option<Self> {
         let mut table = records.iter().rev().find_map(|(_, record)| match record {
             TableRecord::Snapshot(table) if table.folded_to >= first => Some(table.clone()),
@@ -82,7 +83,8 @@
         newer.then_some(table)
     }
 
-    /// Takes a whole table from a peer if it is newer than this one.
+    /// Replaces this table with the full table of a peer if that is newer. Returns whether it
+    /// did.
     pub fn adopt(&mut self, other: Table) -> bool {
         if other.folded_to <= self.folded_to || other.version < self.version {
             return false;
@@ -143,7 +145,7 @@
                 None => self.entries.remove(&key),
             };
         }
-        self.remember(edit.id);
+        self.remember_edit(edit.id);
         self.version = version;
         EditOutcome::Accepted(version)
     }
@@ -156,8 +158,8 @@
             .collect()
     }
 
-    fn remember(&mut self, id: Uuid) {
-        if self.edits.len() == REMEMBERED_EDITS {
+    fn remember_edit(&mut self, id: Uuid) {
+        if self.edits.len() == MAX_REMEMBERED_EDITS {
             self.edits.pop_front();
         }
         self.edits.push_back(id);
--- a/src/contracts/table_check.rs
+++ b/src/contracts/table_check.rs
@@ -4,7 +4,7 @@
 const MAX_TARGET_MS: u32 = 600_000;
 const SHA256_HEX_LEN: usize = 64;
 
-/// Checks an edit against the table that it would change.
+/// Checks an edit against the table that it changes.
 ///
 /// # Errors
 ///
@@ -14,14 +14,18 @@
     for (key, change) in &edit.changes {
         let Some(entry) = &change.entry else { continue };
         if entry.key() != *key {
-            return Err(field(key, "key", format!("expected `{}`", entry.key())));
+            return Err(field_error(
+                key,
+                "key",
+                format!("expected `{}`", entry.key()),
+            ));
         }
         check_entry(entry, &accounts)?;
     }
     Ok(())
 }
 
-/// Checks one entry; `accounts` are the names that the table will hold.
+/// Checks one entry; `accounts` are the names of the accounts in the resulting table.
 ///
 /// # Errors
 ///
@@ -33,6 +37,7 @@
     }
 }
 
+/// Returns the names of the accounts in the table that results from an edit.
 fn accounts_after(table: &Table, edit: &Edit) -> BTreeSet<String> {
     let mut names: BTreeSet<String> = table.accounts().map(|a| a.name.to_string()).collect();
     for (key, change) in &edit.changes {
@@ -56,7 +61,7 @@
     check_name(&key, "name", a.name.as_str())?;
     for hash in &a.token_sha256 {
         if hash.len() != SHA256_HEX_LEN || hex::decode(hash).is_err() {
-            return Err(field(
+            return Err(field_error(
                 &key,
                 "token_sha256",
                 "expected 64 hexadecimal digits".into(),
@@ -73,7 +78,7 @@
     check_name(&key, "failure_domain", c.failure_domain.as_str())?;
     if !accounts.contains(c.account.as_str()) {
         let expected = format!("expected an account of the table, found `{}`", c.account);
-        return Err(field(&key, "account", expected));
+        return Err(field_error(&key, "account", expected));
     }
     check_range(
         &key,
@@ -95,11 +100,11 @@
     for name in c.policies.keys() {
         if !POLICY_NAMES.contains(&name.as_str()) {
             let expected = format!("expected one of {POLICY_NAMES:?}, found `{name}`");
-            return Err(field(key, "policies", expected));
+            return Err(field_error(key, "policies", expected));
         }
     }
     if c.policies.values().all(|share| *share == 0) {
-        return Err(field(
+        return Err(field_error(
             key,
             "policies",
             "expected at least one share above 0".into(),
@@ -122,7 +127,7 @@
     if (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(field(
+    Err(field_error(
         key,
         name,
         format!("expected {min} to {max}, found {value}"),
@@ -130,15 +135,19 @@
 }
 
 fn check_name(key: &str, name: &'static str, value: &str) -> Result<(), TableError> {
-    let good = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if !value.is_empty() && value.len() <= 64 && value.chars().all(good) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if !value.is_empty() && value.len() <= 64 && value.chars().all(is_allowed) {
         return Ok(());
     }
     let expected = "expected 1 to 64 letters, digits, `-`, `_` or `.`";
-    Err(field(key, name, format!("{expected}, found `{value}`")))
+    Err(field_error(
+        key,
+        name,
+        format!("{expected}, found `{value}`"),
+    ))
 }
 
-fn field(key: &str, field: &'static str, expected: String) -> TableError {
+fn field_error(key: &str, field: &'static str, expected: String) -> TableError {
     TableError::Field {
         key: key.to_string(),
         field,
--- a/src/contracts/table_error.rs
+++ b/src/contracts/table_error.rs
@@ -1,36 +1,36 @@
 use std::path::PathBuf;
 
-/// Says what is wrong with a table or an edit, and where.
+/// A fault in a table or an edit, and its place.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum TableError {
     /// {key}: field `{field}`: {expected}
     Field {
-        /// The key of the row or account.
+        /// Key of the row or account.
         key: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What was expected, and what was found.
+        /// Expected value, and usually the value that was found.
         expected: String,
     },
-    /// {key}: stands in the table more than once
-    Twice {
-        /// The key of the row or account.
+    /// {key}: duplicate entry in the table
+    Duplicate {
+        /// Key of the row or account.
         key: String,
     },
     /// {path}:{line}: {message}
     Parse {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The line, from 1.
+        /// Number of the line, counted from 1.
         line: usize,
-        /// What was expected.
+        /// What is wrong, or what was expected instead.
         message: String,
     },
-    /// {path}: can't be read: {source}
+    /// {path}: failed to read the file: {source}
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Cause of the failure.
         source: std::io::Error,
     },
 }
--- a/src/contracts/table_file.rs
+++ b/src/contracts/table_file.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TableFile {
-    /// The version that the file was based on; `table show` writes it.
+    /// Version of the table that the file is based on; `table show` writes it.
     #[serde(default)]
     pub based_on: u64,
     /// The client accounts.
@@ -25,11 +25,11 @@
 }
 
 impl TableFile {
-    /// Reads and checks a file.
+    /// Reads, parses and checks a table file.
     ///
     /// # Errors
     ///
-    /// Returns the file, line and field that are wrong.
+    /// Returns an error if the file can't be read, or the line and field that are wrong.
     pub fn read(path: &Path) -> Result<Self, TableError> {
         let text = fs::read_to_string(path).map_err(|source| TableError::Read {
             path: path.to_path_buf(),
@@ -38,7 +38,7 @@
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Parses and checks the text of a file; `path` is only named in errors.
+    /// Parses and checks the text of a file; `path` is used only in errors.
     ///
     /// # Errors
     ///
@@ -57,7 +57,7 @@
         Ok(file)
     }
 
-    /// Writes a table as a file's text.
+    /// Formats a table as the text of a file.
     pub fn show(table: &Table) -> String {
         let file = Self {
             based_on: table.version,
@@ -69,12 +69,12 @@
 
     /// Returns the file's entries by key.
     pub fn entries(&self) -> BTreeMap<String, Entry> {
-        self.all().map(|e| (e.key(), e)).collect()
+        self.all_entries().map(|e| (e.key(), e)).collect()
     }
 
-    /// Works out the edit that this file makes of the table that it was based
-    /// on. Only what its author changed is part of it, so that edits of
-    /// different rows don't meet; the fold finds those that do.
+    /// Computes the edit that turns the table on which this file is based into the file's. It
+    /// holds only what the author changed, so that edits of different rows don't conflict; the fold
+    /// detects edits of the same row.
     pub fn edit_of(&self, base: &Table, id: Uuid) -> Edit {
         let wanted = self.entries();
         let mut changes = BTreeMap::new();
@@ -95,7 +95,7 @@
         Edit { id, changes }
     }
 
-    fn all(&self) -> impl Iterator<Item = Entry> + '_ {
+    fn all_entries(&self) -> impl Iterator<Item = Entry> + '_ {
         let accounts = self.accounts.iter().cloned().map(Entry::Account);
         accounts.chain(self.rows.iter().cloned().map(Entry::Row))
     }
@@ -103,17 +103,17 @@
     fn check(&self) -> Result<(), TableError> {
         let accounts: BTreeSet<String> = self.accounts.iter().map(|a| a.name.to_string()).collect();
         let mut seen = BTreeSet::new();
-        for entry in self.all() {
+        for entry in self.all_entries() {
             check_entry(&entry, &accounts)?;
             if !seen.insert(entry.key()) {
-                return Err(TableError::Twice { key: entry.key() });
+                return Err(TableError::Duplicate { key: entry.key() });
             }
         }
         Ok(())
     }
 }
 
-/// Returns the line, from 1, of a byte position.
+/// Returns the number of the line, counted from 1, that holds a byte position.
 pub fn line_of(text: &str, at: usize) -> usize {
     text.as_bytes()[..at.min(text.len())]
         .iter()
@@ -122,11 +122,12 @@
         + 1
 }
 
-/// Finds the line of the entry that an error names, or of its field.
+/// Returns the line of the entry or field that an error names. Of duplicate entries, it is the
+/// last one.
 fn line_of_entry(text: &str, file: &TableFile, e: &TableError) -> usize {
     let (key, field, last) = match e {
         TableError::Field { key, field, .. } => (key, Some(*field), false),
-        TableError::Twice { key } => (key, None, true),
+        TableError::Duplicate { key } => (key, None, true),
         _ => return 1,
     };
     let pick = |keys: Vec<String>| {
