--- a/tests/it/bad_input.rs
+++ b/tests/it/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear refusal, and nothing else is disturbed.
+//! Invalid input is refused with a reason and affects no other request.
 
 use {
     crate::support::*,
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_mistakes_are_told_and_change_nothing() {
+async fn invalid_requests_are_refused_with_a_reason_and_not_run() {
     let cluster = Cluster::start(Plan::default()).await;
     let good = json!({ "model": "assistant", "prompt": "hello", "max_tokens": 3 }).to_string();
     let path = "/v1/completions";
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tokens_that_are_wrong_or_missing_are_refused() {
+async fn wrong_or_missing_tokens_are_refused() {
     let cluster = Cluster::start(Plan::default()).await;
     let at = cluster.caller_addrs()[0];
     for auth in ["", "Bearer wrong", "Basic abc"] {
@@ -98,7 +98,7 @@
             .unwrap();
         assert_eq!(rep.status, 401, "{auth}");
     }
-    // A caller's token opens nothing for operators.
+    // A caller's token gives no access to the operator endpoints.
     let auth = bearer(TOKEN);
     let operators = cluster.daemons[0].operators;
     let rep = cluster
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_http_and_slow_callers_disturb_nobody() {
+async fn malformed_http_and_slow_callers_do_not_affect_other_requests() {
     let cluster = Cluster::start(Plan::default()).await;
     let boxes = cluster.caller_addrs();
     let at = boxes[0];
@@ -141,7 +141,7 @@
     assert_eq!(t.end, CallerEnd::Whole);
 }
 
-/// Sends a peer call's body as it is.
+/// Sends the bytes of `body` as the body of a peer call, without encoding them.
 async fn peer_post(at: SocketAddr, path: &str, body: Vec<u8>) -> Result<u16, String> {
     let stream = TcpStream::connect(at).await.map_err(|e| e.to_string())?;
     let (conn, run) = h2::client::handshake(stream)
@@ -169,7 +169,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn hostile_peer_messages_are_refused() {
+async fn malformed_peer_messages_are_refused_within_bounded_memory() {
     let cluster = Cluster::start(Plan::default()).await;
     let at = cluster.peer_proxies[0].addr();
     let before = cluster
@@ -177,13 +177,13 @@
         .await
         .unwrap()
         .memory_bytes;
-    // Another version, and no message at all.
+    // An unknown version, and bytes that are no message.
     assert_eq!(peer_post(at, "/peer/99/call", vec![0]).await, Ok(404));
     assert_eq!(peer_post(at, "/peer/1/call", vec![255; 40]).await, Ok(400));
-    // A length that promises more than there is: nothing is set aside for it.
+    // A length that claims far more bytes than the body has: no memory is allocated for it.
     let mut hostile = vec![4];
     hostile.extend([253, 255, 255, 255, 255, 255, 255, 255, 127]);
-    // For a message whose field is a plain number it is a good one.
+    // For a variant with a plain number as its field, the same bytes are a valid message.
     let mut refused = 0;
     for variant in 0..12 {
         hostile[0] = variant;
@@ -196,10 +196,10 @@
         refused += usize::from(!good);
     }
     assert!(refused >= 10);
-    // Over the bound.
+    // A body above the size limit.
     let refused = peer_post(at, "/peer/1/call", vec![7; 9 * 1024 * 1024]).await;
     assert!(matches!(refused, Ok(413) | Err(_)), "{refused:?}");
-    // Random bytes, and a connection that isn't h2.
+    // Random bytes, and a connection that doesn't speak HTTP/2.
     use rand::{RngCore, SeedableRng};
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(7);
     for n in 0..200 {
--- a/tests/it/cli.rs
+++ b/tests/it/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: help, exit codes, errors with their place.
+//! Command line: help texts, exit codes, and errors that name their place in a file.
 
 use {
     crate::support::*,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_steps_of_a_roll_out_are_told_from_logs() {
+fn rollout_steps_are_read_from_logs_in_order_of_time() {
     let dir = tempfile::TempDir::new().unwrap();
     let line = |time_ms: u64, message: &str| {
         format!(
@@ -48,16 +48,19 @@
     let last = "step. service=s target=v2 state=rolled_back share=0 bad=17 log_ratio=12.5";
     fs::write(&first, line(2_000, last) + "no log line\n").unwrap();
     let begun = "step. service=s target=v2 state=in_progress share=0.05 bad=0";
-    let heard = "update applied. service=s target=v2 state=in_progress share=0.05";
+    let applied = "update applied. service=s target=v2 state=in_progress share=0.05";
     let other = "step. service=t target=v7 state=completed share=1";
-    let text_b = line(1_000, begun) + &line(1_050, heard) + &line(1_500, other);
-    fs::write(&second, text_b).unwrap();
+    let second_text = line(1_000, begun) + &line(1_050, applied) + &line(1_500, other);
+    fs::write(&second, second_text).unwrap();
     let files = [first.to_str().unwrap(), second.to_str().unwrap()];
     let explain = run(&["rollout", "explain", "s", files[0], files[1]]);
-    let told = text(&explain.stdout);
-    assert_eq!(told.lines().count(), 2, "{told}");
-    let place = |words: &str| told.find(words).unwrap();
-    assert!(place("in_progress") < place("rolled_back"), "{told}");
+    let explained = text(&explain.stdout);
+    assert_eq!(explained.lines().count(), 2, "{explained}");
+    let position = |words: &str| explained.find(words).unwrap();
+    assert!(
+        position("in_progress") < position("rolled_back"),
+        "{explained}"
+    );
     let status = run(&["rollout", "status", "--json", files[0], files[1]]);
     let status: serde_json::Value = serde_json::from_slice(&status.stdout).unwrap();
     assert_eq!(status[0]["state"], "rolled_back");
@@ -68,7 +71,7 @@
 }
 
 #[test]
-fn wrong_usage_exits_2_and_says_what() {
+fn wrong_usage_exits_2_with_an_error_message() {
     for args in [
         &["fly"][..],
         &["serve"],
@@ -83,7 +86,7 @@
 }
 
 #[test]
-fn check_names_file_line_and_field() {
+fn check_reports_file_and_line_of_a_wrong_table() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("t.toml");
     fs::write(&path, "[[account]]\nname = \"a b\"\ntoken_sha256 = []\n").unwrap();
@@ -97,7 +100,7 @@
 }
 
 #[test]
-fn the_demo_runs_once_and_exits_0() {
+fn demo_with_once_prints_its_results_and_exits_0() {
     let out = run(&["demo", "--once"]);
     let shown = text(&out.stdout);
     assert_eq!(code(&out), 0, "{shown}{}", text(&out.stderr));
@@ -113,7 +116,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_table_is_shown_edited_published_and_read_back() {
+async fn table_commands_show_diff_publish_and_detect_conflicts() {
     let cluster = Cluster::start(Plan::default()).await;
     let platform = cluster.platform.addr().to_string();
     let at: Vec<String> = cluster
@@ -129,9 +132,9 @@
         path.to_str().unwrap().to_string()
     };
     let shown = text(&run(&["table", "show", "--platform", &platform]).stdout);
-    let mine = file("mine.toml", &with_weight(&shown, 0, 7));
-    let yours = file("yours.toml", &with_weight(&shown, 0, 8));
-    let diff = run(&["table", "diff", "--platform", &platform, &mine]);
+    let first_edit = file("mine.toml", &with_weight(&shown, 0, 7));
+    let second_edit = file("yours.toml", &with_weight(&shown, 0, 8));
+    let diff = run(&["table", "diff", "--platform", &platform, &first_edit]);
     assert!(
         text(&diff.stdout).contains("change acme/"),
         "{}",
@@ -142,13 +145,13 @@
         "publish",
         "--platform",
         &platform,
-        &mine,
+        &first_edit,
         "--at",
         &at,
     ]);
     assert_eq!(code(&out), 0, "{}", text(&out.stderr));
     assert_eq!(text(&out.stdout).matches("in force. domain=").count(), 3);
-    let out = run(&["table", "publish", "--platform", &platform, &yours]);
+    let out = run(&["table", "publish", "--platform", &platform, &second_edit]);
     assert_eq!(code(&out), 3);
     assert!(
         text(&out.stderr).contains("conflict"),
@@ -167,13 +170,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_report_reads_what_daemons_published() {
+async fn report_counts_the_requests_that_daemons_published() {
     let mut cluster = Cluster::start(Plan::default()).await;
     let boxes = cluster.caller_addrs();
     for i in 0..3 {
         ask_stream(&boxes, i, "to be reported", 10).await;
     }
-    // A stopping daemon publishes its last page.
+    // A daemon publishes its last page of scores when it stops.
     for daemon in &mut cluster.daemons {
         daemon.terminate();
     }
