--- a/src/app/hold.rs
+++ b/src/app/hold.rs
@@ -34,7 +34,7 @@
 /// Finds a box to hold the request's copy and sends it the whole of it.
 pub async fn hold(world: &World, cell: &RequestCell, not: Option<&BoxId>) -> Durability {
     if !world.settings.trial.copies {
-        cell.change(Record::no_holder);
+        cell.change(Record::record_no_holder);
         return Durability::None;
     }
     cell.change(|r| r.holder = Holder::Searching);
@@ -59,7 +59,7 @@
             HoldEnd::Failed => {}
         }
     }
-    cell.change(Record::no_holder);
+    cell.change(Record::record_no_holder);
     Durability::None
 }
 
--- a/src/requests/record.rs
+++ b/src/requests/record.rs
@@ -118,7 +118,7 @@
     }
 
     /// Notes that no box could be reached to hold a copy.
-    pub fn no_holder(&mut self) {
+    pub fn record_no_holder(&mut self) {
         self.holder = Holder::Nowhere;
         self.show_without_copy();
     }
