--- a/src/caller/caller_service.rs
+++ b/src/caller/caller_service.rs
@@ -36,9 +36,9 @@
         match (req.method(), path.as_str()) {
             (&Method::GET, "/healthz") => text(StatusCode::OK, "ok\n"),
             (&Method::GET, "/readyz") => self.readiness(),
-            _ => match self.answer_known(req, &path).await {
-                Ok(rep) => rep,
-                Err(refusal) => refused(&refusal, None),
+            _ => match self.route_call(req, &path).await {
+                Ok(response) => response,
+                Err(refusal) => refusal_response(&refusal, None),
             },
         }
     }
@@ -50,7 +50,7 @@
         text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
     }
 
-    async fn answer_known(
+    async fn route_call(
         &self,
         req: Request<RequestBody>,
         path: &str,
@@ -105,13 +105,13 @@
         let sub = submission(&headers, account.clone(), ask.service, work)?;
         let accepted = accept(&self.world, sub).await?;
         let rx = self.follow(&accepted, &account, 0);
-        let mut rep = if ask.stream {
-            stream_answer(accepted.id, 0, rx)
+        let mut response = if ask.stream {
+            stream_response(accepted.id, 0, rx)
         } else {
-            whole_answer(accepted.id, rx).await
+            full_response(accepted.id, rx).await
         };
-        tell_acceptance(&mut rep, &accepted);
-        Ok(rep)
+        add_acceptance_headers(&mut response, &accepted);
+        Ok(response)
     }
 
     async fn plain_call(
@@ -138,9 +138,9 @@
         let sub = submission(&headers, account.clone(), service, work)?;
         let accepted = accept(&self.world, sub).await?;
         let rx = self.follow(&accepted, &account, 0);
-        let mut rep = whole_answer(accepted.id, rx).await;
-        tell_acceptance(&mut rep, &accepted);
-        Ok(rep)
+        let mut response = full_response(accepted.id, rx).await;
+        add_acceptance_headers(&mut response, &accepted);
+        Ok(response)
     }
 
     async fn reattach(
@@ -172,10 +172,10 @@
                 Some(AnswerEvent::Ending(Ending::Failed(f))) => f,
                 _ => return Err(Refusal::malformed(404, "no box knows the request")),
             };
-            return Ok(problem(status_of(failure.outcome), &failure, Some(id)));
+            return Ok(problem_response(status_of(failure.outcome), &failure, Some(id)));
         };
         if spec.model().is_none() {
-            return Ok(whole_answer(id, rx).await);
+            return Ok(full_response(id, rx).await);
         }
         let mut writer = SseWriter::new(id, from);
         writer.spec(&spec);
@@ -308,23 +308,23 @@
     (ServiceName::from(service), format!("/{rest}"))
 }
 
-fn stream_answer(id: RequestId, from: usize, rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
+fn stream_response(id: RequestId, from: usize, rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
     sse_response(sse_body(SseWriter::new(id, from), rx))
 }
 
 fn sse_response(body: Body) -> Response<Body> {
-    let mut rep = Response::new(body);
-    let headers = rep.headers_mut();
+    let mut response = Response::new(body);
+    let headers = response.headers_mut();
     headers.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("text/event-stream"),
     );
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
-    rep
+    response
 }
 
 /// Waits for the whole of an answer.
-async fn whole_answer(id: RequestId, mut rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
+async fn full_response(id: RequestId, mut rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
     let mut answer = String::new();
     let mut spec = None;
     while let Some(event) = rx.recv().await {
@@ -332,21 +332,21 @@
             AnswerEvent::Spec(s) => spec = Some(s),
             AnswerEvent::Tokens { tokens, .. } => answer.extend(tokens.iter().map(|t| &**t)),
             AnswerEvent::Ending(Ending::Whole { total }) => {
-                return whole_model(id, spec.as_deref(), &answer, total);
+                return completion_response(id, spec.as_deref(), &answer, total);
             }
-            AnswerEvent::Ending(Ending::Plain(plain)) => return plain_reply(plain),
+            AnswerEvent::Ending(Ending::Plain(plain)) => return plain_response(plain),
             AnswerEvent::Ending(Ending::Failed(f)) => {
-                return problem(status_of(f.outcome), &f, Some(id));
+                return problem_response(status_of(f.outcome), &f, Some(id));
             }
-            AnswerEvent::Reattach => return see_elsewhere(id),
+            AnswerEvent::Reattach => return redirect_to_another_box(id),
             AnswerEvent::NotFound => break,
         }
     }
     let failure = Failure::new(Outcome::MayHaveRun, "the answer was lost", 0);
-    problem(502, &failure, Some(id))
+    problem_response(502, &failure, Some(id))
 }
 
-fn whole_model(
+fn completion_response(
     id: RequestId,
     spec: Option<&RequestSpec>,
     answer: &str,
@@ -377,29 +377,29 @@
     json(StatusCode::OK, &doc)
 }
 
-fn plain_reply(plain: PlainAnswer) -> Response<Body> {
-    let mut rep = Response::new(full(plain.body));
-    *rep.status_mut() = StatusCode::from_u16(plain.status).unwrap_or(StatusCode::BAD_GATEWAY);
+fn plain_response(plain: PlainAnswer) -> Response<Body> {
+    let mut response = Response::new(full(plain.body));
+    *response.status_mut() = StatusCode::from_u16(plain.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Ok(kind) = HeaderValue::from_str(&plain.content_type) {
-        rep.headers_mut().insert(header::CONTENT_TYPE, kind);
+        response.headers_mut().insert(header::CONTENT_TYPE, kind);
     }
-    rep
+    response
 }
 
 /// This box leaves: the request goes on elsewhere, and its answer is read there.
-fn see_elsewhere(id: RequestId) -> Response<Body> {
-    let mut rep = text(StatusCode::TEMPORARY_REDIRECT, "go on at another box\n");
-    *rep.status_mut() = StatusCode::SEE_OTHER;
+fn redirect_to_another_box(id: RequestId) -> Response<Body> {
+    let mut response = text(StatusCode::TEMPORARY_REDIRECT, "go on at another box\n");
+    *response.status_mut() = StatusCode::SEE_OTHER;
     if let Ok(at) = HeaderValue::from_str(&format!("/v1/requests/{id}")) {
-        rep.headers_mut().insert(header::LOCATION, at);
+        response.headers_mut().insert(header::LOCATION, at);
     }
-    rep.headers_mut()
+    response.headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
-    rep
+    response
 }
 
-fn tell_acceptance(rep: &mut Response<Body>, accepted: &Accepted) {
-    let headers = rep.headers_mut();
+fn add_acceptance_headers(response: &mut Response<Body>, accepted: &Accepted) {
+    let headers = response.headers_mut();
     if let Ok(id) = HeaderValue::from_str(&accepted.id.to_string()) {
         headers.insert("saddlepulley-request", id);
     }
--- a/src/caller/openai.rs
+++ b/src/caller/openai.rs
@@ -47,7 +47,7 @@
 
 /// What a model call asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ModelAsk {
+pub struct ModelCall {
     /// The service.
     pub service: ServiceName,
     /// The work.
@@ -61,7 +61,7 @@
 /// # Errors
 ///
 /// Returns what was expected, and where.
-pub fn parse_model_call(chat: bool, body: &[u8]) -> Result<ModelAsk, String> {
+pub fn parse_model_call(chat: bool, body: &[u8]) -> Result<ModelCall, String> {
     let (model, prompt, max_tokens, stream) = if chat {
         let b: ChatBody = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         (b.model, chat_prompt(&b.messages)?, b.max_tokens, b.stream)
@@ -75,7 +75,7 @@
             "`max_tokens`: expected 1 to {MAX_TOKENS}, found {max_tokens}"
         ));
     }
-    Ok(ModelAsk {
+    Ok(ModelCall {
         service: ServiceName::from(model.as_str()),
         work: ModelWork {
             prompt,
--- a/src/caller/problem.rs
+++ b/src/caller/problem.rs
@@ -57,17 +57,17 @@
 }
 
 /// Returns the answer for a refusal.
-pub fn refused(r: &Refusal, request: Option<RequestId>) -> Response<Body> {
-    problem(r.status, &r.failure, request)
+pub fn refusal_response(r: &Refusal, request: Option<RequestId>) -> Response<Body> {
+    problem_response(r.status, &r.failure, request)
 }
 
 /// Returns the answer for a failure.
-pub fn problem(status: u16, failure: &Failure, request: Option<RequestId>) -> Response<Body> {
+pub fn problem_response(status: u16, failure: &Failure, request: Option<RequestId>) -> Response<Body> {
     let doc = Problem::new(status, failure, request);
     let bytes = serde_json::to_vec(&doc).unwrap_or_default();
-    let mut rep = Response::new(full(bytes));
-    *rep.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let headers = rep.headers_mut();
+    let mut response = Response::new(full(bytes));
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let headers = response.headers_mut();
     let kind = HeaderValue::from_static("application/problem+json");
     headers.insert(header::CONTENT_TYPE, kind);
     let outcome = HeaderValue::from_static(failure.outcome.as_str());
@@ -76,5 +76,5 @@
         let seconds = failure.retry_after_ms.div_ceil(1_000);
         headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
     }
-    rep
+    response
 }
--- a/src/caller/reply.rs
+++ b/src/caller/reply.rs
@@ -17,18 +17,18 @@
 /// Returns an answer with a JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut rep = Response::new(full(bytes));
-    *rep.status_mut() = status;
+    let mut response = Response::new(full(bytes));
+    *response.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
-    rep.headers_mut().insert(header::CONTENT_TYPE, kind);
-    rep
+    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    response
 }
 
 /// Returns an answer with a text body.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
-    let mut rep = Response::new(full(text));
-    *rep.status_mut() = status;
+    let mut response = Response::new(full(text));
+    *response.status_mut() = status;
     let kind = HeaderValue::from_static("text/plain; charset=utf-8");
-    rep.headers_mut().insert(header::CONTENT_TYPE, kind);
-    rep
+    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    response
 }
--- a/src/caller/server.rs
+++ b/src/caller/server.rs
@@ -73,7 +73,7 @@
         let _ = stream.set_nodelay(true);
         let builder = builder.clone();
         let service = service.clone();
-        let service = service_fn(move |req| answer_unread(service.clone(), limits, req));
+        let service = service_fn(move |req| answer_request(service.clone(), limits, req));
         let service = TowerToHyperService::new(service);
         tokio::spawn(async move {
             let conn = builder.serve_connection(TokioIo::new(stream), service);
@@ -100,7 +100,7 @@
 }
 
 /// Answers a request, whether or not its body is read before the answer.
-async fn answer_unread<S>(
+async fn answer_request<S>(
     service: S,
     limits: BodyLimits,
     req: Request<Incoming>,
@@ -110,13 +110,13 @@
 {
     let expects_continue = req.headers().contains_key(header::EXPECT);
     let req = req.map(|body| RequestBody::new(body, limits, expects_continue));
-    let mut rep = service.oneshot(req).await?;
-    if expects_continue && !rep.status().is_success() {
+    let mut response = service.oneshot(req).await?;
+    if expects_continue && !response.status().is_success() {
         // Whether the body still comes is not known.
         let close = HeaderValue::from_static("close");
-        rep.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    Ok(rep)
+    Ok(response)
 }
 
 async fn answer_or_shed<S>(service: S, req: Request<RequestBody>) -> Response<Body>
@@ -124,13 +124,13 @@
     S: Service<Request<RequestBody>, Response = Response<Body>>,
 {
     match service.oneshot(req).await {
-        Ok(rep) => rep,
+        Ok(response) => response,
         Err(_) => {
             let failure = Failure::new(Outcome::NotRun, "this box is full", 1_000);
             let doc = Problem::new(503, &failure, None);
-            let mut rep = Response::new(full(serde_json::to_vec(&doc).unwrap_or_default()));
-            *rep.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            rep
+            let mut response = Response::new(full(serde_json::to_vec(&doc).unwrap_or_default()));
+            *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+            response
         }
     }
 }
