--- a/src/logs/story.rs
+++ b/src/logs/history.rs
@@ -43,7 +43,7 @@
             }
         }
     }
-    lines.sort_by_key(|told| told.line.time_ms);
+    lines.sort_by_key(|sourced| sourced.line.time_ms);
     Ok(lines)
 }
 
@@ -60,17 +60,17 @@
 
 /// Writes lines with the times since the first one.
 pub fn format_history(lines: &[SourcedLine]) -> String {
-    let mut story = String::new();
-    let first_ms = lines.first().map_or(0, |told| told.line.time_ms);
+    let mut history = String::new();
+    let first_ms = lines.first().map_or(0, |sourced| sourced.line.time_ms);
     for SourcedLine { line, source } in lines {
         let after_ms = line.time_ms - first_ms;
         let _ = writeln!(
-            story,
+            history,
             "+{after_ms} ms {source} {}: {}",
             line.part, line.message
         );
     }
-    story
+    history
 }
 
 fn parse(text: &str) -> Option<(String, LogLine)> {
--- a/src/logs/line_budget.rs
+++ b/src/logs/line_budget.rs
@@ -30,13 +30,13 @@
 impl LineBudget {
     /// Decides on a line of a part.
     pub fn take(&mut self, part: &str, important: bool, now_ms: u64) -> LineDecision {
-        let mut told = BTreeMap::new();
+        let mut dropped = BTreeMap::new();
         let second = now_ms / SECOND_MS;
         if second != self.second {
             self.second = second;
             self.ordinary = 0;
             self.important = 0;
-            told = std::mem::take(&mut self.dropped);
+            dropped = std::mem::take(&mut self.dropped);
         }
         let (used, most) = match important {
             true => (&mut self.important, IMPORTANT_PER_S),
@@ -49,7 +49,7 @@
         }
         LineDecision {
             write,
-            dropped: told,
+            dropped,
         }
     }
 
--- a/src/logs/log_writer.rs
+++ b/src/logs/log_writer.rs
@@ -19,10 +19,10 @@
 const OWN_PART: &str = "log";
 /// How long is waited for the last lines to be written: a reader that has not
 /// taken them by then is slow or gone.
-const FLUSH_PATIENCE: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What the writing thread is given.
-enum Order {
+enum Command {
     /// A line to write.
     Line(String),
     /// To tell when all lines before it are written.
@@ -33,17 +33,17 @@
 #[derive(Debug)]
 pub struct LogWriter {
     budget: Mutex<LineBudget>,
-    orders: SyncSender<Order>,
+    commands: SyncSender<Command>,
 }
 
 impl LogWriter {
     /// Starts writing to an output.
     pub fn start(output: impl Write + Send + 'static) -> Self {
-        let (orders, waiting) = sync_channel(MAX_WAITING);
+        let (commands, waiting) = sync_channel(MAX_WAITING);
         thread::spawn(move || write_lines(output, &waiting));
         Self {
             budget: Mutex::default(),
-            orders,
+            commands,
         }
     }
 
@@ -62,12 +62,12 @@
     pub fn write(&self, level: Level, part: &str, message: impl FnOnce() -> String) {
         let now = now_ms();
         let mut budget = self.budget.lock();
-        let verdict = budget.take(part, level <= Level::Warn, now);
-        for (part, lines) in verdict.dropped {
+        let decision = budget.take(part, level <= Level::Warn, now);
+        for (part, lines) in decision.dropped {
             let message = format!("dropped. of={part} lines={lines}");
             self.send(&mut budget, now, Level::Warn, OWN_PART, message);
         }
-        if verdict.write {
+        if decision.write {
             self.send(&mut budget, now, level, part, message());
         }
     }
@@ -89,7 +89,7 @@
         let Ok(text) = serde_json::to_string(&line) else {
             return;
         };
-        if let Err(TrySendError::Full(_)) = self.orders.try_send(Order::Line(text)) {
+        if let Err(TrySendError::Full(_)) = self.commands.try_send(Command::Line(text)) {
             budget.record_dropped(part, 1);
         }
     }
@@ -111,26 +111,26 @@
 
     fn flush(&self) {
         let (done, written) = sync_channel(1);
-        if self.orders.try_send(Order::Flush(done)).is_ok() {
+        if self.commands.try_send(Command::Flush(done)).is_ok() {
             // In vain: the lines are lost with the process, as ones that nobody reads.
-            let _ = written.recv_timeout(FLUSH_PATIENCE);
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-fn write_lines(mut output: impl Write, waiting: &Receiver<Order>) {
+fn write_lines(mut output: impl Write, waiting: &Receiver<Command>) {
     while let Ok(first) = waiting.recv() {
         let mut text = String::new();
         let mut flushed = Vec::new();
         let mut next = Some(first);
         // What stands ready goes out in one write.
-        while let Some(order) = next {
-            match order {
-                Order::Line(line) => {
+        while let Some(command) = next {
+            match command {
+                Command::Line(line) => {
                     text.push_str(&line);
                     text.push('\n');
                 }
-                Order::Flush(done) => flushed.push(done),
+                Command::Flush(done) => flushed.push(done),
             }
             let has_room = text.len() < MAX_WRITE_BYTES;
             next = has_room.then(|| waiting.try_recv().ok()).flatten();
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -3,6 +3,6 @@
 mod line_budget;
 mod log_line;
 mod log_writer;
-mod story;
+mod history;
 
-pub use {line_budget::*, log_line::*, log_writer::*, story::*};
+pub use {line_budget::*, log_line::*, log_writer::*, history::*};
--- a/src/report/policy_report.rs
+++ b/src/report/policy_report.rs
@@ -144,15 +144,15 @@
 fn gaps(pages: &[ScorePage]) -> Vec<Gap> {
     let mut by_incarnation: BTreeMap<(&BoxId, u64), Vec<&ScorePage>> = BTreeMap::new();
     for page in pages {
-        let life = by_incarnation
+        let pages_of_incarnation = by_incarnation
             .entry((&page.by, page.incarnation))
             .or_default();
-        life.push(page);
+        pages_of_incarnation.push(page);
     }
     let mut gaps = Vec::new();
-    for ((by, _), mut life) in by_incarnation {
-        life.sort_by_key(|p| p.number);
-        for pair in life.windows(2) {
+    for ((by, _), mut pages_of_incarnation) in by_incarnation {
+        pages_of_incarnation.sort_by_key(|p| p.number);
+        for pair in pages_of_incarnation.windows(2) {
             let missing = pair[1].number.saturating_sub(pair[0].number + 1);
             if missing > 0 {
                 gaps.push(Gap {
