--- a/src/caller/auth.rs
+++ b/src/caller/auth.rs
@@ -5,11 +5,11 @@
     subtle::ConstantTimeEq,
 };
 
-/// Returns the client account of a request's bearer token.
+/// Returns the client account to which a request's bearer token belongs.
 pub fn account_of(table: &Table, headers: &HeaderMap) -> Option<ClientAccount> {
     let hash = bearer_hash(headers)?;
     let mut found = None;
-    // Every account is compared, so that the time tells nothing of the match.
+    // Every account is compared, so that the response time does not reveal which one matches.
     for account in table.accounts() {
         for known in &account.token_sha256 {
             if is_same(known, &hash) {
@@ -20,13 +20,15 @@
     found
 }
 
-/// Returns whether a request carries the operators' token.
+/// Returns whether a request carries the operators' bearer token. An empty hash in the
+/// settings matches no token.
 pub fn is_operator(token_sha256: &str, headers: &HeaderMap) -> bool {
     bearer_hash(headers)
         .is_some_and(|hash| !token_sha256.is_empty() && is_same(token_sha256, &hash))
 }
 
-/// Returns the hash of a token, in hexadecimal, as tables and settings hold it.
+/// Returns the SHA-256 hash of a token in hexadecimal, the form in which tables and settings
+/// store it.
 pub fn token_hash(token: &str) -> String {
     hex::encode(Sha256::digest(token))
 }
--- a/src/caller/caller_service.rs
+++ b/src/caller/caller_service.rs
@@ -16,17 +16,18 @@
     tower::Service,
 };
 
-/// The longest deadline that can be asked for, in milliseconds.
+/// Maximum deadline that a caller may request, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Answers callers.
+/// The HTTP service for callers: model calls, calls to plain services, the list of models, and
+/// reattaching to a request.
 #[derive(Clone)]
 pub struct CallerService {
     world: Arc<World>,
 }
 
 impl CallerService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(world: Arc<World>) -> Self {
         Self { world }
     }
@@ -78,12 +79,12 @@
 
     fn models(&self, account: &ClientAccount) -> Response<Body> {
         let table = self.world.table_in_force();
-        let mine = |c: &&crate::contracts::Contract| {
+        let is_offered = |c: &&crate::contracts::Contract| {
             c.account == *account && c.failure_domain == *self.world.my_domain()
         };
         let data: Vec<_> = table
             .rows()
-            .filter(mine)
+            .filter(is_offered)
             .map(|c| value!({ "id": c.service.as_str(), "object": "model" }))
             .collect();
         json(StatusCode::OK, &value!({ "object": "list", "data": data }))
@@ -100,12 +101,12 @@
         }
         let headers = req.headers().clone();
         let body = self.read_body(req).await?;
-        let ask = parse_model_call(chat, &body).map_err(|e| Refusal::malformed(400, e))?;
-        let work = Work::Model(ask.work);
-        let sub = submission(&headers, account.clone(), ask.service, work)?;
+        let call = parse_model_call(chat, &body).map_err(|e| Refusal::malformed(400, e))?;
+        let work = Work::Model(call.work);
+        let sub = submission(&headers, account.clone(), call.service, work)?;
         let accepted = accept(&self.world, sub).await?;
         let rx = self.follow(&accepted, &account, 0);
-        let mut response = if ask.stream {
+        let mut response = if call.stream {
             stream_response(accepted.id, 0, rx)
         } else {
             full_response(accepted.id, rx).await
@@ -172,13 +173,17 @@
                 Some(AnswerEvent::Ending(Ending::Failed(f))) => f,
                 _ => return Err(Refusal::malformed(404, "no box knows the request")),
             };
-            return Ok(problem_response(status_of(failure.outcome), &failure, Some(id)));
+            return Ok(problem_response(
+                status_of(failure.outcome),
+                &failure,
+                Some(id),
+            ));
         };
         if spec.model().is_none() {
             return Ok(full_response(id, rx).await);
         }
         let mut writer = SseWriter::new(id, from);
-        writer.spec(&spec);
+        writer.set_spec(&spec);
         Ok(sse_response(sse_body(writer, rx)))
     }
 
@@ -193,13 +198,13 @@
     }
 
     async fn read_body(&self, req: Request<RequestBody>) -> Result<Bytes, Refusal> {
-        let most = self.world.settings.requests.max_body_bytes;
-        let limited = Limited::new(req.into_body(), most).collect();
+        let max_bytes = self.world.settings.requests.max_body_bytes;
+        let limited = Limited::new(req.into_body(), max_bytes).collect();
         match tokio::time::timeout(BODY_TIMEOUT, limited).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Refusal::malformed(
                 413,
-                format!("expected a body of at most {most} bytes"),
+                format!("expected a body of at most {max_bytes} bytes"),
             )),
             Ok(Err(e)) => Err(Refusal::malformed(
                 400,
@@ -225,7 +230,8 @@
     }
 }
 
-/// Reads the headers that steer a request.
+/// Builds a submission from the headers that control a request: the idempotency key, whether the
+/// request is repeatable, its deadline and its durability.
 fn submission(
     headers: &HeaderMap,
     account: ClientAccount,
@@ -273,7 +279,8 @@
     })
 }
 
-/// A header of ours that isn't known is a mistake that would else go unseen.
+/// Refuses unknown headers with the project's prefix, since a misspelt header would otherwise be
+/// ignored silently.
 fn check_headers(headers: &HeaderMap) -> Result<(), Refusal> {
     const KNOWN: [&str; 3] = ["repeatable", "deadline-ms", "durability"];
     for name in headers.keys() {
@@ -301,7 +308,7 @@
     Refusal::malformed(400, format!("`{name}`: expected {what}"))
 }
 
-/// Splits a path into the service and what is behind it.
+/// Splits a path into the service, which is its first segment, and the path at the service.
 fn split_service(path: &str) -> (ServiceName, String) {
     let path = path.trim_start_matches('/');
     let (service, rest) = path.split_once('/').unwrap_or((path, ""));
@@ -323,7 +330,7 @@
     response
 }
 
-/// Waits for the whole of an answer.
+/// Waits until the answer is complete, and returns it as one response.
 async fn full_response(id: RequestId, mut rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
     let mut answer = String::new();
     let mut spec = None;
@@ -386,14 +393,17 @@
     response
 }
 
-/// This box leaves: the request goes on elsewhere, and its answer is read there.
+/// Redirects the caller to the request's path, as this box is leaving: another box continues the
+/// request and serves its answer. The connection is closed so that the caller opens a new one
+/// there.
 fn redirect_to_another_box(id: RequestId) -> Response<Body> {
     let mut response = text(StatusCode::TEMPORARY_REDIRECT, "go on at another box\n");
     *response.status_mut() = StatusCode::SEE_OTHER;
     if let Ok(at) = HeaderValue::from_str(&format!("/v1/requests/{id}")) {
         response.headers_mut().insert(header::LOCATION, at);
     }
-    response.headers_mut()
+    response
+        .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Callers and operators: HTTP by `hyper`, answers by server-sent events.
+//! HTTP servers for callers and operators, on `hyper`. Answers are streamed as server-sent events.
 
 mod auth;
 mod caller_service;
--- a/src/caller/openai.rs
+++ b/src/caller/openai.rs
@@ -3,35 +3,36 @@
     serde::{Deserialize, Serialize},
 };
 
+/// Maximum length of an answer in tokens, if the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 64;
-/// The longest answer that can be asked for, in tokens.
+/// Maximum length of an answer that a caller may request, in tokens.
 pub const MAX_TOKENS: u32 = 32_768;
 
-/// The body of `POST /v1/completions`, as far as it is used.
+/// The body of `POST /v1/completions`. Other fields are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CompletionBody {
-    /// The service.
+    /// The name of the service that runs the model.
     pub model: String,
-    /// The prompt.
+    /// The text to complete.
     pub prompt: String,
-    /// Length of the answer.
+    /// Maximum length of the answer in tokens.
     pub max_tokens: Option<u32>,
-    /// Whether the answer comes as events.
+    /// True if the answer is to be streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
 
-/// The body of `POST /v1/chat/completions`, as far as it is used.
+/// The body of `POST /v1/chat/completions`. Other fields are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatBody {
-    /// The service.
+    /// The name of the service that runs the model.
     pub model: String,
-    /// The messages.
+    /// The conversation so far, oldest message first.
     pub messages: Vec<ChatMessage>,
-    /// Length of the answer.
+    /// Maximum length of the answer in tokens.
     #[serde(alias = "max_completion_tokens")]
     pub max_tokens: Option<u32>,
-    /// Whether the answer comes as events.
+    /// True if the answer is to be streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
@@ -39,28 +40,29 @@
 /// One message of a chat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who says it.
+    /// The author, such as `user` or `assistant`.
     pub role: String,
-    /// What is said.
+    /// The text.
     pub content: String,
 }
 
-/// What a model call asks for.
+/// A parsed model call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelCall {
-    /// The service.
+    /// The service that runs the model.
     pub service: ServiceName,
-    /// The work.
+    /// The prompt and the limits of the answer.
     pub work: ModelWork,
-    /// Whether the answer comes as events.
+    /// True if the answer is to be streamed as server-sent events.
     pub stream: bool,
 }
 
-/// Reads the body of a model call.
+/// Parses the body of a model call; `chat` selects the chat format.
 ///
 /// # Errors
 ///
-/// Returns what was expected, and where.
+/// Returns a message that names the malformed field or the position of the syntax error, with the
+/// expected value.
 pub fn parse_model_call(chat: bool, body: &[u8]) -> Result<ModelCall, String> {
     let (model, prompt, max_tokens, stream) = if chat {
         let b: ChatBody = serde_json::from_slice(body).map_err(|e| e.to_string())?;
--- a/src/caller/operator_service.rs
+++ b/src/caller/operator_service.rs
@@ -13,38 +13,38 @@
     tower::service_fn,
 };
 
-/// How a daemon is, as operators read it.
+/// The status of a daemon, as operators read it from `/status`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The box.
+    /// The identifier of the box.
     pub id: BoxId,
-    /// Its life.
+    /// The incarnation of the daemon.
     pub incarnation: u64,
-    /// Its failure domain.
+    /// The failure domain of the box.
     pub failure_domain: FailureDomain,
-    /// Where it is in its life.
+    /// The phase of the daemon's life cycle.
     pub phase: String,
-    /// The table's version in force.
+    /// The version of the table in force.
     pub table_version: u64,
-    /// Records of the table's stream that were folded.
+    /// The position in the table's stream up to which records were applied.
     pub table_folded_to: u64,
-    /// Requests that it holds, owned and copied.
+    /// The number of requests that the daemon holds, as owner or as a copy.
     pub requests: usize,
-    /// Requests that wait for their turn.
+    /// The number of requests that wait for admission.
     pub waiting: usize,
-    /// Claims that it holds.
+    /// The number of claims that the daemon holds.
     pub claims: usize,
-    /// Failure domains as it sees them.
+    /// The failure domains, as this daemon sees them.
     pub failure_domains: BTreeMap<FailureDomain, serde_json::Value>,
-    /// All boxes that it knows.
+    /// All boxes known to this daemon.
     pub boxes: Vec<BoxFact>,
-    /// Memory in use, in bytes; 0 where the system doesn't tell.
+    /// Memory in use, in bytes; 0 where the system does not report it.
     pub memory_bytes: u64,
-    /// Processor time used, in milliseconds; 0 where the system doesn't tell.
+    /// Processor time used, in milliseconds; 0 where the system does not report it.
     pub cpu_ms: u64,
 }
 
-/// Serves operators until the listener fails.
+/// Serves operators on a listener.
 pub async fn serve_operators(listener: TcpListener, world: Arc<World>) {
     let metrics = metrics_handle();
     let limits = body_limits(&world);
@@ -103,7 +103,8 @@
     }
 }
 
-/// Reads this process's memory and processor time, as the system tells them.
+/// Reads this process's memory in bytes and processor time in milliseconds from `/proc`; each is 0
+/// where `/proc` does not report it.
 fn usage() -> (u64, u64) {
     const PAGE: u64 = 4_096;
     const TICK_MS: u64 = 10;
@@ -124,7 +125,8 @@
     let install = || {
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
-        // Another recorder may be installed where several daemons share a process.
+        // Installing fails if several daemons share a process and one of them already installed its
+        // recorder.
         let _ = metrics::set_global_recorder(recorder);
         handle
     };
--- a/src/caller/problem.rs
+++ b/src/caller/problem.rs
@@ -8,24 +8,24 @@
 /// A problem document (RFC 9457) with a typed outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// What kind of problem it is.
+    /// The URN that identifies the kind of problem.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The kind in words.
+    /// A short description of the kind.
     pub title: &'static str,
     /// The HTTP status.
     pub status: u16,
-    /// What the caller can rely on.
+    /// What the caller can assume about the run of the request.
     pub outcome: Outcome,
-    /// The reason, for people.
+    /// The reason of this failure, for human readers.
     pub detail: String,
-    /// The request, once it has an identifier.
+    /// The request's identifier, if it has one yet.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
 }
 
 impl Problem {
-    /// Makes the document for a failure.
+    /// Creates the document for a failure.
     pub fn new(status: u16, failure: &Failure, request: Option<RequestId>) -> Self {
         let title = match failure.outcome {
             Outcome::NotRun => "The request did not run",
@@ -45,7 +45,7 @@
     }
 }
 
-/// Returns the HTTP status for a request that was given up on.
+/// Returns the HTTP status for the outcome of a failed request.
 pub fn status_of(outcome: Outcome) -> u16 {
     match outcome {
         Outcome::NotRun => 503,
@@ -56,17 +56,23 @@
     }
 }
 
-/// Returns the answer for a refusal.
+/// Returns the response for a refused request.
 pub fn refusal_response(r: &Refusal, request: Option<RequestId>) -> Response<Body> {
     problem_response(r.status, &r.failure, request)
 }
 
-/// Returns the answer for a failure.
-pub fn problem_response(status: u16, failure: &Failure, request: Option<RequestId>) -> Response<Body> {
+/// Returns the response for a failure: a problem document, with the outcome and the retry time in
+/// headers as well.
+pub fn problem_response(
+    status: u16,
+    failure: &Failure,
+    request: Option<RequestId>,
+) -> Response<Body> {
     let doc = Problem::new(status, failure, request);
     let bytes = serde_json::to_vec(&doc).unwrap_or_default();
     let mut response = Response::new(full(bytes));
-    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    *response.status_mut() =
+        StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
     let kind = HeaderValue::from_static("application/problem+json");
     headers.insert(header::CONTENT_TYPE, kind);
--- a/src/caller/reply.rs
+++ b/src/caller/reply.rs
@@ -6,15 +6,15 @@
     std::convert::Infallible,
 };
 
-/// The body of an answer.
+/// The body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// Returns a whole body.
+/// Returns a body that consists of the given bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed()
 }
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(bytes));
@@ -24,7 +24,7 @@
     response
 }
 
-/// Returns an answer with a text body.
+/// Returns a response with a plain text body.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(full(text));
     *response.status_mut() = status;
--- a/src/caller/server.rs
+++ b/src/caller/server.rs
@@ -17,18 +17,18 @@
     tower::{Service, ServiceBuilder, ServiceExt, service_fn},
 };
 
-/// How long a caller may take to send its headers.
+/// Maximum time for a caller to send its headers.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a caller may take to send a body.
+/// Maximum time for a caller to send a body.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_secs(20);
-/// The largest head of a request, in bytes.
+/// Maximum size of the head of a request, in bytes.
 const MAX_HEAD: usize = 32 * 1024;
-/// The most connections of callers at once.
+/// Maximum number of open connections of one listener.
 const MAX_CONNECTIONS: usize = 16_384;
-/// The most calls being taken in at once on all connections.
+/// Maximum number of calls of callers that are served at once, over all connections.
 const MAX_INTAKE: usize = 4_096;
 
-/// Serves callers until the listener fails.
+/// Serves callers on a listener. Calls beyond `MAX_INTAKE` are refused at once.
 pub async fn serve_callers(listener: TcpListener, world: Arc<World>) {
     let limits = body_limits(&world);
     let service = CallerService::new(world);
@@ -43,7 +43,7 @@
     serve_http(listener, limits, shed).await;
 }
 
-/// Returns how much of a call's body is read, and for how long.
+/// Returns the limits on the size of a call's body and on the time to read it.
 pub(super) fn body_limits(world: &World) -> BodyLimits {
     BodyLimits {
         max_bytes: world.settings.requests.max_body_bytes,
@@ -51,7 +51,8 @@
     }
 }
 
-/// Serves HTTP/1.1 and HTTP/2 until the listener fails.
+/// Serves HTTP/1.1 and HTTP/2 on a listener. When accepting a connection fails, it tries again
+/// after 50 ms.
 pub async fn serve_http<S>(listener: TcpListener, limits: BodyLimits, service: S)
 where
     S: Service<Request<RequestBody>, Response = Response<Body>, Error = Infallible>
@@ -99,7 +100,7 @@
     builder
 }
 
-/// Answers a request, whether or not its body is read before the answer.
+/// Answers a request; the service may answer before it has read the request's body.
 async fn answer_request<S>(
     service: S,
     limits: BodyLimits,
@@ -112,7 +113,8 @@
     let req = req.map(|body| RequestBody::new(body, limits, expects_continue));
     let mut response = service.oneshot(req).await?;
     if expects_continue && !response.status().is_success() {
-        // Whether the body still comes is not known.
+        // The caller may or may not send the body after an early response, so the connection can't
+        // be reused.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
--- a/src/caller/sse.rs
+++ b/src/caller/sse.rs
@@ -12,7 +12,7 @@
     tokio::sync::mpsc,
 };
 
-/// About how long a chunk with one token is.
+/// Initial buffer capacity for a chunk: the approximate size of one that holds a single token.
 const CHUNK_BYTES: usize = 256;
 
 #[derive(Serialize)]
@@ -40,29 +40,31 @@
     content: &'a str,
 }
 
-/// The explicit end of an answer: its length, and a digest of its text.
+/// The end of an answer: its length, and the SHA-256 digest of its text. The digest is missing if
+/// the reader did not start at the first token.
 #[derive(Serialize)]
 struct ChunkEnd {
     total_tokens: usize,
     sha256: Option<String>,
 }
 
-/// Turns an answer's events into server-sent events.
+/// Converts the events of an answer to server-sent events.
 ///
-/// Every event's `id` is the request and the offset behind the event, so that a
-/// caller that lost its connection goes on with `Last-Event-ID`.
+/// The `id` of each event consists of the request and the offset after the event, so that a caller
+/// that lost its connection can continue with `Last-Event-ID`.
 pub struct SseWriter {
     id: RequestId,
     id_text: String,
     model: String,
     chat: bool,
-    /// Only a reader from the first token on can tell the digest.
+    /// The digest of the text so far; `None` if the reader did not start at the first token.
     digest: Option<Sha256>,
+    /// The offset after the last event written, in tokens.
     from: usize,
 }
 
 impl SseWriter {
-    /// Starts to write an answer from an offset.
+    /// Creates a writer for an answer from a token offset on.
     pub fn new(id: RequestId, from: usize) -> Self {
         Self {
             id,
@@ -74,22 +76,23 @@
         }
     }
 
-    /// Takes note of what was asked.
-    pub fn spec(&mut self, spec: &RequestSpec) {
+    /// Sets the model and the format of the events from the request.
+    pub fn set_spec(&mut self, spec: &RequestSpec) {
         self.model = spec.service.to_string();
         self.chat = spec.model().is_some_and(|w| w.chat);
     }
 
-    /// Writes an event.
+    /// Returns an event in the format of server-sent events; `None` if the caller gets nothing for
+    /// it.
     pub fn event(&mut self, event: &AnswerEvent) -> Option<Bytes> {
         match event {
             AnswerEvent::Spec(spec) => {
-                self.spec(spec);
+                self.set_spec(spec);
                 None
             }
             AnswerEvent::Tokens { offset, tokens } => Some(self.tokens(*offset, tokens)),
-            AnswerEvent::Ending(Ending::Whole { total }) => Some(self.whole(*total)),
-            AnswerEvent::Ending(Ending::Plain(_)) => Some(self.named("error", &value!({}))),
+            AnswerEvent::Ending(Ending::Whole { total }) => Some(self.complete(*total)),
+            AnswerEvent::Ending(Ending::Plain(_)) => Some(self.named_event("error", &value!({}))),
             AnswerEvent::Ending(Ending::Failed(f)) => Some(self.failed(f)),
             AnswerEvent::Reattach => Some(self.reattach()),
             AnswerEvent::NotFound => {
@@ -108,7 +111,7 @@
         self.chunk(&text, None)
     }
 
-    fn whole(&mut self, total: usize) -> Bytes {
+    fn complete(&mut self, total: usize) -> Bytes {
         let digest = self.digest.take().map(|d| hex::encode(d.finalize()));
         let end = ChunkEnd {
             total_tokens: total,
@@ -123,12 +126,12 @@
         let doc = Problem::new(status_of(f.outcome), f, Some(self.id));
         let mut doc = serde_json::to_value(doc).unwrap_or_default();
         doc["retry_after_ms"] = value!(f.retry_after_ms);
-        self.named("error", &doc)
+        self.named_event("error", &doc)
     }
 
     fn reattach(&self) -> Bytes {
         let path = format!("/v1/requests/{}", self.id);
-        self.named("reattach", &value!({ "get": path }))
+        self.named_event("reattach", &value!({ "get": path }))
     }
 
     fn chunk(&self, text: &str, end: Option<ChunkEnd>) -> Bytes {
@@ -167,7 +170,7 @@
         bytes.into()
     }
 
-    fn named(&self, name: &str, data: &Value) -> Bytes {
+    fn named_event(&self, name: &str, data: &Value) -> Bytes {
         format!(
             "id: {}:{}\nevent: {name}\ndata: {data}\n\n",
             self.id, self.from
@@ -176,7 +179,7 @@
     }
 }
 
-/// Returns the body of an answer that comes as events.
+/// Returns the body of a response that streams an answer's events.
 pub fn sse_body(writer: SseWriter, rx: mpsc::Receiver<AnswerEvent>) -> Body {
     let events = stream::unfold((writer, rx), |(mut writer, mut rx)| async move {
         loop {
@@ -190,7 +193,8 @@
     BodyExt::boxed(StreamBody::new(frames))
 }
 
-/// Reads a `Last-Event-ID`, which names a request and an offset.
+/// Parses a `Last-Event-ID`, which consists of a request and an offset. Returns the offset, or
+/// `None` if the text is malformed or names another request.
 pub fn parse_event_id(text: &str, id: RequestId) -> Option<usize> {
     let (request, offset) = text.rsplit_once(':')?;
     if request.parse::<RequestId>().ok()? != id {
--- a/src/logs/line_budget.rs
+++ b/src/logs/line_budget.rs
@@ -47,10 +47,7 @@
         if !write {
             self.record_dropped(part, 1);
         }
-        LineDecision {
-            write,
-            dropped,
-        }
+        LineDecision { write, dropped }
     }
 
     /// Notes lines that were dropped elsewhere.
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -1,8 +1,8 @@
 //! Structured logs on standard output: bounded, and never waited for.
 
+mod history;
 mod line_budget;
 mod log_line;
 mod log_writer;
-mod history;
 
-pub use {line_budget::*, log_line::*, log_writer::*, history::*};
+pub use {history::*, line_budget::*, log_line::*, log_writer::*};
