--- a/src/logs/history.rs
+++ b/src/logs/history.rs
@@ -11,14 +11,14 @@
 pub struct SourcedLine {
     /// The line.
     pub line: LogLine,
-    /// The name of its source, or what a collector put before it.
+    /// The prefix that a log collector put before the line, or else the name of the source.
     pub source: String,
 }
 
-/// Reads the lines of all sources that `is_wanted` picks, in the order of time.
+/// Reads all lines of the sources for which `is_wanted` returns true, ordered by time.
 ///
-/// Lines that are not log lines are passed over, as is what stands before the
-/// first brace of a line (a collector's prefix).
+/// Lines that are not log lines are skipped. Text before the first brace of a line is taken as the
+/// prefix of a log collector.
 ///
 /// # Errors
 ///
@@ -47,18 +47,18 @@
     Ok(lines)
 }
 
-/// Tells the story of one request from the logs of all daemons: each line that
-/// names it, in the order of time, behind the name of its source.
+/// Returns the history of one request from the logs of all daemons: each line that names the
+/// request, ordered by time and preceded by its source.
 ///
 /// # Errors
 ///
 /// Returns the error of a source that can't be read.
 pub fn request_history(request: &str, sources: Vec<LogSource>) -> std::io::Result<String> {
-    let names_it = |line: &LogLine| line.value("request") == Some(request);
-    Ok(format_history(&read_lines(sources, names_it)?))
+    let names_request = |line: &LogLine| line.value("request") == Some(request);
+    Ok(format_history(&read_lines(sources, names_request)?))
 }
 
-/// Writes lines with the times since the first one.
+/// Formats lines with the time since the first one.
 pub fn format_history(lines: &[SourcedLine]) -> String {
     let mut history = String::new();
     let first_ms = lines.first().map_or(0, |sourced| sourced.line.time_ms);
--- a/src/logs/line_budget.rs
+++ b/src/logs/line_budget.rs
@@ -1,14 +1,15 @@
 use std::collections::BTreeMap;
 
-/// How many lines a second are written, by how much they matter.
+/// Maximum number of ordinary lines written per second.
 const ORDINARY_PER_S: u32 = 120;
+/// Maximum number of important lines written per second.
 const IMPORTANT_PER_S: u32 = 240;
 const SECOND_MS: u64 = 1_000;
 
-/// Bounds the lines of a second. Times are milliseconds.
+/// Limits the lines written per second. Times are milliseconds.
 ///
-/// Important lines (failed and refused requests) have a bound of their own, so
-/// that ordinary ones are dropped first.
+/// Important lines (failed and refused requests) have a limit of their own, so that ordinary lines
+/// are dropped first.
 #[derive(Debug, Default)]
 pub struct LineBudget {
     second: u64,
@@ -17,18 +18,18 @@
     dropped: BTreeMap<String, u64>,
 }
 
-/// What to do with a line.
+/// The decision on one line.
 #[derive(Debug, PartialEq, Eq)]
 pub struct LineDecision {
-    /// Whether to write it.
+    /// True if the line is to be written.
     pub write: bool,
-    /// By part, the lines that were dropped in an earlier second; to be told
-    /// before it.
+    /// The number of lines dropped in earlier seconds, by part of the daemon. It is to be logged
+    /// before the line.
     pub dropped: BTreeMap<String, u64>,
 }
 
 impl LineBudget {
-    /// Decides on a line of a part.
+    /// Decides if a line of a part is written or dropped, and counts it.
     pub fn take(&mut self, part: &str, important: bool, now_ms: u64) -> LineDecision {
         let mut dropped = BTreeMap::new();
         let second = now_ms / SECOND_MS;
@@ -50,7 +51,7 @@
         LineDecision { write, dropped }
     }
 
-    /// Notes lines that were dropped elsewhere.
+    /// Records lines of a part that were dropped.
     pub fn record_dropped(&mut self, part: &str, lines: u64) {
         *self.dropped.entry(part.to_string()).or_default() += lines;
     }
--- a/src/logs/log_writer.rs
+++ b/src/logs/log_writer.rs
@@ -11,25 +11,25 @@
     },
 };
 
-/// How many lines may wait for a reader of standard output.
+/// Maximum number of lines that wait for the reader of standard output. Further lines are dropped.
 const MAX_WAITING: usize = 1_024;
-/// About how much is written at a time, in bytes.
+/// Approximate maximum size of one write, in bytes.
 const MAX_WRITE_BYTES: usize = 32 * 1024;
-/// The part that tells of dropped lines.
+/// The part under which dropped lines are logged.
 const OWN_PART: &str = "log";
-/// How long is waited for the last lines to be written: a reader that has not
-/// taken them by then is slow or gone.
+/// Maximum time that a flush waits for the last lines to be written. A reader of standard output
+/// that has not read them by then is slow or gone.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the writing thread is given.
+/// A command to the writer thread.
 enum Command {
-    /// A line to write.
+    /// Writes a line.
     Line(String),
-    /// To tell when all lines before it are written.
+    /// Sends a message once all lines before this command are written.
     Flush(SyncSender<()>),
 }
 
-/// Writes lines from a thread of its own: whoever logs never waits.
+/// Writes log lines in a thread of its own, so that logging never blocks.
 #[derive(Debug)]
 pub struct LogWriter {
     budget: Mutex<LineBudget>,
@@ -37,28 +37,29 @@
 }
 
 impl LogWriter {
-    /// Starts writing to an output.
+    /// Starts a writer thread for an output.
     pub fn start(output: impl Write + Send + 'static) -> Self {
-        let (commands, waiting) = sync_channel(MAX_WAITING);
-        thread::spawn(move || write_lines(output, &waiting));
+        let (commands, queue) = sync_channel(MAX_WAITING);
+        thread::spawn(move || write_lines(output, &queue));
         Self {
             budget: Mutex::default(),
             commands,
         }
     }
 
-    /// Makes this the process's log, on standard output.
+    /// Installs a writer to standard output as the logger of the process.
     ///
     /// # Errors
     ///
-    /// Returns an error if a log was set up before.
+    /// Returns an error if a logger is installed already.
     pub fn install() -> Result<(), SetLoggerError> {
         log::set_boxed_logger(Box::new(Self::start(std::io::stdout())))?;
         log::set_max_level(log::LevelFilter::Info);
         Ok(())
     }
 
-    /// Writes a line, or drops and counts it.
+    /// Writes a line, or drops it and counts it as dropped. `message` is called only for a line
+    /// that is written.
     pub fn write(&self, level: Level, part: &str, message: impl FnOnce() -> String) {
         let now = now_ms();
         let mut budget = self.budget.lock();
@@ -97,7 +98,8 @@
 
 impl Log for LogWriter {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        // Our parts have short names; libraries log by their module paths.
+        // The daemon's parts have short names as targets; libraries log under their module paths and
+        // are ignored.
         metadata.level() <= Level::Info && !metadata.target().contains("::")
     }
 
@@ -112,18 +114,18 @@
     fn flush(&self) {
         let (done, written) = sync_channel(1);
         if self.commands.try_send(Command::Flush(done)).is_ok() {
-            // In vain: the lines are lost with the process, as ones that nobody reads.
+            // On a timeout nobody reads the lines, so they may be lost with the process.
             let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-fn write_lines(mut output: impl Write, waiting: &Receiver<Command>) {
-    while let Ok(first) = waiting.recv() {
+fn write_lines(mut output: impl Write, queue: &Receiver<Command>) {
+    while let Ok(first) = queue.recv() {
         let mut text = String::new();
         let mut flushed = Vec::new();
         let mut next = Some(first);
-        // What stands ready goes out in one write.
+        // Lines that are already queued are written together.
         while let Some(command) = next {
             match command {
                 Command::Line(line) => {
@@ -133,14 +135,14 @@
                 Command::Flush(done) => flushed.push(done),
             }
             let has_room = text.len() < MAX_WRITE_BYTES;
-            next = has_room.then(|| waiting.try_recv().ok()).flatten();
+            next = has_room.then(|| queue.try_recv().ok()).flatten();
         }
         let written = output.write_all(text.as_bytes());
         if written.and_then(|()| output.flush()).is_err() {
             return;
         }
         for done in flushed {
-            // One that no longer waits needs no word.
+            // Sending fails if the flush has timed out; then nobody needs the message.
             let _ = done.try_send(());
         }
     }
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard output: bounded, and never waited for.
+//! Structured logs on standard output, with a limited rate and without blocking the caller.
 
 mod history;
 mod line_budget;
--- a/src/report/html.rs
+++ b/src/report/html.rs
@@ -1,12 +1,13 @@
 use {super::Report, std::fmt::Write as _};
 
+/// Width of a bar in pixels.
 const BAR_WIDTH: f64 = 260.0;
 
 const STYLE: &str = "body{font:14px sans-serif;margin:2em}table{border-collapse:collapse}\
 td,th{padding:.3em .7em;border-bottom:1px solid #ccc;text-align:right}\
 td.n,th.n{text-align:left}rect{fill:#4477aa}rect.bad{fill:#cc6677}.gap{color:#aa3333}";
 
-/// Writes a report as one HTML page that opens without a network.
+/// Formats a report as a single HTML page without external resources.
 pub fn to_html(report: &Report) -> String {
     let mut page = String::new();
     let head = "<!doctype html><meta charset=utf-8><title>saddlepulley report</title>";
@@ -59,11 +60,12 @@
     page
 }
 
-fn bar(part: u64, whole: u64) -> String {
-    let good = if whole == 0 {
+/// Draws a bar that shows `part` as a share of `total`.
+fn bar(part: u64, total: u64) -> String {
+    let good = if total == 0 {
         0.0
     } else {
-        part as f64 / whole as f64
+        part as f64 / total as f64
     } * BAR_WIDTH;
     format!(
         "<svg width={BAR_WIDTH} height=12><rect class=bad width={BAR_WIDTH} height=12 />\
--- a/src/report/mod.rs
+++ b/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reads what daemons published of how each policy did.
+//! Reports how each policy performed, from the scores that daemons publish.
 
 mod burn;
 mod html;
--- a/src/report/policy_report.rs
+++ b/src/report/policy_report.rs
@@ -8,57 +8,59 @@
     },
 };
 
-/// The objective of a row that the table no longer has.
+/// The objective for scores whose row is no longer in the table.
 const DEFAULT_OBJECTIVE: f64 = 0.95;
 
-/// One line of the report.
+/// One row of the report: the score of a policy for a client account and a service in a failure
+/// domain.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReportRow {
     /// The failure domain.
     pub failure_domain: FailureDomain,
-    /// Policy, account and service.
+    /// The policy, client account and service.
     #[serde(flatten)]
     pub key: ScoreKey,
-    /// The figures.
+    /// The score, summed over all pages.
     pub score: Score,
     /// The price of an answer on target, in millionths of a currency unit.
     pub cost_at_target: Option<f64>,
     /// The median time to the first token, in milliseconds.
     pub first_ms_p50: u64,
-    /// The time to the first token that 95 in 100 stay under, in milliseconds.
+    /// The 95th percentile of the time to the first token, in milliseconds.
     pub first_ms_p95: u64,
-    /// The burn of the error budget.
+    /// The burn rate of the error budget in each window.
     pub burn: Vec<Burn>,
 }
 
-/// A stretch that a daemon did not publish.
+/// A period for which a daemon published no scores.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Gap {
-    /// The box.
+    /// The box of the daemon.
     pub by: BoxId,
-    /// Pages that are missing.
+    /// The number of missing pages.
     pub pages: u64,
-    /// About when it began, in Unix milliseconds.
+    /// The approximate start, in Unix milliseconds: the end of the last page before the gap.
     pub from_ms: u64,
-    /// About when it ended, in Unix milliseconds.
+    /// The approximate end, in Unix milliseconds: the start of the first page after the gap.
     pub to_ms: u64,
 }
 
-/// How each policy did.
+/// The report on all policies.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Report {
-    /// The lines.
+    /// The rows, ordered by failure domain, policy, client account and service.
     pub rows: Vec<ReportRow>,
-    /// What is missing.
+    /// The gaps in the published scores.
     pub gaps: Vec<Gap>,
 }
 
 impl Report {
-    /// Reads the pages from the log and works out the report.
+    /// Reads the pages from the log and computes the report. Records that are not pages are
+    /// skipped.
     ///
     /// # Errors
     ///
-    /// Returns how the log could not be read.
+    /// Returns an error if the log can't be read.
     pub async fn read(
         log: &dyn PlatformLog,
         table: &Table,
@@ -84,7 +86,7 @@
         Ok(Self::of(&pages, table, now_ms))
     }
 
-    /// Works out the report from pages.
+    /// Computes the report from pages.
     pub fn of(pages: &[ScorePage], table: &Table, now_ms: u64) -> Self {
         let mut scores: BTreeMap<(FailureDomain, ScoreKey), Score> = BTreeMap::new();
         for page in pages {
@@ -123,8 +125,8 @@
                 if page.failure_domain != failure_domain {
                     continue;
                 }
-                let mine = page.scores.iter().filter(|(k, _)| *k == key);
-                mine.for_each(|(_, s)| sum.add(s));
+                let matching = page.scores.iter().filter(|(k, _)| *k == key);
+                matching.for_each(|(_, s)| sum.add(s));
             }
             Burn::new(name, sum.requests, sum.on_target, objective)
         })
@@ -140,7 +142,7 @@
     }
 }
 
-/// Finds numbers that are missing between two pages of one life of a box.
+/// Finds page numbers that are missing between two pages of one incarnation of a box.
 fn gaps(pages: &[ScorePage]) -> Vec<Gap> {
     let mut by_incarnation: BTreeMap<(&BoxId, u64), Vec<&ScorePage>> = BTreeMap::new();
     for page in pages {
--- a/src/requests/ending.rs
+++ b/src/requests/ending.rs
@@ -6,46 +6,46 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Ending {
-    /// The model's answer is whole, with this many tokens.
+    /// The model's answer is complete.
     Whole {
         /// Length of the answer in tokens.
         total: usize,
     },
-    /// The plain service answered.
+    /// The plain service responded.
     Plain(PlainAnswer),
-    /// It was given up on.
+    /// The request failed.
     Failed(Failure),
 }
 
-/// Why a request was given up on.
+/// Why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// What the caller can rely on.
+    /// What the caller can assume about the run of the request.
     pub outcome: Outcome,
-    /// The reason, for people.
+    /// The reason, for human readers.
     pub detail: String,
-    /// When to come back, in milliseconds; 0 if that doesn't help.
+    /// The time after which to retry, in milliseconds; 0 if a retry does not help.
     pub retry_after_ms: u64,
 }
 
-/// What the caller of a failed request can rely on.
+/// What the caller of a failed request can assume about its run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
-    /// Its deadline passed; it may have run.
+    /// The deadline passed; the request may have run.
     Expired,
-    /// It can't be understood; it did not run.
+    /// The request is malformed; it did not run.
     Malformed,
-    /// It ran to its end, and the answer is no longer held.
+    /// The request ran to its end, but its answer is no longer stored.
     Completed,
 }
 
 impl Outcome {
-    /// Returns the name in answers.
+    /// Returns the name used in responses to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -58,7 +58,7 @@
 }
 
 impl Failure {
-    /// Makes a failure.
+    /// Creates a failure.
     pub fn new(outcome: Outcome, detail: impl Into<String>, retry_after_ms: u64) -> Self {
         Self {
             outcome,
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Requests: what was asked, how far its answer is, and who owns it.
+//! The state of requests: their specification, the answer so far, and the box that owns each.
 
 mod ending;
 mod record;
--- a/src/requests/record.rs
+++ b/src/requests/record.rs
@@ -1,18 +1,18 @@
 use {super::*, crate::names::*, std::sync::Arc};
 
-/// What this box is to a request.
+/// The role of this box for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It runs the request and answers for it.
+    /// This box runs the request and serves its answer.
     Owner,
-    /// It holds the copy.
+    /// This box holds the copy.
     Copy {
-        /// The owner.
+        /// The box that owns the request.
         owner: BoxId,
     },
-    /// The request went to another box.
+    /// The request was moved to another box.
     Moved {
-        /// The box.
+        /// The box to which it was moved.
         to: BoxId,
     },
 }
@@ -20,47 +20,48 @@
 /// Where the copy of a request is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Holder {
-    /// A box is being looked for; nothing new is shown meanwhile.
+    /// The owner is looking for a box to hold the copy. Meanwhile, nothing new is shown to the
+    /// caller.
     Searching,
-    /// On this box.
+    /// On the given box.
     At(BoxId),
-    /// No box could be reached; the answer is shown without a copy.
+    /// No box could be reached; the answer is shown to the caller without a copy.
     Nowhere,
 }
 
-/// All that a box knows of a request.
+/// The state of a request on one box.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// What was asked.
+    /// The specification of the request.
     pub spec: Arc<RequestSpec>,
-    /// What this box is to it.
+    /// The role of this box for the request.
     pub role: Role,
-    /// Grows with each change of owner; a lower one is refused.
+    /// Increases with each change of owner; updates with a lower epoch are refused.
     pub epoch: u64,
-    /// The answer's tokens so far.
+    /// The tokens of the answer so far.
     pub tokens: Vec<Arc<str>>,
-    /// How many tokens the copy holds; no more are shown to the caller.
+    /// The number of tokens that the copy holds; later tokens are not shown to the caller yet.
     pub durable: usize,
-    /// How it ended.
+    /// How the request ended; `None` while it runs.
     pub ending: Option<Ending>,
-    /// Whether the copy holds the ending.
+    /// True if the copy holds the ending.
     pub ending_durable: bool,
     /// Where the copy is.
     pub holder: Holder,
-    /// The upstream that runs it now.
+    /// The upstream that runs the request now.
     pub upstream: Option<BoxId>,
-    /// Tokens that were computed again.
+    /// The number of tokens that were computed more than once.
     pub recomputed: u64,
-    /// How many readers the answer has on this box.
+    /// The number of readers of the answer on this box.
     pub readers: usize,
-    /// Since when nobody reads it, in Unix milliseconds.
+    /// When the answer was left without readers, in Unix milliseconds; valid while `readers` is 0.
     pub unread_since_ms: u64,
-    /// When it ended, in Unix milliseconds.
+    /// When the request ended, in Unix milliseconds; 0 until then.
     pub ended_at_ms: u64,
 }
 
 impl Record {
-    /// Starts a record.
+    /// Creates the record of a request without any tokens.
     pub fn new(spec: Arc<RequestSpec>, role: Role, epoch: u64, now_ms: u64) -> Self {
         Self {
             spec,
@@ -84,29 +85,30 @@
         self.role == Role::Owner
     }
 
-    /// Returns whether nothing is left to do.
+    /// Returns whether the request has ended.
     pub fn is_ended(&self) -> bool {
         self.ending.is_some()
     }
 
-    /// Returns whether it ended as `not-run`: the same key may be sent again.
+    /// Returns whether the request ended as `not-run`, so that the caller may send the same key
+    /// again.
     pub fn is_not_run(&self) -> bool {
         matches!(&self.ending, Some(Ending::Failed(f)) if f.outcome == Outcome::NotRun)
     }
 
-    /// Returns the ending, once the caller may see it.
+    /// Returns the ending once the copy holds it and all tokens, so that the caller may see it.
     pub fn shown_ending(&self) -> Option<&Ending> {
         let all_shown = self.durable == self.tokens.len() && self.ending_durable;
         self.ending.as_ref().filter(|_| all_shown)
     }
 
-    /// Appends tokens of the current attempt.
+    /// Appends tokens that the current attempt produced.
     pub fn commit(&mut self, tokens: Vec<Arc<str>>) {
         self.tokens.extend(tokens);
         self.show_without_copy();
     }
 
-    /// Ends the request, unless it has ended.
+    /// Ends the request, unless it has ended or this box does not own it. Returns whether it did.
     pub fn end(&mut self, ending: Ending, now_ms: u64) -> bool {
         if self.ending.is_some() || !self.is_owner() {
             return false;
@@ -117,7 +119,7 @@
         true
     }
 
-    /// Notes that no box could be reached to hold a copy.
+    /// Records that no box could be reached to hold a copy.
     pub fn record_no_holder(&mut self) {
         self.holder = Holder::Nowhere;
         self.show_without_copy();
@@ -130,15 +132,15 @@
         }
     }
 
-    /// Notes what the copy holds now.
+    /// Records how many tokens the copy holds now, and whether it holds the ending.
     pub fn copied(&mut self, tokens: usize, ending: bool) {
         self.durable = self.durable.max(tokens.min(self.tokens.len()));
         self.ending_durable |= ending && self.ending.is_some();
     }
 
-    /// Takes the copy's part: appends what continues the tokens held.
+    /// Appends the owner's tokens from an offset on to this copy, except those that it holds.
     ///
-    /// Returns false if there is a gap.
+    /// Returns false if tokens are missing between those held and the offset.
     pub fn append(&mut self, offset: usize, tokens: &[Arc<str>], ending: Option<Ending>) -> bool {
         let Some(skip) = self.tokens.len().checked_sub(offset) else {
             return false;
@@ -150,7 +152,7 @@
         true
     }
 
-    /// Returns about how many bytes the record takes.
+    /// Estimates the memory that the record takes, in bytes.
     pub fn bytes(&self) -> usize {
         let answer = match &self.ending {
             Some(Ending::Plain(answer)) => answer.body.len(),
--- a/src/requests/request_cell.rs
+++ b/src/requests/request_cell.rs
@@ -9,37 +9,41 @@
     tokio::sync::watch,
 };
 
-/// Where the owner's attempt shall go on.
+/// Where the owner's attempt is to continue.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum MoveOrder {
-    /// Where it is.
+    /// At its current upstream.
     #[default]
     Stay,
-    /// Off this upstream, to a target that has the KV cache, or to any.
+    /// At another upstream: the target that has the KV cache, or any if there is none.
     Leave {
-        /// The upstream that is leaving.
+        /// The upstream to leave.
         from: BoxId,
-        /// The target, if one was prepared.
+        /// The target that was prepared with the KV cache, if any.
         to: Option<BoxId>,
     },
 }
 
-/// A request's record with what wakes those who wait on it.
+/// A request's record, with channels that notify tasks of its changes.
 ///
 /// The record's lock is the innermost: no other lock is taken while it is held.
 #[derive(Debug)]
 pub struct RequestCell {
     id: RequestId,
     record: Mutex<Record>,
+    /// Counts the changes of the record.
     changed: watch::Sender<u64>,
     orders: watch::Sender<MoveOrder>,
+    /// Counts the changes of owner and the ending.
     owners: watch::Sender<u64>,
+    /// True while the request waits to be copied.
     queued: AtomicBool,
+    /// True while the request is being handed over.
     moving: AtomicBool,
 }
 
 impl RequestCell {
-    /// Wraps a record.
+    /// Creates a cell that holds a record.
     pub fn new(record: Record) -> Arc<Self> {
         Arc::new(Self {
             id: record.spec.id,
@@ -57,7 +61,7 @@
         self.id
     }
 
-    /// Returns what was asked.
+    /// Returns the specification of the request.
     pub fn spec(&self) -> Arc<RequestSpec> {
         self.record.lock().spec.clone()
     }
@@ -67,31 +71,31 @@
         self.record.lock()
     }
 
-    /// Changes the record and wakes those who wait.
+    /// Changes the record and notifies the tasks that watch it.
     pub fn change<T>(&self, f: impl FnOnce(&mut Record) -> T) -> T {
         let out = f(&mut self.record.lock());
         self.changed.send_modify(|n| *n += 1);
         out
     }
 
-    /// Changes who owns the request, or ends it, and wakes its run as well.
+    /// Changes the owner of the request, or ends it, and also notifies the task that runs it.
     pub fn change_owner<T>(&self, f: impl FnOnce(&mut Record) -> T) -> T {
         let out = self.change(f);
         self.owners.send_modify(|n| *n += 1);
         out
     }
 
-    /// Returns a receiver that wakes when the owner changed or the request ended.
+    /// Returns a receiver that is notified when the owner changes or the request ends.
     pub fn watch_owner(&self) -> watch::Receiver<u64> {
         self.owners.subscribe()
     }
 
-    /// Returns a receiver that wakes on each change.
+    /// Returns a receiver that is notified of each change.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Tells the owner's attempt to go on elsewhere.
+    /// Orders the owner's attempt to continue as given.
     pub fn order(&self, order: MoveOrder) {
         self.orders.send_replace(order);
     }
@@ -101,30 +105,32 @@
         self.orders.subscribe()
     }
 
-    /// Marks the request as waiting to be copied; returns whether it was not yet.
+    /// Marks the request as waiting to be copied. Returns false if it was marked already.
     pub fn queue(&self) -> bool {
         !self.queued.swap(true, Ordering::SeqCst)
     }
 
-    /// Takes the mark off, before the record is read for copying.
+    /// Clears the mark set by [`queue`](Self::queue). This happens before the record is read for
+    /// copying, so that a later change queues the request again.
     pub fn unqueue(&self) {
         self.queued.store(false, Ordering::SeqCst);
     }
 
-    /// Marks the request as being handed over; returns none if it is already.
+    /// Marks the request as being handed over until the returned guard is dropped. Returns `None`
+    /// if a hand-over is already in progress.
     pub fn start_move(&self) -> Option<Moving<'_>> {
         let started = !self.moving.swap(true, Ordering::SeqCst);
         started.then_some(Moving { cell: self })
     }
 
-    /// Counts in a reader of the answer.
+    /// Registers a reader of the answer until the returned guard is dropped.
     pub fn reader(self: &Arc<Self>) -> Reader {
         self.record.lock().readers += 1;
         Reader { cell: self.clone() }
     }
 }
 
-/// A hand-over on its way; only one at a time.
+/// The guard of a hand-over in progress; a request has at most one.
 #[derive(Debug)]
 pub struct Moving<'a> {
     cell: &'a RequestCell,
@@ -136,7 +142,8 @@
     }
 }
 
-/// A reader of the answer; it counts itself out when dropped.
+/// The guard of a registered reader of an answer. The last one to be dropped sets the time since
+/// which nobody reads the answer.
 #[derive(Debug)]
 pub struct Reader {
     cell: Arc<RequestCell>,
--- a/src/requests/request_table.rs
+++ b/src/requests/request_table.rs
@@ -5,12 +5,12 @@
     std::{collections::HashMap, sync::Arc},
 };
 
-/// Parts of the table, each with its own lock.
+/// Number of shards of the table, each with its own lock.
 const SHARDS: usize = 16;
 
-/// All requests that this box owns, holds a copy of, or sent on.
+/// All requests that this box owns, holds a copy of, or moved to another box.
 ///
-/// Lock order: a shard before a record, never two shards.
+/// Lock order: a shard is locked before a record, and never two shards at once.
 #[derive(Debug)]
 pub struct RequestTable {
     shards: Vec<Mutex<HashMap<RequestId, Arc<RequestCell>>>>,
@@ -25,13 +25,13 @@
 }
 
 impl RequestTable {
-    /// Returns a request.
+    /// Returns the request with an identifier, if the table has it.
     pub fn get(&self, id: RequestId) -> Option<Arc<RequestCell>> {
         self.shard(id).lock().get(&id).cloned()
     }
 
-    /// Puts a request in, unless it is there already; returns the one that is
-    /// there now, and whether it was put in.
+    /// Inserts a request, unless the table already has one with its identifier. Returns the request
+    /// now in the table, and true if it was inserted.
     pub fn insert(&self, record: Record) -> (Arc<RequestCell>, bool) {
         let id = record.spec.id;
         let mut shard = self.shard(id).lock();
@@ -43,7 +43,7 @@
         (cell, true)
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&self, id: RequestId) {
         self.shard(id).lock().remove(&id);
     }
@@ -56,7 +56,7 @@
             .collect()
     }
 
-    /// Returns how many requests are in the table.
+    /// Returns the number of requests in the table.
     pub fn len(&self) -> usize {
         self.shards.iter().map(|s| s.lock().len()).sum()
     }
@@ -67,7 +67,7 @@
     }
 
     fn shard(&self, id: RequestId) -> &Mutex<HashMap<RequestId, Arc<RequestCell>>> {
-        // The low bits of a UUIDv7 are random.
+        // The low bits of a UUIDv7 are random, so they spread the requests evenly.
         let n = (id.uuid().as_u128() as usize) % SHARDS;
         &self.shards[n]
     }
--- a/src/requests/spec.rs
+++ b/src/requests/spec.rs
@@ -3,68 +3,68 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What a request asks for, with all that a box needs to go on with it.
+/// The specification of a request, with everything that a box needs to take it over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestSpec {
-    /// The request.
+    /// The identifier of the request.
     pub id: RequestId,
-    /// Who sent it.
+    /// The client account that sent it.
     pub account: ClientAccount,
-    /// The service.
+    /// The service that runs it.
     pub service: ServiceName,
-    /// The work.
+    /// The work to do.
     pub work: Work,
-    /// Whether it may run more than once.
+    /// True if the request may run more than once.
     pub repeatable: bool,
-    /// When its answer is worth nothing any more, in Unix milliseconds.
+    /// The deadline after which the answer is useless, in Unix milliseconds.
     pub deadline_ms: u64,
-    /// When it was accepted, in Unix milliseconds.
+    /// When the request was accepted, in Unix milliseconds.
     pub accepted_at_ms: u64,
-    /// The policy that places it.
+    /// The policy that places the request.
     pub policy: PolicyName,
-    /// The contract's terms.
+    /// The terms of the contract under which it was accepted.
     pub terms: Terms,
-    /// How often it was sent on before it ran.
+    /// How many times the request was forwarded to another box before it ran.
     pub hops: u8,
 }
 
-/// The terms of a contract that go with a request.
+/// The terms of a contract that apply to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Terms {
-    /// Target for the first token, in milliseconds.
+    /// Target for the time to the first token, in milliseconds.
     pub first_token_ms: u32,
-    /// Target between tokens, in milliseconds.
+    /// Target for the time between tokens, in milliseconds.
     pub between_tokens_ms: u32,
-    /// The class of box.
+    /// The preferred class of box.
     pub class: ClassPreference,
     /// Retries allowed per admitted request.
     pub retry_budget: f64,
-    /// The priority passed to engines.
+    /// The priority that is passed to engines.
     pub priority: u8,
 }
 
 /// The work of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Work {
-    /// An answer of a model.
+    /// A model call.
     Model(ModelWork),
     /// A call to a plain service.
     Plain(PlainCall),
 }
 
-/// What a model is asked.
+/// The work of a model call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelWork {
     /// The prompt.
     pub prompt: String,
-    /// Length of the answer, in tokens.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u32,
-    /// Whether the answer has the form of a chat.
+    /// True if the answer has the chat format.
     pub chat: bool,
 }
 
 impl RequestSpec {
-    /// Returns the model's work, if it is one.
+    /// Returns the work of a model call, or `None` for a call to a plain service.
     pub fn model(&self) -> Option<&ModelWork> {
         match &self.work {
             Work::Model(work) => Some(work),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns about how many bytes the request takes in memory.
+    /// Estimates the memory that the request takes, in bytes.
     pub fn bytes(&self) -> usize {
         match &self.work {
             Work::Model(work) => work.prompt.len(),
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions: pure, without processes, clocks or sockets.
+//! Tests of decisions in pure code, without processes, clocks or sockets.
 
 mod admission;
 mod box_facts;
--- a/tests/decisions/report.rs
+++ b/tests/decisions/report.rs
@@ -1,4 +1,4 @@
-//! The report: burn rates, gaps, price at the target.
+//! Tests of the policy report: burn rates, cost of answers on target, and gaps.
 
 use saddlepulley::{app::*, contracts::Table, names::*, report::*};
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn burn_is_told_by_window() {
+fn burn_rates_are_reported_per_window() {
     let now = 100 * 60 * 60_000;
     let pages = [
         page(0, now - 2 * 60 * 60_000, 100, 100),
@@ -38,7 +38,8 @@
     let row = &report.rows[0];
     let rates: Vec<_> = row.burn.iter().map(|b| (b.window, b.requests)).collect();
     assert_eq!(rates, [("5m", 100), ("1h", 100), ("6h", 200)]);
-    // 10 in 100 late, 5 in 100 allowed: the budget burns twice as fast as it may.
+    // 10 of 100 requests miss the target and 5 are allowed to, so the budget burns twice as fast
+    // as it may.
     let rate = row.burn[0].rate.unwrap();
     assert!((rate - 2.0).abs() < 1e-6, "{rate}");
     assert!((row.cost_at_target.unwrap() - 20_000.0 / 190.0).abs() < 1e-6);
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_missing_page_is_a_gap() {
+fn missing_pages_are_reported_as_a_gap() {
     let pages = [page(0, 10_000, 1, 1), page(3, 40_000, 1, 1)];
     let report = Report::of(&pages, &Table::default(), 50_000);
     assert_eq!(report.gaps.len(), 1);
