--- a/src/caller/caller_service.rs
+++ b/src/caller/caller_service.rs
@@ -230,8 +230,8 @@
     }
 }
 
-/// Builds a submission from the headers that control a request: the idempotency key, whether the
-/// request is repeatable, its deadline and its durability.
+/// Builds a submission from the headers that control a request: the idempotency key, whether
+/// the request is repeatable, its deadline and its durability.
 fn submission(
     headers: &HeaderMap,
     account: ClientAccount,
@@ -279,8 +279,8 @@
     })
 }
 
-/// Refuses unknown headers with the project's prefix, since a misspelt header would otherwise be
-/// ignored silently.
+/// Refuses unknown headers with the project's prefix, since a misspelt header would otherwise
+/// be ignored silently.
 fn check_headers(headers: &HeaderMap) -> Result<(), Refusal> {
     const KNOWN: [&str; 3] = ["repeatable", "deadline-ms", "durability"];
     for name in headers.keys() {
@@ -393,9 +393,9 @@
     response
 }
 
-/// Redirects the caller to the request's path, as this box is leaving: another box continues the
-/// request and serves its answer. The connection is closed so that the caller opens a new one
-/// there.
+/// Redirects the caller to the request's path, as this box is leaving: another box continues
+/// the request and serves its answer. The connection is closed so that the caller opens a new
+/// one there.
 fn redirect_to_another_box(id: RequestId) -> Response<Body> {
     let mut response = text(StatusCode::TEMPORARY_REDIRECT, "go on at another box\n");
     *response.status_mut() = StatusCode::SEE_OTHER;
--- a/src/caller/mod.rs
+++ b/src/caller/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP servers for callers and operators, on `hyper`. Answers are streamed as server-sent events.
+//! HTTP servers for callers and operators, on `hyper`. Answers are streamed as server-sent
+//! events.
 
 mod auth;
 mod caller_service;
--- a/src/caller/openai.rs
+++ b/src/caller/openai.rs
@@ -61,8 +61,8 @@
 ///
 /// # Errors
 ///
-/// Returns a message that names the malformed field or the position of the syntax error, with the
-/// expected value.
+/// Returns a message that names the malformed field or the position of the syntax error, with
+/// the expected value.
 pub fn parse_model_call(chat: bool, body: &[u8]) -> Result<ModelCall, String> {
     let (model, prompt, max_tokens, stream) = if chat {
         let b: ChatBody = serde_json::from_slice(body).map_err(|e| e.to_string())?;
--- a/src/caller/operator_service.rs
+++ b/src/caller/operator_service.rs
@@ -103,8 +103,8 @@
     }
 }
 
-/// Reads this process's memory in bytes and processor time in milliseconds from `/proc`; each is 0
-/// where `/proc` does not report it.
+/// Reads this process's memory in bytes and processor time in milliseconds from `/proc`; each
+/// is 0 where `/proc` does not report it.
 fn usage() -> (u64, u64) {
     const PAGE: u64 = 4_096;
     const TICK_MS: u64 = 10;
@@ -125,8 +125,8 @@
     let install = || {
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
-        // Installing fails if several daemons share a process and one of them already installed its
-        // recorder.
+        // Installing fails if several daemons share a process and one of them already
+        // installed its recorder.
         let _ = metrics::set_global_recorder(recorder);
         handle
     };
--- a/src/caller/problem.rs
+++ b/src/caller/problem.rs
@@ -61,8 +61,8 @@
     problem_response(r.status, &r.failure, request)
 }
 
-/// Returns the response for a failure: a problem document, with the outcome and the retry time in
-/// headers as well.
+/// Returns the response for a failure: a problem document, with the outcome and the retry time
+/// in headers as well.
 pub fn problem_response(
     status: u16,
     failure: &Failure,
--- a/src/caller/server.rs
+++ b/src/caller/server.rs
@@ -113,8 +113,8 @@
     let req = req.map(|body| RequestBody::new(body, limits, expects_continue));
     let mut response = service.oneshot(req).await?;
     if expects_continue && !response.status().is_success() {
-        // The caller may or may not send the body after an early response, so the connection can't
-        // be reused.
+        // The caller may or may not send the body after an early response, so the connection
+        // can't be reused.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
--- a/src/caller/sse.rs
+++ b/src/caller/sse.rs
@@ -40,8 +40,8 @@
     content: &'a str,
 }
 
-/// The end of an answer: its length, and the SHA-256 digest of its text. The digest is missing if
-/// the reader did not start at the first token.
+/// The end of an answer: its length, and the SHA-256 digest of its text. The digest is missing
+/// if the reader did not start at the first token.
 #[derive(Serialize)]
 struct ChunkEnd {
     total_tokens: usize,
@@ -50,8 +50,8 @@
 
 /// Converts the events of an answer to server-sent events.
 ///
-/// The `id` of each event consists of the request and the offset after the event, so that a caller
-/// that lost its connection can continue with `Last-Event-ID`.
+/// The `id` of each event consists of the request and the offset after the event, so that a
+/// caller that lost its connection can continue with `Last-Event-ID`.
 pub struct SseWriter {
     id: RequestId,
     id_text: String,
@@ -82,8 +82,8 @@
         self.chat = spec.model().is_some_and(|w| w.chat);
     }
 
-    /// Returns an event in the format of server-sent events; `None` if the caller gets nothing for
-    /// it.
+    /// Returns an event in the format of server-sent events; `None` if the caller gets nothing
+    /// for it.
     pub fn event(&mut self, event: &AnswerEvent) -> Option<Bytes> {
         match event {
             AnswerEvent::Spec(spec) => {
--- a/src/logs/history.rs
+++ b/src/logs/history.rs
@@ -17,8 +17,8 @@
 
 /// Reads all lines of the sources for which `is_wanted` returns true, ordered by time.
 ///
-/// Lines that are not log lines are skipped. Text before the first brace of a line is taken as the
-/// prefix of a log collector.
+/// Lines that are not log lines are skipped. Text before the first brace of a line is taken as
+/// the prefix of a log collector.
 ///
 /// # Errors
 ///
--- a/src/logs/line_budget.rs
+++ b/src/logs/line_budget.rs
@@ -8,8 +8,8 @@
 
 /// Limits the lines written per second. Times are milliseconds.
 ///
-/// Important lines (failed and refused requests) have a limit of their own, so that ordinary lines
-/// are dropped first.
+/// Important lines (failed and refused requests) have a limit of their own, so that ordinary
+/// lines are dropped first.
 #[derive(Debug, Default)]
 pub struct LineBudget {
     second: u64,
@@ -23,8 +23,8 @@
 pub struct LineDecision {
     /// True if the line is to be written.
     pub write: bool,
-    /// The number of lines dropped in earlier seconds, by part of the daemon. It is to be logged
-    /// before the line.
+    /// The number of lines dropped in earlier seconds, by part of the daemon. It is to be
+    /// logged before the line.
     pub dropped: BTreeMap<String, u64>,
 }
 
@@ -39,11 +39,11 @@
             self.important = 0;
             dropped = std::mem::take(&mut self.dropped);
         }
-        let (used, most) = match important {
+        let (used, limit) = match important {
             true => (&mut self.important, IMPORTANT_PER_S),
             false => (&mut self.ordinary, ORDINARY_PER_S),
         };
-        let write = *used < most;
+        let write = *used < limit;
         *used += u32::from(write);
         if !write {
             self.record_dropped(part, 1);
--- a/src/logs/log_writer.rs
+++ b/src/logs/log_writer.rs
@@ -11,14 +11,15 @@
     },
 };
 
-/// Maximum number of lines that wait for the reader of standard output. Further lines are dropped.
+/// Maximum number of lines that wait for the reader of standard output. Further lines are
+/// dropped.
 const MAX_WAITING: usize = 1_024;
 /// Approximate maximum size of one write, in bytes.
 const MAX_WRITE_BYTES: usize = 32 * 1024;
 /// The part under which dropped lines are logged.
 const OWN_PART: &str = "log";
-/// Maximum time that a flush waits for the last lines to be written. A reader of standard output
-/// that has not read them by then is slow or gone.
+/// Maximum time that a flush waits for the last lines to be written. A reader of standard
+/// output that has not read them by then is slow or gone.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A command to the writer thread.
@@ -58,8 +59,8 @@
         Ok(())
     }
 
-    /// Writes a line, or drops it and counts it as dropped. `message` is called only for a line
-    /// that is written.
+    /// Writes a line, or drops it and counts it as dropped. `message` is called only for a
+    /// line that is written.
     pub fn write(&self, level: Level, part: &str, message: impl FnOnce() -> String) {
         let now = now_ms();
         let mut budget = self.budget.lock();
@@ -98,8 +99,8 @@
 
 impl Log for LogWriter {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        // The daemon's parts have short names as targets; libraries log under their module paths and
-        // are ignored.
+        // The daemon's parts have short names as targets; libraries log under their module
+        // paths and are ignored.
         metadata.level() <= Level::Info && !metadata.target().contains("::")
     }
 
--- a/src/report/burn.rs
+++ b/src/report/burn.rs
@@ -21,8 +21,8 @@
 }
 
 impl Burn {
-    /// Computes the rate from the counts of a window and the objective, the share of requests that
-    /// shall be on target.
+    /// Computes the rate from the counts of a window and the objective, the share of requests
+    /// that shall be on target.
     pub fn new(window: &'static str, requests: u64, on_target: u64, objective: f64) -> Self {
         let rate = (requests > 0).then(|| {
             let bad = (requests - on_target.min(requests)) as f64 / requests as f64;
--- a/src/report/policy_report.rs
+++ b/src/report/policy_report.rs
@@ -11,8 +11,8 @@
 /// The objective for scores whose row is no longer in the table.
 const DEFAULT_OBJECTIVE: f64 = 0.95;
 
-/// One row of the report: the score of a policy for a client account and a service in a failure
-/// domain.
+/// One row of the report: the score of a policy for a client account and a service in a
+/// failure domain.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReportRow {
     /// The failure domain.
--- a/src/requests/record.rs
+++ b/src/requests/record.rs
@@ -54,7 +54,8 @@
     pub recomputed: u64,
     /// The number of readers of the answer on this box.
     pub readers: usize,
-    /// When the answer was left without readers, in Unix milliseconds; valid while `readers` is 0.
+    /// When the answer was left without readers, in Unix milliseconds; valid while `readers`
+    /// is 0.
     pub unread_since_ms: u64,
     /// When the request ended, in Unix milliseconds; 0 until then.
     pub ended_at_ms: u64,
@@ -90,13 +91,14 @@
         self.ending.is_some()
     }
 
-    /// Returns whether the request ended as `not-run`, so that the caller may send the same key
-    /// again.
+    /// Returns whether the request ended as `not-run`, so that the caller may send the same
+    /// key again.
     pub fn is_not_run(&self) -> bool {
         matches!(&self.ending, Some(Ending::Failed(f)) if f.outcome == Outcome::NotRun)
     }
 
-    /// Returns the ending once the copy holds it and all tokens, so that the caller may see it.
+    /// Returns the ending once the copy holds it and all tokens, so that the caller may see
+    /// it.
     pub fn shown_ending(&self) -> Option<&Ending> {
         let all_shown = self.durable == self.tokens.len() && self.ending_durable;
         self.ending.as_ref().filter(|_| all_shown)
@@ -108,7 +110,8 @@
         self.show_without_copy();
     }
 
-    /// Ends the request, unless it has ended or this box does not own it. Returns whether it did.
+    /// Ends the request, unless it has ended or this box does not own it. Returns whether it
+    /// did.
     pub fn end(&mut self, ending: Ending, now_ms: u64) -> bool {
         if self.ending.is_some() || !self.is_owner() {
             return false;
--- a/src/requests/request_cell.rs
+++ b/src/requests/request_cell.rs
@@ -110,14 +110,14 @@
         !self.queued.swap(true, Ordering::SeqCst)
     }
 
-    /// Clears the mark set by [`queue`](Self::queue). This happens before the record is read for
-    /// copying, so that a later change queues the request again.
+    /// Clears the mark set by [`queue`](Self::queue). This happens before the record is read
+    /// for copying, so that a later change queues the request again.
     pub fn unqueue(&self) {
         self.queued.store(false, Ordering::SeqCst);
     }
 
-    /// Marks the request as being handed over until the returned guard is dropped. Returns `None`
-    /// if a hand-over is already in progress.
+    /// Marks the request as being handed over until the returned guard is dropped. Returns
+    /// `None` if a hand-over is already in progress.
     pub fn start_move(&self) -> Option<Moving<'_>> {
         let started = !self.moving.swap(true, Ordering::SeqCst);
         started.then_some(Moving { cell: self })
@@ -142,8 +142,8 @@
     }
 }
 
-/// The guard of a registered reader of an answer. The last one to be dropped sets the time since
-/// which nobody reads the answer.
+/// The guard of a registered reader of an answer. The last one to be dropped sets the time
+/// since which nobody reads the answer.
 #[derive(Debug)]
 pub struct Reader {
     cell: Arc<RequestCell>,
--- a/src/requests/request_table.rs
+++ b/src/requests/request_table.rs
@@ -30,8 +30,8 @@
         self.shard(id).lock().get(&id).cloned()
     }
 
-    /// Inserts a request, unless the table already has one with its identifier. Returns the request
-    /// now in the table, and true if it was inserted.
+    /// Inserts a request, unless the table already has one with its identifier. Returns the
+    /// request now in the table, and true if it was inserted.
     pub fn insert(&self, record: Record) -> (Arc<RequestCell>, bool) {
         let id = record.spec.id;
         let mut shard = self.shard(id).lock();
