--- a/src/app/hold.rs
+++ b/src/app/hold.rs
@@ -35,7 +35,7 @@
 /// Finds a box to hold the request's copy, other than `excluded`, and sends it a full snapshot.
 pub async fn hold(world: &World, cell: &RequestCell, excluded: Option<&BoxId>) -> Durability {
     if !world.settings.trial.copies {
-        cell.change(Record::no_holder);
+        cell.change(Record::record_no_holder);
         return Durability::None;
     }
     cell.change(|r| r.holder = Holder::Searching);
@@ -60,7 +60,7 @@
             HoldOutcome::Failed => {}
         }
     }
-    cell.change(Record::no_holder);
+    cell.change(Record::record_no_holder);
     Durability::None
 }
 
--- a/src/caller/caller_service.rs
+++ b/src/caller/caller_service.rs
@@ -16,17 +16,18 @@
     tower::Service,
 };
 
-/// The longest deadline that can be asked for, in milliseconds.
+/// Maximum deadline that a caller may request, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Answers callers.
+/// The HTTP service for callers: model calls, calls to plain services, the list of models, and
+/// reattaching to a request.
 #[derive(Clone)]
 pub struct CallerService {
     world: Arc<World>,
 }
 
 impl CallerService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(world: Arc<World>) -> Self {
         Self { world }
     }
@@ -36,9 +37,9 @@
         match (req.method(), path.as_str()) {
             (&Method::GET, "/healthz") => text(StatusCode::OK, "ok\n"),
             (&Method::GET, "/readyz") => self.readiness(),
-            _ => match self.answer_known(req, &path).await {
-                Ok(rep) => rep,
-                Err(refusal) => refused(&refusal, None),
+            _ => match self.route_call(req, &path).await {
+                Ok(response) => response,
+                Err(refusal) => refusal_response(&refusal, None),
             },
         }
     }
@@ -50,7 +51,7 @@
         text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
     }
 
-    async fn answer_known(
+    async fn route_call(
         &self,
         req: Request<RequestBody>,
         path: &str,
@@ -78,12 +79,12 @@
 
     fn models(&self, account: &ClientAccount) -> Response<Body> {
         let table = self.world.active_table();
-        let mine = |c: &&crate::contracts::Contract| {
+        let is_offered = |c: &&crate::contracts::Contract| {
             c.account == *account && c.failure_domain == *self.world.my_domain()
         };
         let data: Vec<_> = table
             .rows()
-            .filter(mine)
+            .filter(is_offered)
             .map(|c| value!({ "id": c.service.as_str(), "object": "model" }))
             .collect();
         json(StatusCode::OK, &value!({ "object": "list", "data": data }))
@@ -100,18 +101,18 @@
         }
         let headers = req.headers().clone();
         let body = self.read_body(req).await?;
-        let ask = parse_model_call(chat, &body).map_err(|e| Refusal::malformed(400, e))?;
-        let work = Work::Model(ask.work);
-        let sub = submission(&headers, account.clone(), ask.service, work)?;
+        let call = parse_model_call(chat, &body).map_err(|e| Refusal::malformed(400, e))?;
+        let work = Work::Model(call.work);
+        let sub = submission(&headers, account.clone(), call.service, work)?;
         let accepted = accept(&self.world, sub).await?;
         let rx = self.follow(&accepted, &account, 0);
-        let mut rep = if ask.stream {
-            stream_answer(accepted.id, 0, rx)
+        let mut response = if call.stream {
+            stream_response(accepted.id, 0, rx)
         } else {
-            whole_answer(accepted.id, rx).await
+            full_response(accepted.id, rx).await
         };
-        tell_acceptance(&mut rep, &accepted);
-        Ok(rep)
+        add_acceptance_headers(&mut response, &accepted);
+        Ok(response)
     }
 
     async fn plain_call(
@@ -138,9 +139,9 @@
         let sub = submission(&headers, account.clone(), service, work)?;
         let accepted = accept(&self.world, sub).await?;
         let rx = self.follow(&accepted, &account, 0);
-        let mut rep = whole_answer(accepted.id, rx).await;
-        tell_acceptance(&mut rep, &accepted);
-        Ok(rep)
+        let mut response = full_response(accepted.id, rx).await;
+        add_acceptance_headers(&mut response, &accepted);
+        Ok(response)
     }
 
     async fn reattach(
@@ -172,13 +173,17 @@
                 Some(AnswerEvent::Ending(Ending::Failed(f))) => f,
                 _ => return Err(Refusal::malformed(404, "no box knows the request")),
             };
-            return Ok(problem(status_of(failure.outcome), &failure, Some(id)));
+            return Ok(problem_response(
+                status_of(failure.outcome),
+                &failure,
+                Some(id),
+            ));
         };
         if spec.model().is_none() {
-            return Ok(whole_answer(id, rx).await);
+            return Ok(full_response(id, rx).await);
         }
         let mut writer = SseWriter::new(id, from);
-        writer.spec(&spec);
+        writer.set_spec(&spec);
         Ok(sse_response(sse_body(writer, rx)))
     }
 
@@ -193,13 +198,13 @@
     }
 
     async fn read_body(&self, req: Request<RequestBody>) -> Result<Bytes, Refusal> {
-        let most = self.world.settings.requests.max_body_bytes;
-        let limited = Limited::new(req.into_body(), most).collect();
+        let max_bytes = self.world.settings.requests.max_body_bytes;
+        let limited = Limited::new(req.into_body(), max_bytes).collect();
         match tokio::time::timeout(BODY_TIMEOUT, limited).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Refusal::malformed(
                 413,
-                format!("expected a body of at most {most} bytes"),
+                format!("expected a body of at most {max_bytes} bytes"),
             )),
             Ok(Err(e)) => Err(Refusal::malformed(
                 400,
@@ -225,7 +230,8 @@
     }
 }
 
-/// Reads the headers that steer a request.
+/// Builds a submission from the headers that control a request: the idempotency key, whether
+/// the request is repeatable, its deadline and its durability.
 fn submission(
     headers: &HeaderMap,
     account: ClientAccount,
@@ -273,7 +279,8 @@
     })
 }
 
-/// A header of ours that isn't known is a mistake that would else go unseen.
+/// Refuses unknown headers with the project's prefix, since a misspelt header would otherwise
+/// be ignored silently.
 fn check_headers(headers: &HeaderMap) -> Result<(), Refusal> {
     const KNOWN: [&str; 3] = ["repeatable", "deadline-ms", "durability"];
     for name in headers.keys() {
@@ -301,30 +308,30 @@
     Refusal::malformed(400, format!("`{name}`: expected {what}"))
 }
 
-/// Splits a path into the service and what is behind it.
+/// Splits a path into the service, which is its first segment, and the path at the service.
 fn split_service(path: &str) -> (ServiceName, String) {
     let path = path.trim_start_matches('/');
     let (service, rest) = path.split_once('/').unwrap_or((path, ""));
     (ServiceName::from(service), format!("/{rest}"))
 }
 
-fn stream_answer(id: RequestId, from: usize, rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
+fn stream_response(id: RequestId, from: usize, rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
     sse_response(sse_body(SseWriter::new(id, from), rx))
 }
 
 fn sse_response(body: Body) -> Response<Body> {
-    let mut rep = Response::new(body);
-    let headers = rep.headers_mut();
+    let mut response = Response::new(body);
+    let headers = response.headers_mut();
     headers.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("text/event-stream"),
     );
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
-    rep
+    response
 }
 
-/// Waits for the whole of an answer.
-async fn whole_answer(id: RequestId, mut rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
+/// Waits until the answer is complete, and returns it as one response.
+async fn full_response(id: RequestId, mut rx: mpsc::Receiver<AnswerEvent>) -> Response<Body> {
     let mut answer = String::new();
     let mut spec = None;
     while let Some(event) = rx.recv().await {
@@ -332,21 +339,21 @@
             AnswerEvent::Spec(s) => spec = Some(s),
             AnswerEvent::Tokens { tokens, .. } => answer.extend(tokens.iter().map(|t| &**t)),
             AnswerEvent::Ending(Ending::Whole { total }) => {
-                return whole_model(id, spec.as_deref(), &answer, total);
+                return completion_response(id, spec.as_deref(), &answer, total);
             }
-            AnswerEvent::Ending(Ending::Plain(plain)) => return plain_reply(plain),
+            AnswerEvent::Ending(Ending::Plain(plain)) => return plain_response(plain),
             AnswerEvent::Ending(Ending::Failed(f)) => {
-                return problem(status_of(f.outcome), &f, Some(id));
+                return problem_response(status_of(f.outcome), &f, Some(id));
             }
-            AnswerEvent::Reattach => return see_elsewhere(id),
+            AnswerEvent::Reattach => return redirect_to_another_box(id),
             AnswerEvent::NotFound => break,
         }
     }
     let failure = Failure::new(Outcome::MayHaveRun, "the answer was lost", 0);
-    problem(502, &failure, Some(id))
+    problem_response(502, &failure, Some(id))
 }
 
-fn whole_model(
+fn completion_response(
     id: RequestId,
     spec: Option<&RequestSpec>,
     answer: &str,
@@ -377,29 +384,32 @@
     json(StatusCode::OK, &doc)
 }
 
-fn plain_reply(plain: PlainAnswer) -> Response<Body> {
-    let mut rep = Response::new(full(plain.body));
-    *rep.status_mut() = StatusCode::from_u16(plain.status).unwrap_or(StatusCode::BAD_GATEWAY);
+fn plain_response(plain: PlainAnswer) -> Response<Body> {
+    let mut response = Response::new(full(plain.body));
+    *response.status_mut() = StatusCode::from_u16(plain.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Ok(kind) = HeaderValue::from_str(&plain.content_type) {
-        rep.headers_mut().insert(header::CONTENT_TYPE, kind);
+        response.headers_mut().insert(header::CONTENT_TYPE, kind);
     }
-    rep
+    response
 }
 
-/// This box leaves: the request goes on elsewhere, and its answer is read there.
-fn see_elsewhere(id: RequestId) -> Response<Body> {
-    let mut rep = text(StatusCode::TEMPORARY_REDIRECT, "go on at another box\n");
-    *rep.status_mut() = StatusCode::SEE_OTHER;
+/// Redirects the caller to the request's path, as this box is leaving: another box continues
+/// the request and serves its answer. The connection is closed so that the caller opens a new
+/// one there.
+fn redirect_to_another_box(id: RequestId) -> Response<Body> {
+    let mut response = text(StatusCode::TEMPORARY_REDIRECT, "go on at another box\n");
+    *response.status_mut() = StatusCode::SEE_OTHER;
     if let Ok(at) = HeaderValue::from_str(&format!("/v1/requests/{id}")) {
-        rep.headers_mut().insert(header::LOCATION, at);
+        response.headers_mut().insert(header::LOCATION, at);
     }
-    rep.headers_mut()
+    response
+        .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
-    rep
+    response
 }
 
-fn tell_acceptance(rep: &mut Response<Body>, accepted: &Accepted) {
-    let headers = rep.headers_mut();
+fn add_acceptance_headers(response: &mut Response<Body>, accepted: &Accepted) {
+    let headers = response.headers_mut();
     if let Ok(id) = HeaderValue::from_str(&accepted.id.to_string()) {
         headers.insert("saddlepulley-request", id);
     }
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -1,8 +1,8 @@
-//! Structured logs on standard output: bounded, and never waited for.
+//! Structured logs on standard output, with a limited rate and without blocking the caller.
 
+mod history;
 mod line_budget;
 mod log_line;
 mod log_writer;
-mod story;
 
-pub use {line_budget::*, log_line::*, log_writer::*, story::*};
+pub use {history::*, line_budget::*, log_line::*, log_writer::*};
