--- a/tests/gateway/file_world.rs
+++ b/tests/gateway/file_world.rs
@@ -44,7 +44,7 @@
 
     /// Sends requests at an even pace, at one of the daemons after the other, without
     /// waiting for answers. An attempt names its daemon first: `d0-…`.
-    pub async fn load(&self, daemons: &[usize], per_s: f64, for_how_long: Duration) -> Vec<Told> {
+    pub async fn load(&self, daemons: &[usize], per_s: f64, for_how_long: Duration) -> Vec<ClientResponse> {
         let mut asked = JoinSet::new();
         let started = Instant::now();
         for n in 0.. {
@@ -68,18 +68,18 @@
 }
 
 /// What a client was told, and after how long.
-pub struct Told {
+pub struct ClientResponse {
     pub status: StatusCode,
     pub retry_after_s: Option<f64>,
     pub after: Duration,
 }
 
 /// Asks a daemon over a connection of its own.
-pub async fn ask_once(to: SocketAddr, attempt: String) -> Told {
+pub async fn ask_once(to: SocketAddr, attempt: String) -> ClientResponse {
     let asked = Instant::now();
     let mut client = Client::connect(to).await.expect("the daemon listens");
     let answer = client.ask(&attempt, "/look/x", "").await;
-    Told {
+    ClientResponse {
         status: answer.status,
         retry_after_s: answer.header("retry-after").parse().ok(),
         after: asked.elapsed(),
--- a/tests/gateway/leaving_upstreams.rs
+++ b/tests/gateway/leaving_upstreams.rs
@@ -12,7 +12,7 @@
 /// How long the upstream is observed after that.
 const WATCHED: Duration = Duration::from_secs(2);
 
-fn all_served(answers: &[Told]) -> bool {
+fn all_served(answers: &[ClientResponse]) -> bool {
     answers.iter().all(|a| a.status == StatusCode::OK)
 }
 
