--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -85,12 +85,12 @@
         runs.filter(|run| run.body == body).count()
     }
 
-    async fn ask(&self, daemon: usize, attempt: &str, path: &str, body: &str) -> Option<Answer> {
+    async fn ask(&self, daemon: usize, attempt: &str, path: &str, body: &str) -> Option<Response> {
         ask_as(self.daemons[daemon].clients, attempt.into(), path, body).await
     }
 }
 
-async fn ask_as(to: SocketAddr, attempt: String, path: &str, body: &str) -> Option<Answer> {
+async fn ask_as(to: SocketAddr, attempt: String, path: &str, body: &str) -> Option<Response> {
     let mut client = Client::connect(to).await?;
     client.send(request(&attempt, path), body).await.ok()
 }
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -71,7 +71,7 @@
     route: usize,
     target: String,
     /// None if the connection broke without an answer.
-    answer: Option<Answer>,
+    answer: Option<Response>,
     /// The daemon was only ever stopped as planned, after the request began.
     only_stopped: bool,
 }
--- a/tests/gateway/soak_world.rs
+++ b/tests/gateway/soak_world.rs
@@ -150,7 +150,7 @@
 }
 
 /// Returns the upstream that signed an answer.
-pub fn upstream_of(answer: &Answer) -> Option<usize> {
+pub fn upstream_of(answer: &Response) -> Option<usize> {
     let signer = answer.header("saddlepulley-signature").split('.').next();
     signer.and_then(|id| id.strip_prefix('u')?.parse().ok())
 }
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -342,7 +342,7 @@
 
 /// An answer that was read to its end.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: String,
@@ -350,7 +350,7 @@
     pub whole: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
@@ -373,7 +373,7 @@
     }
 
     /// Sends a request with the headers that all requests of the tests have.
-    pub async fn ask(&mut self, attempt: &str, path: &str, body: &str) -> Answer {
+    pub async fn ask(&mut self, attempt: &str, path: &str, body: &str) -> Response {
         self.send(request(attempt, path), body)
             .await
             .expect("an answer")
@@ -383,7 +383,7 @@
         &mut self,
         request: http::request::Builder,
         body: &str,
-    ) -> hyper::Result<Answer> {
+    ) -> hyper::Result<Response> {
         let body = Full::new(Bytes::copy_from_slice(body.as_bytes()));
         self.sender.ready().await?;
         let answer = self
@@ -401,7 +401,7 @@
                 }
             }
         }
-        Ok(Answer {
+        Ok(Response {
             status: head.status,
             headers: head.headers,
             body: String::from_utf8_lossy(&bytes).into_owned(),
