--- a/tests/gateway/answers.rs
+++ b/tests/gateway/answers.rs
@@ -77,7 +77,7 @@
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
     let mut client = daemon.client().await;
     assert_eq!(
-        client.ask("a1", "/nowhere/", "").await.status,
+        client.fetch("a1", "/nowhere/", "").await.status,
         StatusCode::NOT_FOUND
     );
     let keyless = http::Request::post("/look/x").header("host", "h.example");
@@ -97,7 +97,7 @@
         daemon.readiness_status().await,
         Some(StatusCode::SERVICE_UNAVAILABLE)
     );
-    let answer = daemon.client().await.ask("a1", "/look/x", "").await;
+    let answer = daemon.client().await.fetch("a1", "/look/x", "").await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.header("retry-after").parse::<f64>().unwrap() > 0.0);
 }
@@ -107,7 +107,7 @@
     let runner = Runner::start("b1", 3).await.unwrap();
     runner.behave(Behaviour::OtherRequest);
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE], &[&runner])).await;
-    let answer = daemon.client().await.ask("a1", "/once/x", "").await;
+    let answer = daemon.client().await.fetch("a1", "/once/x", "").await;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     assert!(!answer.body.contains("not yours"));
 }
@@ -119,7 +119,7 @@
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE, &STREAM_ONCE], &[&runner])).await;
     let mut client = daemon.client().await;
     for path in ["/once/x", "/stream/once/x"] {
-        let answer = client.ask("a1", path, "").await;
+        let answer = client.fetch("a1", path, "").await;
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{path}");
         assert_eq!(answer.header("saddlepulley-signature"), "", "{path}");
     }
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -9,7 +9,7 @@
 };
 
 async fn status_of(daemon: &GatewayDaemon, path: &str) -> StatusCode {
-    daemon.client().await.ask("a1", path, "").await.status
+    daemon.client().await.fetch("a1", path, "").await.status
 }
 
 #[tokio::test]
--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -85,7 +85,7 @@
         runs.filter(|run| run.body == body).count()
     }
 
-    async fn ask(&self, daemon: usize, attempt: &str, path: &str, body: &str) -> Option<Response> {
+    async fn fetch(&self, daemon: usize, attempt: &str, path: &str, body: &str) -> Option<Response> {
         ask_as(self.daemons[daemon].clients, attempt.into(), path, body).await
     }
 }
@@ -147,7 +147,7 @@
         series.runs
     );
     let answer = world
-        .ask(0, "last", "/stream/resume/x", CRASHING_BODY)
+        .fetch(0, "last", "/stream/resume/x", CRASHING_BODY)
         .await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -167,7 +167,7 @@
             series.runs
         );
         for daemon in 0..world.daemons.len() {
-            let answer = world.ask(daemon, "last", path, CRASHING_BODY).await;
+            let answer = world.fetch(daemon, "last", path, CRASHING_BODY).await;
             let answer = answer.expect("an answer");
             assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{daemon}");
         }
@@ -176,7 +176,7 @@
     let late = world.start_daemon(5).await;
     world.daemons.push(late);
     tokio::time::sleep(HELD_WITHIN).await;
-    let answer = world.ask(5, "late", "/look/x", CRASHING_BODY).await;
+    let answer = world.fetch(5, "late", "/look/x", CRASHING_BODY).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "late");
 }
@@ -191,7 +191,7 @@
         let (mut asked, mut served, mut n) = (0, 0, 0);
         while began.elapsed() < Duration::from_secs(9) {
             for body in ["asked again and again", &format!("asked once: {n}")] {
-                let answer = world.ask(n % 3, &format!("i{n}"), path, body).await;
+                let answer = world.fetch(n % 3, &format!("i{n}"), path, body).await;
                 let is_complete = answer.is_some_and(|a| a.status.is_success() && a.whole);
                 // Before all daemons hold the crashing request back, others may be lost in a crash.
                 if began.elapsed() > Duration::from_secs(5) {
@@ -253,10 +253,10 @@
     let apart = daemon("n4", &store, &[]);
     apart.wait_ready().await;
     eventually("held back at all daemons", async || {
-        ask(&first, "/p/x").await;
-        ask(&other, "/p/x").await;
+        fetch(&first, "/p/x").await;
+        fetch(&other, "/p/x").await;
         if is_written(&store) {
-            ask(&apart, "/p/x").await;
+            fetch(&apart, "/p/x").await;
         }
         let refuses = async |daemon: &GatewayDaemon| {
             let page = daemon.metrics_page().await;
@@ -274,10 +274,10 @@
     let again = daemon("n3", &store, &[]);
     again.wait_ready().await;
     tokio::time::sleep(HELD_WITHIN).await;
-    assert_eq!(ask(&again, "/p/x").await, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(fetch(&again, "/p/x").await, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(requests.load(Ordering::SeqCst), 0);
     // Another path is another request.
-    ask(&again, "/p/y").await;
+    fetch(&again, "/p/y").await;
     assert_eq!(requests.load(Ordering::SeqCst), 1);
 }
 
--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -39,18 +39,18 @@
     let store = filled_store().await;
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
-    assert_eq!(ask(&daemon, "/p/x").await, StatusCode::OK);
+    assert_eq!(fetch(&daemon, "/p/x").await, StatusCode::OK);
     store.put("keyed.op", "config", &config(8, "/q/"));
     eventually("in force", async || {
-        ask(&daemon, "/q/x").await == StatusCode::OK
+        fetch(&daemon, "/q/x").await == StatusCode::OK
     })
     .await;
-    assert_eq!(ask(&daemon, "/p/x").await, StatusCode::NOT_FOUND);
+    assert_eq!(fetch(&daemon, "/p/x").await, StatusCode::NOT_FOUND);
     // The only runner leaves: nothing is sent to it any more.
     let dead: SocketAddr = "127.0.0.1:1".parse().unwrap();
     store.put("keyed.servers", "i-1", &entry(dead, "draining", 2));
     eventually("refused", async || {
-        ask(&daemon, "/q/x").await == StatusCode::SERVICE_UNAVAILABLE
+        fetch(&daemon, "/q/x").await == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
     store.drop_key("keyed.servers", "i-1");
@@ -60,7 +60,7 @@
         &entry(fixed_runner().await, "ready", 1),
     );
     eventually("the next runner", async || {
-        ask(&daemon, "/q/x").await == StatusCode::OK
+        fetch(&daemon, "/q/x").await == StatusCode::OK
     })
     .await;
 }
@@ -72,13 +72,13 @@
     daemon.wait_ready().await;
     store.set_down(true);
     for _ in 0..20 {
-        assert_eq!(ask(&daemon, "/p/x").await, StatusCode::OK);
+        assert_eq!(fetch(&daemon, "/p/x").await, StatusCode::OK);
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
     store.set_down(false);
     store.put("keyed.op", "config", &config(9, "/q/"));
     eventually("in force", async || {
-        ask(&daemon, "/q/x").await == StatusCode::OK
+        fetch(&daemon, "/q/x").await == StatusCode::OK
     })
     .await;
 }
@@ -95,8 +95,8 @@
     let second = daemon("n2", &store, &[&first]);
     second.wait_ready().await;
     for _ in 0..10 {
-        ask(&second, "/p/x").await;
-        ask(&first, "/p/x").await;
+        fetch(&second, "/p/x").await;
+        fetch(&first, "/p/x").await;
     }
     eventually("both daemons' requests in one report", async || {
         let counted = |c: &DutyCall| c.body["counts"]["t"].as_u64().unwrap_or(0);
@@ -187,13 +187,13 @@
         let mut leaving = daemons.remove(0);
         for daemon in daemons.iter().chain([&leaving]) {
             for _ in 0..REQUESTS {
-                assert_eq!(ask(daemon, "/p/x").await, StatusCode::OK);
+                assert_eq!(fetch(daemon, "/p/x").await, StatusCode::OK);
                 served += 1;
             }
         }
         leaving.signal(Signal::SIGTERM);
         for _ in 0..REQUESTS {
-            assert_eq!(ask(&leaving, "/p/x").await, StatusCode::OK, "the notice");
+            assert_eq!(fetch(&leaving, "/p/x").await, StatusCode::OK, "the notice");
             served += 1;
         }
         assert!(leaving.wait_end().await);
--- a/tests/gateway/entries.rs
+++ b/tests/gateway/entries.rs
@@ -46,7 +46,7 @@
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
     eventually("served", async || {
-        ask(&daemon, "/p/x").await == StatusCode::OK
+        fetch(&daemon, "/p/x").await == StatusCode::OK
     })
     .await;
     store.drop_key("keyed.servers", "i-1");
@@ -54,7 +54,7 @@
     let new = fixed_runner().await;
     store.put("keyed.servers", "i-1", &born(new, "ready", 1, 2_000));
     eventually("served again", async || {
-        ask(&daemon, "/p/x").await == StatusCode::OK
+        fetch(&daemon, "/p/x").await == StatusCode::OK
     })
     .await;
 }
@@ -68,7 +68,7 @@
     let new = fixed_runner().await;
     store.put("keyed.servers", "i-1", &born(new, "ready", 1, 2_000));
     eventually("served at its new address", async || {
-        ask(&daemon, "/p/x").await == StatusCode::OK
+        fetch(&daemon, "/p/x").await == StatusCode::OK
     })
     .await;
 }
@@ -80,17 +80,17 @@
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
     eventually("served", async || {
-        ask(&daemon, "/p/x").await == StatusCode::OK
+        fetch(&daemon, "/p/x").await == StatusCode::OK
     })
     .await;
     store.put("keyed.servers", "i-1", &born(address, "draining", 2, 1_000));
     eventually("it leaves", async || {
-        ask(&daemon, "/p/x").await != StatusCode::OK
+        fetch(&daemon, "/p/x").await != StatusCode::OK
     })
     .await;
     store.put("keyed.servers", "i-1", &born(address, "ready", 1, 2_000));
     eventually("served again", async || {
-        ask(&daemon, "/p/x").await == StatusCode::OK
+        fetch(&daemon, "/p/x").await == StatusCode::OK
     })
     .await;
     // What the life before said may come late.
@@ -100,7 +100,7 @@
         &born(closed_address().await, "draining", 3, 1_000),
     );
     tokio::time::sleep(TAKEN_IN).await;
-    assert_eq!(ask(&daemon, "/p/x").await, StatusCode::OK);
+    assert_eq!(fetch(&daemon, "/p/x").await, StatusCode::OK);
 }
 
 /// Entries that are none: each names no upstream, whatever stood there before.
@@ -152,16 +152,16 @@
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
     eventually("served", async || {
-        ask(&daemon, "/p/x").await == StatusCode::OK
+        fetch(&daemon, "/p/x").await == StatusCode::OK
     })
     .await;
     // More come, in the place of a good one, too.
     for (what, bytes) in foreign_entries(runner.address()) {
         store.put_bytes("keyed.servers", b"i-3", &bytes);
         store.put_bytes("keyed.servers", b"i-2", &bytes);
-        eventually(what, async || ask(&daemon, "/p/x").await != StatusCode::OK).await;
+        eventually(what, async || fetch(&daemon, "/p/x").await != StatusCode::OK).await;
         store.put("keyed.servers", "i-2", &born(other, "ready", 2, 1_000));
-        eventually(what, async || ask(&daemon, "/p/x").await == StatusCode::OK).await;
+        eventually(what, async || fetch(&daemon, "/p/x").await == StatusCode::OK).await;
     }
     // Keys and records that can't be read.
     store.put_bytes("keyed.servers", &[0xff, 0xfe], b"{}");
@@ -169,7 +169,7 @@
     store.append("keyed.servers", b"");
     store.put("keyed.servers", "i-2", &born(other, "draining", 3, 1_000));
     eventually("news after records that can't be read", async || {
-        ask(&daemon, "/p/x").await != StatusCode::OK
+        fetch(&daemon, "/p/x").await != StatusCode::OK
     })
     .await;
     assert!(runner.runs().is_empty(), "an entry that is none was used");
--- a/tests/gateway/file_world.rs
+++ b/tests/gateway/file_world.rs
@@ -78,7 +78,7 @@
 pub async fn ask_once(to: SocketAddr, attempt: String) -> ClientResponse {
     let asked = Instant::now();
     let mut client = Client::connect(to).await.expect("the daemon listens");
-    let answer = client.ask(&attempt, "/look/x", "").await;
+    let answer = client.fetch(&attempt, "/look/x", "").await;
     ClientResponse {
         status: answer.status,
         retry_after_s: answer.header("retry-after").parse().ok(),
--- a/tests/gateway/large_configuration.rs
+++ b/tests/gateway/large_configuration.rs
@@ -49,15 +49,15 @@
     store.put("keyed.op", "config", &large_config(8));
     for daemon in daemons {
         eventually("in force", async || {
-            ask(daemon, "/q/x").await == StatusCode::OK
+            fetch(daemon, "/q/x").await == StatusCode::OK
         })
         .await;
-        assert_eq!(ask(daemon, "/p/x").await, StatusCode::NOT_FOUND);
+        assert_eq!(fetch(daemon, "/p/x").await, StatusCode::NOT_FOUND);
     }
     // A daemon that starts reads the full configuration over the same slow link.
     let fourth = self::daemon("n4", &store, &[]);
     fourth.wait_ready().await;
-    assert_eq!(ask(&fourth, "/q/x").await, StatusCode::OK);
+    assert_eq!(fetch(&fourth, "/q/x").await, StatusCode::OK);
 }
 
 #[tokio::test]
@@ -71,7 +71,7 @@
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     store.deliver(Delivery::AtOnce);
     eventually("in force", async || {
-        ask(&daemon, "/q/x").await == StatusCode::OK
+        fetch(&daemon, "/q/x").await == StatusCode::OK
     })
     .await;
 }
@@ -98,7 +98,7 @@
     store.put("keyed.op", "config", &large_config(8));
     for daemon in &daemons {
         eventually("in force", async || {
-            ask(daemon, "/q/x").await == StatusCode::OK
+            fetch(daemon, "/q/x").await == StatusCode::OK
         })
         .await;
     }
--- a/tests/gateway/limits_soak.rs
+++ b/tests/gateway/limits_soak.rs
@@ -125,11 +125,11 @@
     let world = SoakWorld::start().await;
     let passed_on = PassedOn::default();
     let until = Instant::now() + Duration::from_secs(from_env("SADDLEPULLEY_SOAK_S", SHORT_S));
-    let ask = {
+    let fetch = {
         let (world, passed_on) = (world.clone(), passed_on.clone());
         move |n, number| ask_once(world.clone(), passed_on.clone(), n, number)
     };
-    let load = tokio::spawn(load(seed, until, ask));
+    let load = tokio::spawn(load(seed, until, fetch));
     let changes: Vec<_> = (0..world.runners.len())
         .map(|runner| tokio::spawn(change_limits(world.clone(), runner, seed, until)))
         .collect();
--- a/tests/gateway/logs.rs
+++ b/tests/gateway/logs.rs
@@ -34,11 +34,11 @@
     let daemon = logging_daemon(Stdio::piped(), &routes).await;
     let mut client = daemon.client().await;
     for n in 0..3_000 {
-        let answer = client.ask(&format!("a{n}"), "/nowhere/x", "").await;
+        let answer = client.fetch(&format!("a{n}"), "/nowhere/x", "").await;
         assert_eq!(answer.status, StatusCode::NOT_FOUND);
     }
     assert_eq!(
-        client.ask("last", "/look/x", "").await.status,
+        client.fetch("last", "/look/x", "").await.status,
         StatusCode::OK
     );
 }
@@ -51,7 +51,7 @@
     let path = out.path().join("log");
     let routes = routes_file(1, &[&ONCE], &[&runner]);
     let daemon = logging_daemon(File::create(&path).unwrap().into(), &routes).await;
-    let answer = daemon.client().await.ask("a77", "/once/x", "").await;
+    let answer = daemon.client().await.fetch("a77", "/once/x", "").await;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
     let story = || {
         let file: Box<dyn std::io::BufRead> = Box::new(BufReader::new(File::open(&path).unwrap()));
--- a/tests/gateway/lost_requests.rs
+++ b/tests/gateway/lost_requests.rs
@@ -48,14 +48,14 @@
         let mut client = RawClient::connect(daemon.clients).await.unwrap();
         let mut request = RawRequest::new(&format!("r{n}"), path, key, bytes);
         request.in_two_writes = n % 2 == 0;
-        let outcome = client.ask(&request).await;
+        let outcome = client.fetch(&request).await;
         if outcome.status() != Some(status) {
             failures.push(format!("{path} {key} {bytes} B: {outcome:?}"));
             continue;
         }
         let Some(next) = next else { continue };
         let request = RawRequest::new(&format!("n{n}"), next, "key-1", 40);
-        let outcome = client.ask(&request).await;
+        let outcome = client.fetch(&request).await;
         if outcome.status() != Some(SERVED) {
             failures.push(format!("after {path} {key} {bytes} B: {outcome:?}"));
         }
@@ -105,7 +105,7 @@
     for n in 0..TRIES {
         let mut client = RawClient::connect(daemon.clients).await.unwrap();
         let request = RawRequest::new(&format!("r{n}"), "/look/x", "key-1", 400_000);
-        let outcome = client.ask(&request).await;
+        let outcome = client.fetch(&request).await;
         if outcome.status() != Some(413) {
             failures.push(format!("{outcome:?}"));
         }
@@ -126,7 +126,7 @@
         let is_kept = n % 2 == 0;
         if is_kept {
             let request = RawRequest::new(&format!("f{n}"), "/look/x", "key-1", 40);
-            assert_eq!(client.ask(&request).await.status(), Some(SERVED));
+            assert_eq!(client.fetch(&request).await.status(), Some(SERVED));
         }
         clients.push((if is_kept { "kept" } else { "unused" }, client));
     }
@@ -187,10 +187,10 @@
     };
     let daemon = GatewayDaemon::start(&with_idle(1, 10_000)).await;
     let mut client = RawClient::connect(daemon.clients).await.unwrap();
-    let ask = |attempt: &str| RawRequest::new(attempt, "/look/x", "key-1", 40);
-    assert_eq!(client.ask(&ask("a1")).await.status(), Some(SERVED));
+    let fetch = |attempt: &str| RawRequest::new(attempt, "/look/x", "key-1", 40);
+    assert_eq!(client.fetch(&fetch("a1")).await.status(), Some(SERVED));
     fs::write(daemon.routes_path(), with_idle(2, 20_000)).unwrap();
     tokio::time::sleep(Duration::from_secs(13)).await;
-    let outcome = client.ask(&ask("a2")).await;
+    let outcome = client.fetch(&fetch("a2")).await;
     assert_eq!(outcome.status(), Some(SERVED), "{outcome:?}");
 }
--- a/tests/gateway/mixed_builds.rs
+++ b/tests/gateway/mixed_builds.rs
@@ -134,7 +134,7 @@
 
 async fn ask_once(to: SocketAddr, attempt: String) -> StatusCode {
     let mut client = Client::connect(to).await.expect("a box in service listens");
-    client.ask(&attempt, "/look/x", "").await.status
+    client.fetch(&attempt, "/look/x", "").await.status
 }
 
 fn most_in_a_window(times: &[Instant]) -> f64 {
--- a/tests/gateway/raw_client.rs
+++ b/tests/gateway/raw_client.rs
@@ -125,7 +125,7 @@
     }
 
     /// Sends a request and reads its response, even if sending fails.
-    pub async fn ask(&mut self, request: &RawRequest) -> RequestOutcome {
+    pub async fn fetch(&mut self, request: &RawRequest) -> RequestOutcome {
         // A response may have arrived although the request could not be sent completely.
         let _ = self.send(request).await;
         self.answer().await
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -35,7 +35,7 @@
         };
         for n in 0..10 {
             let attempt = format!("a{n}");
-            let answer = daemon.client().await.ask(&attempt, path, "").await;
+            let answer = daemon.client().await.fetch(&attempt, path, "").await;
             assert_eq!(
                 answer.status,
                 StatusCode::BAD_GATEWAY,
@@ -61,7 +61,7 @@
             let answer = daemon
                 .client()
                 .await
-                .ask(&format!("a{n}"), "/look/x", "")
+                .fetch(&format!("a{n}"), "/look/x", "")
                 .await;
             assert_eq!(answer.status, StatusCode::OK, "{bad:?}");
             assert!(answer.body.starts_with("b2 "), "{bad:?}");
@@ -77,7 +77,7 @@
     let daemon = GatewayDaemon::start(&routes_file(1, &routes, &[a, b])).await;
     let mut client = daemon.client().await;
     for path in ["/look/x", "/once/x", "/stream/resume/x", "/stream/once/x"] {
-        let answer = client.ask("a1", path, "").await;
+        let answer = client.fetch("a1", path, "").await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
         assert!(
             answer.header("retry-after").parse::<f64>().unwrap() > 0.0,
@@ -94,7 +94,7 @@
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE], &[a, b])).await;
     for n in 0..4 {
         let attempt = format!("a{n}");
-        let answer = daemon.client().await.ask(&attempt, "/once/x", "").await;
+        let answer = daemon.client().await.fetch(&attempt, "/once/x", "").await;
         assert_eq!(answer.status, StatusCode::OK);
         assert_eq!(total_runs(&runners, &attempt), 1);
     }
@@ -109,7 +109,7 @@
     };
     let [a, b] = &runners;
     let daemon = GatewayDaemon::start(&routes_file(1, &[&single], &[a, b])).await;
-    let answer = daemon.client().await.ask("a1", "/look/x", "").await;
+    let answer = daemon.client().await.fetch("a1", "/look/x", "").await;
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(total_runs(&runners, "a1"), 1);
 }
@@ -123,6 +123,6 @@
     };
     let [a, b] = &runners;
     let daemon = GatewayDaemon::start(&routes_file(1, &[&short], &[a, b])).await;
-    let answer = daemon.client().await.ask("a1", "/once/x", "").await;
+    let answer = daemon.client().await.fetch("a1", "/once/x", "").await;
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
 }
--- a/tests/gateway/silent_store.rs
+++ b/tests/gateway/silent_store.rs
@@ -32,7 +32,7 @@
     let back = Instant::now();
     store.put("keyed.op", "config", &config(4, "/next/"));
     eventually("in force", async || {
-        ask(&daemon, "/next/x").await == StatusCode::OK
+        fetch(&daemon, "/next/x").await == StatusCode::OK
     })
     .await;
     let after = back.elapsed();
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -76,7 +76,7 @@
     only_stopped: bool,
 }
 
-async fn ask(members: &Members, attempt: &str, rng: &mut ChaCha8Rng) -> Option<Asked> {
+async fn fetch(members: &Members, attempt: &str, rng: &mut ChaCha8Rng) -> Option<Asked> {
     let route = rng.random_range(0..ROUTES.len());
     let target = format!("{}{attempt}", ROUTES[route].prefix);
     let (address, harmed, stopped_at) = {
@@ -105,7 +105,7 @@
     let mut all = Vec::new();
     while !stop.load(Ordering::SeqCst) {
         let attempt = format!("a{}", NEXT.fetch_add(1, Ordering::SeqCst));
-        match ask(&members, &attempt, &mut rng).await {
+        match fetch(&members, &attempt, &mut rng).await {
             Some(asked) => all.push(asked),
             None => tokio::time::sleep(Duration::from_millis(20)).await,
         }
--- a/tests/gateway/soak_world.rs
+++ b/tests/gateway/soak_world.rs
@@ -124,7 +124,7 @@
 }
 
 /// Sends numbered requests to daemons until some time, and waits for their answers.
-pub async fn load<F>(seed: u64, until: Instant, ask: impl Fn(usize, u64) -> F)
+pub async fn load<F>(seed: u64, until: Instant, fetch: impl Fn(usize, u64) -> F)
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -142,7 +142,7 @@
                 false => rng.random_range(0..NAMES.len()),
             };
             number += 1;
-            asked.spawn(ask(n, number));
+            asked.spawn(fetch(n, number));
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
         }
     }
--- a/tests/gateway/stops.rs
+++ b/tests/gateway/stops.rs
@@ -14,17 +14,17 @@
     let mut daemon =
         GatewayDaemon::start(&routes_file(1, &[&STREAM, &IDEMPOTENT], &[&runner])).await;
     let mut idle = daemon.client().await;
-    assert_eq!(idle.ask("a0", "/look/x", "").await.status, StatusCode::OK);
+    assert_eq!(idle.fetch("a0", "/look/x", "").await.status, StatusCode::OK);
     let untouched = daemon.client().await;
     let mut busy = daemon.client().await;
-    let stream = tokio::spawn(async move { busy.ask("a1", "/stream/resume/x", "").await });
+    let stream = tokio::spawn(async move { busy.fetch("a1", "/stream/resume/x", "").await });
     eventually("streaming", async || runner.runs().len() == 2).await;
     daemon.signal(Signal::SIGTERM);
     eventually("not ready", async || {
         daemon.readiness_status().await == Some(StatusCode::SERVICE_UNAVAILABLE)
     })
     .await;
-    let late = idle.ask("a2", "/look/x", "").await;
+    let late = idle.fetch("a2", "/look/x", "").await;
     assert_eq!(
         late.status,
         StatusCode::OK,
@@ -45,12 +45,12 @@
         GatewayDaemon::start(&routes_file(1, &[&STREAM, &IDEMPOTENT], &[&runner])).await;
     let mut keep_alive = daemon.client().await;
     assert_eq!(
-        keep_alive.ask("a0", "/look/x", "").await.status,
+        keep_alive.fetch("a0", "/look/x", "").await.status,
         StatusCode::OK
     );
     let mut unused = daemon.client().await;
     let mut busy = daemon.client().await;
-    let endless = tokio::spawn(async move { busy.ask("a1", "/stream/resume/x", "").await.whole });
+    let endless = tokio::spawn(async move { busy.fetch("a1", "/stream/resume/x", "").await.whole });
     eventually("streaming", async || runner.runs().len() == 2).await;
     runner.behave(Behaviour::Serve);
     daemon.signal(Signal::SIGTERM);
--- a/tests/gateway/store_support.rs
+++ b/tests/gateway/store_support.rs
@@ -98,7 +98,7 @@
 }
 
 /// Asks a daemon as a client would.
-pub async fn ask(daemon: &GatewayDaemon, path: &str) -> StatusCode {
+pub async fn fetch(daemon: &GatewayDaemon, path: &str) -> StatusCode {
     ask_at(daemon.clients, path)
         .await
         .unwrap_or(StatusCode::IM_A_TEAPOT)
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -25,7 +25,7 @@
     let answer = daemon
         .client()
         .await
-        .ask("a1", "/stream/once/x", "prompt")
+        .fetch("a1", "/stream/once/x", "prompt")
         .await;
     assert!(answer.whole);
     assert_eq!(answer.body, events(1, 6));
@@ -48,7 +48,7 @@
         // the other upstream.
         let daemon = GatewayDaemon::start(&routes).await;
         let mut client = daemon.client().await;
-        let answer = client.ask(&attempt, "/stream/resume/x", "prompt").await;
+        let answer = client.fetch(&attempt, "/stream/resume/x", "prompt").await;
         assert!(answer.whole, "{answer:?}");
         assert_eq!(
             answer.body,
@@ -83,7 +83,7 @@
     a.behave(Behaviour::CutStream(4));
     b.behave(Behaviour::CutStream(4));
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM_ONCE], &[a, b])).await;
-    let answer = daemon.client().await.ask("a1", "/stream/once/x", "").await;
+    let answer = daemon.client().await.fetch("a1", "/stream/once/x", "").await;
     assert_eq!(answer.status, StatusCode::OK);
     assert!(!answer.whole, "it must not look complete");
     assert_eq!(
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -373,7 +373,7 @@
     }
 
     /// Sends a request with the headers that all requests of the tests have.
-    pub async fn ask(&mut self, attempt: &str, path: &str, body: &str) -> Response {
+    pub async fn fetch(&mut self, attempt: &str, path: &str, body: &str) -> Response {
         self.send(request(attempt, path), body)
             .await
             .expect("an answer")
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -172,11 +172,11 @@
     let world = SoakWorld::start().await;
     let seen = Arc::new(Mutex::new(Seen::default()));
     let until = Instant::now() + Duration::from_secs(from_env("SADDLEPULLEY_SOAK_S", SHORT_S));
-    let ask = {
+    let fetch = {
         let (world, seen) = (world.clone(), seen.clone());
         move |n, number| ask_once(world.clone(), seen.clone(), n, number)
     };
-    let load = tokio::spawn(load(seed, until, ask.clone()));
+    let load = tokio::spawn(load(seed, until, fetch.clone()));
     let words: Vec<_> = (0..world.runners.len())
         .map(|runner| tokio::spawn(change_words(world.clone(), runner, seed, until)))
         .collect();
@@ -212,7 +212,7 @@
     eventually("all are used again", async || {
         number += 1_000;
         for n in 0..5 {
-            ask(n, number + n as u64).await;
+            fetch(n, number + n as u64).await;
         }
         world.runners.iter().all(is_used)
     })
