--- a/tests/gateway/file_world.rs
+++ b/tests/gateway/file_world.rs
@@ -55,7 +55,7 @@
             tokio::time::sleep_until((started + due).into()).await;
             let daemon = daemons[n as usize % daemons.len()];
             let to = self.daemons[daemon].clients;
-            asked.spawn(ask_once(to, format!("d{daemon}-{n}-{started:?}")));
+            asked.spawn(fetch_once(to, format!("d{daemon}-{n}-{started:?}")));
         }
         asked.join_all().await
     }
@@ -75,7 +75,7 @@
 }
 
 /// Asks a daemon over a connection of its own.
-pub async fn ask_once(to: SocketAddr, attempt: String) -> ClientResponse {
+pub async fn fetch_once(to: SocketAddr, attempt: String) -> ClientResponse {
     let asked = Instant::now();
     let mut client = Client::connect(to).await.expect("the daemon listens");
     let answer = client.fetch(&attempt, "/look/x", "").await;
--- a/tests/gateway/limits_soak.rs
+++ b/tests/gateway/limits_soak.rs
@@ -46,7 +46,7 @@
 type PassedOn = Arc<Mutex<HashMap<(usize, usize), Vec<Instant>>>>;
 
 /// Asks once, and notes what limit the answer names.
-async fn ask_once(world: Arc<SoakWorld>, passed_on: PassedOn, n: usize, number: u64) {
+async fn fetch_once(world: Arc<SoakWorld>, passed_on: PassedOn, n: usize, number: u64) {
     let Some(to) = world.address(n) else { return };
     let Some(mut client) = Client::connect(to).await else {
         return;
@@ -127,7 +127,7 @@
     let until = Instant::now() + Duration::from_secs(from_env("SADDLEPULLEY_SOAK_S", SHORT_S));
     let fetch = {
         let (world, passed_on) = (world.clone(), passed_on.clone());
-        move |n, number| ask_once(world.clone(), passed_on.clone(), n, number)
+        move |n, number| fetch_once(world.clone(), passed_on.clone(), n, number)
     };
     let load = tokio::spawn(load(seed, until, fetch));
     let changes: Vec<_> = (0..world.runners.len())
--- a/tests/gateway/mixed_builds.rs
+++ b/tests/gateway/mixed_builds.rs
@@ -116,7 +116,7 @@
                 let boxes = self.boxes.lock().unwrap();
                 boxes[n as usize % boxes.len()].daemon.clients
             };
-            asked.spawn(ask_once(to, format!("m{n}")));
+            asked.spawn(fetch_once(to, format!("m{n}")));
         }
         for status in asked.join_all().await {
             let is_known = matches!(status, StatusCode::OK | StatusCode::TOO_MANY_REQUESTS);
@@ -132,7 +132,7 @@
     }
 }
 
-async fn ask_once(to: SocketAddr, attempt: String) -> StatusCode {
+async fn fetch_once(to: SocketAddr, attempt: String) -> StatusCode {
     let mut client = Client::connect(to).await.expect("a box in service listens");
     client.fetch(&attempt, "/look/x", "").await.status
 }
--- a/tests/gateway/restart_soak.rs
+++ b/tests/gateway/restart_soak.rs
@@ -157,7 +157,7 @@
     }
 }
 
-async fn ask_once(address: SocketAddr, attempt: &str) -> Option<StatusCode> {
+async fn fetch_once(address: SocketAddr, attempt: &str) -> Option<StatusCode> {
     let request = http::Request::get("/p/x")
         .header("host", "h.example")
         .header("x-attempt-id", attempt)
@@ -209,7 +209,7 @@
         clients.spawn(async move {
             while Instant::now() < until {
                 let attempt = format!("a{seed}-{}", next.fetch_add(1, Ordering::Relaxed));
-                let status = ask_once(addresses[client % 2], &attempt).await;
+                let status = fetch_once(addresses[client % 2], &attempt).await;
                 check(&attempt, status, &runs);
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -224,7 +224,7 @@
     tokio::time::sleep(CALM).await;
     for (n, address) in addresses.into_iter().cycle().take(20).enumerate() {
         let attempt = format!("calm{seed}-{n}");
-        let status = ask_once(address, &attempt).await;
+        let status = fetch_once(address, &attempt).await;
         assert_eq!(status, Some(StatusCode::OK), "seed {seed}, request {n}");
     }
     // What ran late must not have run twice.
--- a/tests/gateway/upstream_limits.rs
+++ b/tests/gateway/upstream_limits.rs
@@ -146,7 +146,7 @@
     let routes = routes_file(1, &[&IDEMPOTENT], &[&runner]);
     let routes = routes.replace("service = \"s\"\naddress", "service = \"other\"\naddress");
     let daemon = GatewayDaemon::start(&routes).await;
-    let answer = ask_once(daemon.clients, "a".into()).await;
+    let answer = fetch_once(daemon.clients, "a".into()).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.retry_after_s, Some(0.3));
 }
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -48,7 +48,7 @@
     },
 }
 
-async fn ask_once(world: Arc<SoakWorld>, seen: Arc<Mutex<Seen>>, n: usize, number: u64) {
+async fn fetch_once(world: Arc<SoakWorld>, seen: Arc<Mutex<Seen>>, n: usize, number: u64) {
     let Some(to) = world.address(n) else { return };
     let Some(mut client) = Client::connect(to).await else {
         return;
@@ -174,7 +174,7 @@
     let until = Instant::now() + Duration::from_secs(from_env("SADDLEPULLEY_SOAK_S", SHORT_S));
     let fetch = {
         let (world, seen) = (world.clone(), seen.clone());
-        move |n, number| ask_once(world.clone(), seen.clone(), n, number)
+        move |n, number| fetch_once(world.clone(), seen.clone(), n, number)
     };
     let load = tokio::spawn(load(seed, until, fetch.clone()));
     let words: Vec<_> = (0..world.runners.len())
