--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -315,7 +315,7 @@
         tokio::time::sleep(ENTRY_APPLIED).await;
         let asks = tokio::spawn({
             let clients = daemon.clients;
-            async move { ask_at(clients, "/p/x").await }
+            async move { fetch_at(clients, "/p/x").await }
         });
         eventually("it runs", async || requests.load(Ordering::SeqCst) == 1).await;
         store.put("keyed.servers", &id, &entry(address, "draining", 2));
--- a/tests/gateway/rollouts.rs
+++ b/tests/gateway/rollouts.rs
@@ -104,7 +104,7 @@
             let (stop, failed, address) = (stop.clone(), failed.clone(), daemon.clients);
             clients.spawn(async move {
                 while !stop.load(Ordering::Relaxed) {
-                    let is_complete = ask_at(address, "/p/x").await == Some(http::StatusCode::OK);
+                    let is_complete = fetch_at(address, "/p/x").await == Some(http::StatusCode::OK);
                     failed.fetch_add(u64::from(!is_complete), Ordering::Relaxed);
                     tokio::time::sleep(PAUSE).await;
                 }
--- a/tests/gateway/store_support.rs
+++ b/tests/gateway/store_support.rs
@@ -99,13 +99,13 @@
 
 /// Asks a daemon as a client would.
 pub async fn fetch(daemon: &GatewayDaemon, path: &str) -> StatusCode {
-    ask_at(daemon.clients, path)
+    fetch_at(daemon.clients, path)
         .await
         .unwrap_or(StatusCode::IM_A_TEAPOT)
 }
 
 /// Asks a daemon at an address; none without an answer.
-pub async fn ask_at(address: SocketAddr, path: &str) -> Option<StatusCode> {
+pub async fn fetch_at(address: SocketAddr, path: &str) -> Option<StatusCode> {
     let request = http::Request::get(path)
         .header("host", "h.example")
         .header("x-attempt-id", "a1")
