--- a/tests/gateway/logs.rs
+++ b/tests/gateway/logs.rs
@@ -126,7 +126,7 @@
     let routes = routes_file(1, &[&STREAM], &[&runner]);
     let mut daemon = logging_daemon(File::create(&path).unwrap().into(), &routes).await;
     let client = daemon.client().await;
-    client.ask_and_leave("a1", "/stream/resume/x").await;
+    client.fetch_head_and_disconnect("a1", "/stream/resume/x").await;
     let text = || std::fs::read_to_string(&path).unwrap();
     eventually("told", async || {
         text().contains("connection closed before the response was complete. request=a1")
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -101,7 +101,7 @@
     daemon
         .client()
         .await
-        .ask_and_leave("a1", "/stream/resume/x")
+        .fetch_head_and_disconnect("a1", "/stream/resume/x")
         .await;
     eventually("cancelled", async || runner.abandoned() == 1).await;
 }
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -410,7 +410,7 @@
     }
 
     /// Sends a request and leaves as soon as the answer's head is there.
-    pub async fn ask_and_leave(mut self, attempt: &str, path: &str) {
+    pub async fn fetch_head_and_disconnect(mut self, attempt: &str, path: &str) {
         let body = Full::new(Bytes::new());
         let sent = self
             .sender
