--- a/tests/gateway/start.rs
+++ b/tests/gateway/start.rs
@@ -30,7 +30,7 @@
     let mut daemons: Vec<GatewayDaemon> = Vec::new();
     for name in names {
         let seeds: Vec<&GatewayDaemon> = daemons.iter().take(2).collect();
-        let daemon = patient_daemon(name, &store, &seeds, SEEDS_MAX_WAIT_MS);
+        let daemon = daemon_with_seed_wait(name, &store, &seeds, SEEDS_MAX_WAIT_MS);
         if daemons.len() < READERS as usize {
             daemon.wait_ready().await;
         }
--- a/tests/gateway/store_support.rs
+++ b/tests/gateway/store_support.rs
@@ -74,11 +74,11 @@
 
 /// Starts a daemon on a store.
 pub fn daemon(name: &'static str, store: &Store, seeds: &[&GatewayDaemon]) -> GatewayDaemon {
-    patient_daemon(name, store, seeds, 400)
+    daemon_with_seed_wait(name, store, seeds, 400)
 }
 
 /// Starts a daemon that waits for its seeds for some milliseconds.
-pub fn patient_daemon(
+pub fn daemon_with_seed_wait(
     name: &'static str,
     store: &Store,
     seeds: &[&GatewayDaemon],
