--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -29,4 +29,4 @@
 mod support;
 mod upstream_limits;
 mod upstreams_in_cooldown;
-mod words_soak;
+mod upstream_signals_soak;
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/upstream_signals_soak.rs
@@ -8,7 +8,7 @@
 //! daemon. A kill, start, freeze or stop of the daemon excuses it. In the end, all upstreams
 //! are used again.
 //!
-//! `SADDLEPULLEY_SOAK_S=30 SADDLEPULLEY_SOAK_SEED=7 cargo test --test gateway words_soak`
+//! `SADDLEPULLEY_SOAK_S=30 SADDLEPULLEY_SOAK_SEED=7 cargo test --test gateway upstream_signals_soak`
 
 use {
     crate::{soak_world::*, support::*},
