--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -192,7 +192,7 @@
         while began.elapsed() < Duration::from_secs(9) {
             for body in ["asked again and again", &format!("asked once: {n}")] {
                 let answer = world.fetch(n % 3, &format!("i{n}"), path, body).await;
-                let is_complete = answer.is_some_and(|a| a.status.is_success() && a.whole);
+                let is_complete = answer.is_some_and(|a| a.status.is_success() && a.complete);
                 // Before all daemons hold the crashing request back, others may be lost in a crash.
                 if began.elapsed() > Duration::from_secs(5) {
                     asked += 1;
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -176,7 +176,7 @@
     if matches!(answer.status.as_u16(), 408 | 421 | 429 | 503) && runs_once && runs > 0 {
         return Some("was told that it has not run");
     }
-    if !answer.status.is_success() || !answer.whole {
+    if !answer.status.is_success() || !answer.complete {
         return None;
     }
     let is_own = match is_stream {
@@ -246,7 +246,7 @@
         })
         .collect();
     let served = all.iter().filter_map(|a| a.answer.as_ref());
-    let served = served.filter(|a| a.status.is_success() && a.whole).count();
+    let served = served.filter(|a| a.status.is_success() && a.complete).count();
     println!("seed {seed}: {} requests, {served} served whole", all.len());
     assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
     assert!(
--- a/tests/gateway/stops.rs
+++ b/tests/gateway/stops.rs
@@ -32,7 +32,7 @@
     );
     assert_eq!(late.header("connection"), "close");
     let answer = stream.await.unwrap();
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert_eq!(answer.body.matches("data:").count(), 200);
     assert!(daemon.wait_end().await, "the daemon exits without an error");
     drop(untouched);
@@ -50,7 +50,7 @@
     );
     let mut unused = daemon.client().await;
     let mut busy = daemon.client().await;
-    let endless = tokio::spawn(async move { busy.fetch("a1", "/stream/resume/x", "").await.whole });
+    let endless = tokio::spawn(async move { busy.fetch("a1", "/stream/resume/x", "").await.complete });
     eventually("streaming", async || runner.runs().len() == 2).await;
     runner.behave(Behaviour::Serve);
     daemon.signal(Signal::SIGTERM);
--- a/tests/gateway/store_support.rs
+++ b/tests/gateway/store_support.rs
@@ -113,5 +113,5 @@
         .header("x-deadline-ms", "1000");
     let mut client = Client::connect(address).await?;
     let answer = client.send(request, "").await.ok()?;
-    answer.whole.then_some(answer.status)
+    answer.complete.then_some(answer.status)
 }
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -27,7 +27,7 @@
         .await
         .fetch("a1", "/stream/once/x", "prompt")
         .await;
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert_eq!(answer.body, events(1, 6));
     assert_eq!(answer.header("saddlepulley-signature"), "b1.a1");
 }
@@ -49,7 +49,7 @@
         let daemon = GatewayDaemon::start(&routes).await;
         let mut client = daemon.client().await;
         let answer = client.fetch(&attempt, "/stream/resume/x", "prompt").await;
-        assert!(answer.whole, "{answer:?}");
+        assert!(answer.complete, "{answer:?}");
         assert_eq!(
             answer.body,
             events(1, 8),
@@ -85,7 +85,7 @@
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM_ONCE], &[a, b])).await;
     let answer = daemon.client().await.fetch("a1", "/stream/once/x", "").await;
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(!answer.whole, "it must not look complete");
+    assert!(!answer.complete, "it must not look complete");
     assert_eq!(
         answer.body,
         events(1, 3),
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -347,7 +347,7 @@
     pub headers: HeaderMap,
     pub body: String,
     /// Whether the body reached its end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Response {
@@ -391,12 +391,12 @@
             .send_request(request.body(body).unwrap())
             .await?;
         let (head, mut body) = answer.into_parts();
-        let (mut bytes, mut whole) = (Vec::new(), true);
+        let (mut bytes, mut complete) = (Vec::new(), true);
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => bytes.extend_from_slice(frame.data_ref().map_or(&[][..], |d| d)),
                 Err(_) => {
-                    whole = false;
+                    complete = false;
                     break;
                 }
             }
@@ -405,7 +405,7 @@
             status: head.status,
             headers: head.headers,
             body: String::from_utf8_lossy(&bytes).into_owned(),
-            whole,
+            complete,
         })
     }
 
