--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -58,7 +58,7 @@
             "kind = \"file\"\npath = \"{}\"",
             dir.path().join("none.toml").display()
         ),
-        more: String::new(),
+        extra_settings: String::new(),
         seeds: vec![informed.peers],
         stdout: Stdio::null(),
     };
--- a/tests/gateway/logs.rs
+++ b/tests/gateway/logs.rs
@@ -17,7 +17,7 @@
     let settings = DaemonSettings {
         name: "n1",
         source: format!("kind = \"file\"\npath = \"{}\"", path.display()),
-        more: String::new(),
+        extra_settings: String::new(),
         seeds: Vec::new(),
         stdout,
     };
--- a/tests/gateway/mixed_builds.rs
+++ b/tests/gateway/mixed_builds.rs
@@ -84,7 +84,7 @@
         let settings = DaemonSettings {
             name,
             source: format!("kind = \"file\"\npath = \"{}\"", path.display()),
-            more: "[bounds.quotas]\nwindow_s = 6.0\novershoot = 0.1\ntolerance = 12.0".into(),
+            extra_settings: "[bounds.quotas]\nwindow_s = 6.0\novershoot = 0.1\ntolerance = 12.0".into(),
             seeds,
             stdout: Stdio::null(),
         };
--- a/tests/gateway/planned_soak.rs
+++ b/tests/gateway/planned_soak.rs
@@ -160,7 +160,7 @@
         let settings = DaemonSettings {
             name,
             source: format!("kind = \"file\"\npath = \"{}\"", path.display()),
-            more: String::new(),
+            extra_settings: String::new(),
             seeds,
             stdout: Stdio::null(),
         };
--- a/tests/gateway/store_support.rs
+++ b/tests/gateway/store_support.rs
@@ -88,7 +88,7 @@
     let settings = DaemonSettings {
         name,
         source: format!("kind = \"platform\"\nstore = \"{address}\"\ncloud = \"{address}\""),
-        more: format!(
+        extra_settings: format!(
             "seeds_patience_ms = {max_wait_ms}\n[duties]\nusage = true\nscaling = true\nlease_ms = 1500\nusage_window_s = 1\nusage_delay_s = 4\n"
         ),
         seeds: seeds.iter().map(|d| d.peers).collect(),
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -217,7 +217,7 @@
 pub struct DaemonSettings {
     pub name: &'static str,
     pub source: String,
-    pub more: String,
+    pub extra_settings: String,
     pub seeds: Vec<SocketAddr>,
     pub stdout: Stdio,
 }
@@ -245,7 +245,7 @@
         let settings = DaemonSettings {
             name,
             source: format!("kind = \"file\"\npath = \"{}\"", path.display()),
-            more: String::new(),
+            extra_settings: String::new(),
             seeds,
             stdout: Stdio::null(),
         };
@@ -268,7 +268,7 @@
             settings.name,
             settings.source,
             seeds.join(","),
-            settings.more
+            settings.extra_settings
         );
         let path = dir.path().join("settings.toml");
         fs::write(&path, text).unwrap();
