--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations come in force, and never go back.
+//! Configurations take effect in the order of their versions, from the file or from a peer.
 
 use {
     crate::support::*,
@@ -13,24 +13,24 @@
 }
 
 #[tokio::test]
-async fn a_newer_version_comes_in_force_and_an_older_one_does_not() {
+async fn a_newer_configuration_takes_effect_and_an_older_one_does_not() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(5, &[&IDEMPOTENT], &[&runner])).await;
     assert_eq!(status_of(&daemon, "/once/x").await, StatusCode::NOT_FOUND);
     fs::write(daemon.routes_path(), routes_file(9, &[&ONCE], &[&runner])).unwrap();
-    eventually("in force", async || {
+    eventually("the configuration takes effect", async || {
         status_of(&daemon, "/once/x").await == StatusCode::OK
     })
     .await;
     assert_eq!(status_of(&daemon, "/look/x").await, StatusCode::NOT_FOUND);
-    // An older version with a new upstream: the upstream is taken, the version not.
+    // An older version with a new upstream: the upstream is used, the older routes are not.
     let other = Runner::start("b2", 3).await.unwrap();
     fs::write(
         daemon.routes_path(),
         routes_file(7, &[&IDEMPOTENT, &ONCE], &[&other]),
     )
     .unwrap();
-    eventually("the new upstream", async || {
+    eventually("the new upstream is used", async || {
         status_of(&daemon, "/once/x").await;
         !other.runs().is_empty()
     })
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn a_file_that_is_wrong_changes_nothing() {
+async fn an_invalid_file_keeps_the_configuration_in_force() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(1, &[&IDEMPOTENT], &[&runner])).await;
     fs::write(daemon.routes_path(), "[config]\nversion = \"many\"\n").unwrap();
@@ -48,9 +48,9 @@
 }
 
 #[tokio::test]
-async fn a_daemon_without_its_source_takes_the_configuration_of_a_peer() {
+async fn a_daemon_without_its_source_uses_the_configuration_of_a_peer() {
     let runner = Runner::start("b1", 3).await.unwrap();
-    let informed = GatewayDaemon::start(&routes_file(3, &[&IDEMPOTENT], &[&runner])).await;
+    let with_source = GatewayDaemon::start(&routes_file(3, &[&IDEMPOTENT], &[&runner])).await;
     let dir = TempDir::new().unwrap();
     let settings = DaemonSettings {
         name: "n2",
@@ -59,25 +59,25 @@
             dir.path().join("none.toml").display()
         ),
         extra_settings: String::new(),
-        seeds: vec![informed.peers],
+        seeds: vec![with_source.peers],
         stdout: Stdio::null(),
     };
-    let cut_off = GatewayDaemon::spawn(dir, settings);
-    cut_off.wait_ready().await;
-    assert_eq!(status_of(&cut_off, "/look/x").await, StatusCode::OK);
-    fs::write(informed.routes_path(), routes_file(4, &[&ONCE], &[&runner])).unwrap();
-    eventually("in force", async || {
-        status_of(&cut_off, "/once/x").await == StatusCode::OK
+    let without_source = GatewayDaemon::spawn(dir, settings);
+    without_source.wait_ready().await;
+    assert_eq!(status_of(&without_source, "/look/x").await, StatusCode::OK);
+    fs::write(with_source.routes_path(), routes_file(4, &[&ONCE], &[&runner])).unwrap();
+    eventually("the configuration takes effect", async || {
+        status_of(&without_source, "/once/x").await == StatusCode::OK
     })
     .await;
 }
 
 #[tokio::test]
-async fn metrics_tell_answers_and_the_version() {
+async fn metrics_report_responses_and_the_configuration_version() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let daemon = GatewayDaemon::start(&routes_file(3, &[&IDEMPOTENT], &[&runner])).await;
     status_of(&daemon, "/look/x").await;
-    eventually("the version", async || {
+    eventually("the configuration version in the metrics", async || {
         daemon
             .metrics_page()
             .await
--- a/tests/gateway/duties.rs
+++ b/tests/gateway/duties.rs
@@ -1,4 +1,5 @@
-//! Duties and the users' platform, against a stand-in of its store and API.
+//! The daemons' duties (usage reports, scaling orders) and the platform's configuration,
+//! against a stand-in of the platform's store and API.
 
 use {
     crate::{store_support::*, support::*},
@@ -8,8 +9,8 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Checks what holds for all duty calls together: fences only rise, one holder
-/// has each, and reports of one window are alike.
+/// Checks the invariants of all duty calls: fencing tokens never decrease, each belongs to one
+/// holder, and all reports of a window are equal.
 fn check_calls(calls: &[DutyCall]) {
     let mut holders: BTreeMap<u64, &str> = BTreeMap::new();
     let mut reports: BTreeMap<u64, &serde_json::Value> = BTreeMap::new();
@@ -18,11 +19,11 @@
     }
     for call in calls {
         let holder = holders.entry(call.fence).or_insert(&call.holder);
-        assert_eq!(*holder, call.holder, "one holder for a fence");
+        assert_eq!(*holder, call.holder, "one holder per fencing token");
         if call.duty == "usage" {
             let window = call.body["window_id"].as_u64().unwrap();
             let report = reports.entry(window).or_insert(&call.body);
-            assert_eq!(*report, &call.body, "one report for a window");
+            assert_eq!(*report, &call.body, "equal reports of a window");
         }
     }
 }
@@ -35,21 +36,21 @@
 }
 
 #[tokio::test]
-async fn configuration_and_runners_come_from_the_store() {
+async fn configuration_and_upstreams_are_read_from_the_store() {
     let store = filled_store().await;
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
     assert_eq!(fetch(&daemon, "/p/x").await, StatusCode::OK);
     store.put("keyed.op", "config", &config(8, "/q/"));
-    eventually("in force", async || {
+    eventually("the configuration takes effect", async || {
         fetch(&daemon, "/q/x").await == StatusCode::OK
     })
     .await;
     assert_eq!(fetch(&daemon, "/p/x").await, StatusCode::NOT_FOUND);
-    // The only runner leaves: nothing is sent to it any more.
+    // The only upstream drains: no request is sent to it.
     let dead: SocketAddr = "127.0.0.1:1".parse().unwrap();
     store.put("keyed.servers", "i-1", &entry(dead, "draining", 2));
-    eventually("refused", async || {
+    eventually("the request is refused", async || {
         fetch(&daemon, "/q/x").await == StatusCode::SERVICE_UNAVAILABLE
     })
     .await;
@@ -59,14 +60,14 @@
         "i-2",
         &entry(fixed_runner().await, "ready", 1),
     );
-    eventually("the next runner", async || {
+    eventually("the next upstream is used", async || {
         fetch(&daemon, "/q/x").await == StatusCode::OK
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_store_that_is_down_stops_no_request() {
+async fn an_unavailable_store_fails_no_request() {
     let store = filled_store().await;
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
@@ -77,14 +78,14 @@
     }
     store.set_down(false);
     store.put("keyed.op", "config", &config(9, "/q/"));
-    eventually("in force", async || {
+    eventually("the configuration takes effect", async || {
         fetch(&daemon, "/q/x").await == StatusCode::OK
     })
     .await;
 }
 
 #[tokio::test]
-async fn usage_is_reported_once_a_window_through_the_loss_of_its_holder() {
+async fn usage_is_reported_once_per_window_when_the_holder_is_killed() {
     let store = filled_store().await;
     let first = daemon("n1", &store, &[]);
     first.wait_ready().await;
@@ -106,7 +107,7 @@
     assert_eq!(
         usage_of(&store.duty_calls(), "n2"),
         0,
-        "one holder at a time"
+        "only the holder reports"
     );
     first.signal(Signal::SIGKILL);
     eventually("n2 takes over", async || {
@@ -117,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_holder_that_was_frozen_acts_no_more_when_it_wakes() {
+async fn a_frozen_holder_makes_no_calls_after_it_resumes() {
     let store = filled_store().await;
     let first = daemon("n1", &store, &[]);
     first.wait_ready().await;
@@ -138,7 +139,7 @@
         .filter(|c| c.holder == "n1")
         .count();
     first.signal(Signal::SIGCONT);
-    eventually("n2 goes on", async || {
+    eventually("n2 continues to report", async || {
         usage_of(&store.duty_calls(), "n2") >= 4
     })
     .await;
@@ -148,11 +149,11 @@
 }
 
 #[tokio::test]
-async fn upstreams_are_ordered_in_each_zone() {
+async fn spot_upstreams_are_ordered_in_each_zone() {
     let store = filled_store().await;
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
-    eventually("orders", async || {
+    eventually("orders in both zones", async || {
         let calls = store.duty_calls();
         let zones = ["a", "b"].map(|zone| {
             let mut orders = calls
@@ -166,10 +167,11 @@
     check_calls(&store.duty_calls());
 }
 
-/// All daemons are stopped as planned, one after the other, and with them each that had
-/// heard the others' counts: none of what they began to run is missing from the reports.
+/// Guards against requests missing from the usage reports after a rolling restart. All daemons
+/// are gracefully stopped and replaced in turn, and with them each daemon that had received
+/// the others' counts.
 #[tokio::test]
-async fn counts_of_daemons_that_stop_as_planned_reach_the_reports() {
+async fn counts_of_gracefully_stopped_daemons_reach_the_usage_reports() {
     const NAMES: [&str; 3] = ["n1", "n2", "n3"];
     const REQUESTS: u64 = 10;
     let store = filled_store().await;
@@ -193,7 +195,7 @@
         }
         leaving.signal(Signal::SIGTERM);
         for _ in 0..REQUESTS {
-            assert_eq!(fetch(&leaving, "/p/x").await, StatusCode::OK, "the notice");
+            assert_eq!(fetch(&leaving, "/p/x").await, StatusCode::OK, "a stopping daemon serves during its notice period");
             served += 1;
         }
         assert!(leaving.wait_end().await);
@@ -212,7 +214,7 @@
             .collect();
         windows.values().sum::<u64>()
     };
-    eventually("all that was served is reported", async || {
+    eventually("all served requests are reported", async || {
         reported() == served
     })
     .await;
--- a/tests/gateway/file_world.rs
+++ b/tests/gateway/file_world.rs
@@ -1,4 +1,5 @@
-//! Daemons that know each other before upstreams of one file, and an even load on them.
+//! Daemons that know each other and read the same upstreams from a file, under a steady
+//! request rate.
 
 use {
     crate::support::*,
@@ -11,17 +12,16 @@
     tokio::task::JoinSet,
 };
 
-/// The names of daemons.
 const NAMES: [&str; 6] = ["n0", "n1", "n2", "n3", "n4", "n5"];
 
-/// Daemons and upstreams.
+/// A group of daemons and the upstreams that they send to.
 pub struct FileWorld {
     pub runners: Vec<Runner>,
     pub daemons: Vec<GatewayDaemon>,
 }
 
 impl FileWorld {
-    /// Starts some daemons before some upstreams.
+    /// Starts the given numbers of daemons and upstreams.
     pub async fn start(daemons: usize, runners: usize) -> Self {
         let mut world = Self {
             runners: Vec::new(),
@@ -42,46 +42,47 @@
         world
     }
 
-    /// Sends requests at an even pace, at one of the daemons after the other, without
-    /// waiting for answers. An attempt names its daemon first: `d0-…`.
-    pub async fn load(&self, daemons: &[usize], per_s: f64, for_how_long: Duration) -> Vec<ClientResponse> {
-        let mut asked = JoinSet::new();
+    /// Sends requests at a steady rate, to the given daemons in turn, without waiting for the
+    /// responses of earlier ones. An attempt id begins with the index of its daemon: `d0-…`.
+    pub async fn load(&self, daemons: &[usize], per_s: f64, duration: Duration) -> Vec<ClientResponse> {
+        let mut requests = JoinSet::new();
         let started = Instant::now();
         for n in 0.. {
             let due = Duration::from_secs_f64(f64::from(n) / per_s);
-            if due >= for_how_long {
+            if due >= duration {
                 break;
             }
             tokio::time::sleep_until((started + due).into()).await;
             let daemon = daemons[n as usize % daemons.len()];
             let to = self.daemons[daemon].clients;
-            asked.spawn(fetch_once(to, format!("d{daemon}-{n}-{started:?}")));
+            requests.spawn(fetch_once(to, format!("d{daemon}-{n}-{started:?}")));
         }
-        asked.join_all().await
+        requests.join_all().await
     }
 
-    /// Returns how many requests an upstream began to run since some time.
+    /// Counts the requests that an upstream began to run at or after `from`.
     pub fn runs_since(&self, runner: usize, from: Instant) -> usize {
         let runs = self.runners[runner].runs();
         runs.iter().filter(|run| run.at >= from).count()
     }
 }
 
-/// What a client was told, and after how long.
+/// A response as a client received it.
 pub struct ClientResponse {
     pub status: StatusCode,
     pub retry_after_s: Option<f64>,
+    /// Time from connecting to the end of the response.
     pub after: Duration,
 }
 
-/// Asks a daemon over a connection of its own.
+/// Sends one request to a daemon over a new connection.
 pub async fn fetch_once(to: SocketAddr, attempt: String) -> ClientResponse {
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let mut client = Client::connect(to).await.expect("the daemon listens");
     let answer = client.fetch(&attempt, "/look/x", "").await;
     ClientResponse {
         status: answer.status,
         retry_after_s: answer.header("retry-after").parse().ok(),
-        after: asked.elapsed(),
+        after: sent_at.elapsed(),
     }
 }
--- a/tests/gateway/logs.rs
+++ b/tests/gateway/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: bounded, never waited for, and enough to explain a request.
+//! Logging: limited in volume, never blocks requests, and suffices to explain a request.
 
 use {
     crate::support::*,
@@ -27,10 +27,10 @@
 }
 
 #[tokio::test]
-async fn an_output_that_nobody_reads_holds_up_no_request() {
+async fn an_unread_log_output_blocks_no_request() {
     let runner = Runner::start("b1", 3).await.unwrap();
     let routes = routes_file(1, &[&IDEMPOTENT], &[&runner]);
-    // The pipe's buffer is full after some hundred lines.
+    // The pipe's buffer is full after a few hundred lines.
     let daemon = logging_daemon(Stdio::piped(), &routes).await;
     let mut client = daemon.client().await;
     for n in 0..3_000 {
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn the_story_of_a_lost_answer_names_its_cause() {
+async fn the_history_of_a_lost_answer_names_its_cause() {
     let runner = Runner::start("b1", 3).await.unwrap();
     runner.behave(Behaviour::LoseAnswer);
     let out = TempDir::new().unwrap();
@@ -53,23 +53,23 @@
     let daemon = logging_daemon(File::create(&path).unwrap().into(), &routes).await;
     let answer = daemon.client().await.fetch("a77", "/once/x", "").await;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
-    let story = || {
+    let history = || {
         let file: Box<dyn std::io::BufRead> = Box::new(BufReader::new(File::open(&path).unwrap()));
         request_history("a77", vec![("log".into(), file)]).unwrap()
     };
-    eventually("written", async || story().contains("answered.")).await;
-    let story = story();
+    eventually("the history is written", async || history().contains("answered.")).await;
+    let history = history();
     let order =
-        ["placed.", "failed.", "given up.", "answered."].map(|word| story.find(word).expect(word));
-    assert!(order.is_sorted(), "{story}");
+        ["placed.", "failed.", "given up.", "answered."].map(|word| history.find(word).expect(word));
+    assert!(order.is_sorted(), "{history}");
     assert!(
-        story.contains("upstream=b1") && story.contains("may_have_run=true"),
-        "{story}"
+        history.contains("upstream=b1") && history.contains("may_have_run=true"),
+        "{history}"
     );
 }
 
 #[test]
-fn lines_of_a_second_are_bounded_and_the_rest_is_counted() {
+fn log_lines_per_second_are_limited_and_dropped_lines_are_counted() {
     let mut budget = LineBudget::default();
     let written = (0..10_000)
         .filter(|_| budget.take("place", false, 1_000).write)
@@ -77,19 +77,19 @@
     assert!(written < 1_000, "{written}");
     assert!(
         budget.take("answer", true, 1_500).write,
-        "important ones still pass"
+        "important lines are still written"
     );
     let next = budget.take("place", false, 2_000);
     assert!(next.write);
     assert_eq!(next.dropped["place"], 10_000 - written as u64);
     assert!(
         budget.take("place", false, 3_000).dropped.is_empty(),
-        "told once"
+        "dropped lines are reported once"
     );
 }
 
 #[test]
-fn a_story_is_told_in_order_across_daemons() {
+fn a_request_history_is_in_order_of_time_across_daemons() {
     let line = |time_ms, message: &str| {
         let line = LogLine {
             time_ms,
@@ -111,15 +111,15 @@
         ("one".to_string(), source(first)),
         ("two".to_string(), source(second)),
     ];
-    let story = request_history("r1", sources).unwrap();
+    let history = request_history("r1", sources).unwrap();
     assert_eq!(
-        story,
+        history,
         "+0 ms collector: p: a. request=r1 cause=\"k\"\n+10 ms one p: b. request=r1\n"
     );
 }
 
 #[tokio::test]
-async fn the_log_tells_of_connections_that_end_first_and_of_the_end_of_a_stop() {
+async fn the_log_records_early_disconnects_and_the_end_of_a_stop() {
     let runner = Runner::start("b1", 100).await.unwrap();
     let out = TempDir::new().unwrap();
     let path = out.path().join("log");
@@ -128,13 +128,13 @@
     let client = daemon.client().await;
     client.fetch_head_and_disconnect("a1", "/stream/resume/x").await;
     let text = || std::fs::read_to_string(&path).unwrap();
-    eventually("told", async || {
+    eventually("the disconnect is logged", async || {
         text().contains("connection closed before the response was complete. request=a1")
     })
     .await;
     daemon.signal(Signal::SIGTERM);
     assert!(daemon.wait_end().await);
     let text = text();
-    let last = text.lines().last().expect("there are lines");
+    let last = text.lines().last().expect("the log has lines");
     assert!(last.contains("stopped. requests=0"), "{last}");
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,5 +1,5 @@
-//! The routed request path: real daemons as processes, runners and a store as
-//! stand-ins.
+//! Tests of request routing with real daemon processes. The upstreams (runners) and the
+//! platform's store are stand-ins.
 
 mod answers;
 mod configuration;
--- a/tests/gateway/soak_world.rs
+++ b/tests/gateway/soak_world.rs
@@ -1,5 +1,5 @@
-//! Daemons that are killed, frozen, stopped as planned and started again, under load that
-//! comes in at all of them, or at one.
+//! Daemons that are killed, frozen, gracefully stopped and restarted by a seeded schedule,
+//! under load that is sent to all of them or to one.
 
 use {
     crate::support::*,
@@ -18,22 +18,24 @@
 
 const NAMES: [&str; 5] = ["n0", "n1", "n2", "n3", "n4"];
 const RUNNERS: usize = 4;
-/// How long after a fault a daemon is excused.
-const CONTACT: Duration = Duration::from_secs(3);
+/// How long after a fault a daemon remains exempt from the checks, as it regains contact with
+/// the other daemons.
+const FAULT_GRACE: Duration = Duration::from_secs(3);
 
-/// Returns a number that is given by hand, or another one.
+/// Reads a number from an environment variable. Returns `default` if it is unset or no number.
 pub fn from_env(name: &str, default: u64) -> u64 {
     let value = env::var(name).ok();
     value.and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// Daemons under faults before upstreams of one file.
+/// Daemons under faults, and the upstreams that they read from a file.
 pub struct SoakWorld {
     pub runners: Vec<Runner>,
+    /// `None` while a daemon is frozen, or stopped and not yet restarted.
     daemons: Mutex<Vec<Option<GatewayDaemon>>>,
     routes: String,
-    /// Times in which a daemon is excused.
-    excused: Mutex<Vec<(usize, Instant, Instant)>>,
+    /// Index of a daemon, and begin and end of a period in which it is exempt from the checks.
+    exemptions: Mutex<Vec<(usize, Instant, Instant)>>,
 }
 
 impl SoakWorld {
@@ -48,7 +50,7 @@
             runners,
             daemons: Mutex::new(NAMES.iter().map(|_| None).collect()),
             routes,
-            excused: Mutex::default(),
+            exemptions: Mutex::default(),
         });
         for n in 0..NAMES.len() {
             world.start_daemon(n).await;
@@ -66,7 +68,7 @@
         self.daemons.lock().unwrap()[n] = Some(daemon);
     }
 
-    /// Returns where a daemon takes clients; none while it is not there.
+    /// Returns the client address of a daemon, `None` while it is frozen or not running.
     pub fn address(&self, n: usize) -> Option<SocketAddr> {
         let daemons = self.daemons.lock().unwrap();
         daemons[n].as_ref().map(|d| d.clients)
@@ -76,19 +78,19 @@
         self.daemons.lock().unwrap()[n].take()
     }
 
-    fn excuse(&self, n: usize, from: Instant) {
-        let until = Instant::now() + CONTACT;
-        self.excused.lock().unwrap().push((n, from, until));
+    fn exempt(&self, n: usize, from: Instant) {
+        let until = Instant::now() + FAULT_GRACE;
+        self.exemptions.lock().unwrap().push((n, from, until));
     }
 
-    /// Returns whether a daemon is excused at some moment of a time.
-    pub fn is_excused(&self, n: usize, from: Instant, to: Instant) -> bool {
-        let excused = self.excused.lock().unwrap();
-        let mut excused = excused.iter().filter(|(of, ..)| *of == n);
-        excused.any(|(_, began, until)| to >= *began && from < *until)
+    /// Returns true if a daemon is exempt from the checks at any time between `from` and `to`.
+    pub fn is_exempt(&self, n: usize, from: Instant, to: Instant) -> bool {
+        let exemptions = self.exemptions.lock().unwrap();
+        let mut exemptions = exemptions.iter().filter(|(of, ..)| *of == n);
+        exemptions.any(|(_, began, until)| to >= *began && from < *until)
     }
 
-    async fn fault(&self, n: usize, rng: &mut ChaCha8Rng) {
+    async fn inject_fault(&self, n: usize, rng: &mut ChaCha8Rng) {
         let began = Instant::now();
         let Some(mut daemon) = self.take(n) else {
             return;
@@ -105,33 +107,34 @@
                 tokio::time::sleep(Duration::from_millis(frozen_ms)).await;
                 daemon.signal(Signal::SIGCONT);
                 self.daemons.lock().unwrap()[n] = Some(daemon);
-                return self.excuse(n, began);
+                return self.exempt(n, began);
             }
         }
         self.start_daemon(n).await;
-        self.excuse(n, began);
+        self.exempt(n, began);
     }
 
-    /// Brings faults about until some time.
-    pub async fn faults(&self, seed: u64, until: Instant) {
+    /// Kills, stops and freezes randomly chosen daemons, one at a time, until `until`.
+    pub async fn inject_faults(&self, seed: u64, until: Instant) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xfa);
         while Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(rng.random_range(300..3_000))).await;
             let n = rng.random_range(0..NAMES.len());
-            self.fault(n, &mut rng).await;
+            self.inject_fault(n, &mut rng).await;
         }
     }
 }
 
-/// Sends numbered requests to daemons until some time, and waits for their answers.
+/// Sends numbered requests to daemons until `until`, then waits for their responses. `fetch`
+/// sends a request, given the index of the daemon and the request's number.
 pub async fn load<F>(seed: u64, until: Instant, fetch: impl Fn(usize, u64) -> F)
 where
     F: Future<Output = ()> + Send + 'static,
 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let (mut asked, mut number) = (JoinSet::new(), 0);
+    let (mut requests, mut number) = (JoinSet::new(), 0);
     while Instant::now() < until {
-        // All at one daemon, or at all.
+        // Each period sends to one daemon, or to all at random.
         let one = rng.random_range(0..NAMES.len());
         let at_one = rng.random_bool(0.5);
         let pause_ms = rng.random_range(8..60);
@@ -142,20 +145,20 @@
                 false => rng.random_range(0..NAMES.len()),
             };
             number += 1;
-            asked.spawn(fetch(n, number));
+            requests.spawn(fetch(n, number));
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
         }
     }
-    asked.join_all().await;
+    requests.join_all().await;
 }
 
-/// Returns the upstream that signed an answer.
+/// Returns the index of the upstream that signed a response.
 pub fn upstream_of(answer: &Response) -> Option<usize> {
     let signer = answer.header("saddlepulley-signature").split('.').next();
     signer.and_then(|id| id.strip_prefix('u')?.parse().ok())
 }
 
-/// Returns the daemon that an attempt came through.
+/// Returns the index of the daemon that an attempt was sent to.
 pub fn daemon_of(attempt: &str) -> Option<usize> {
     attempt.split('-').next()?.parse().ok()
 }
--- a/tests/gateway/store_support.rs
+++ b/tests/gateway/store_support.rs
@@ -1,4 +1,4 @@
-//! A store, a runner and daemons on it, for the tests of the users' platform.
+//! A stand-in of the platform's store with one upstream, and daemons that read it.
 
 use {
     crate::support::*,
@@ -13,7 +13,7 @@
     },
 };
 
-/// Serves one fixed answer to each request, as a runner of the platform.
+/// Starts an upstream that gives the same successful response to each request.
 pub async fn fixed_runner() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -33,7 +33,7 @@
     address
 }
 
-/// Makes a configuration of one route, in the words of the platform.
+/// Builds a configuration with one route, in the platform's format.
 pub fn config(version: u64, prefix: &str) -> serde_json::Value {
     json!({
         "version": version,
@@ -52,7 +52,7 @@
     })
 }
 
-/// Makes the entry of a runner.
+/// Builds the store's entry of an upstream.
 pub fn entry(address: SocketAddr, state: &str, sequence: u64) -> serde_json::Value {
     json!({
         "service": "s", "address": address, "zone": "a", "version": "v1", "slots": 8,
@@ -60,7 +60,7 @@
     })
 }
 
-/// Starts a store that holds a configuration and one runner.
+/// Starts a store that holds a configuration and one upstream.
 pub async fn filled_store() -> Store {
     let store = Store::start().await.unwrap();
     store.put("keyed.op", "config", &config(3, "/p/"));
@@ -72,12 +72,12 @@
     store
 }
 
-/// Starts a daemon on a store.
+/// Starts a daemon that reads the store and waits up to 400 ms for its seeds.
 pub fn daemon(name: &'static str, store: &Store, seeds: &[&GatewayDaemon]) -> GatewayDaemon {
     daemon_with_seed_wait(name, store, seeds, 400)
 }
 
-/// Starts a daemon that waits for its seeds for some milliseconds.
+/// Starts a daemon that reads the store and waits up to `max_wait_ms` for its seeds.
 pub fn daemon_with_seed_wait(
     name: &'static str,
     store: &Store,
@@ -97,14 +97,16 @@
     GatewayDaemon::spawn(TempDir::new().unwrap(), settings)
 }
 
-/// Asks a daemon as a client would.
+/// Sends a client's request to a daemon. Returns the status of the response, or 418 if there
+/// is no complete response.
 pub async fn fetch(daemon: &GatewayDaemon, path: &str) -> StatusCode {
     fetch_at(daemon.clients, path)
         .await
         .unwrap_or(StatusCode::IM_A_TEAPOT)
 }
 
-/// Asks a daemon at an address; none without an answer.
+/// Sends a client's request to an address. Returns the status of the response, or `None` if
+/// there is no complete response.
 pub async fn fetch_at(address: SocketAddr, path: &str) -> Option<StatusCode> {
     let request = http::Request::get(path)
         .header("host", "h.example")
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -1,4 +1,4 @@
-//! Daemons, files and clients for the tests of the routed path.
+//! Daemon processes, configuration files and HTTP clients for the gateway tests.
 
 use {
     bytes::Bytes,
@@ -27,23 +27,23 @@
     tokio::net::TcpStream,
 };
 
-/// The binary that the tests are about.
+/// The binary under test.
 const THIS_BUILD: &str = env!("CARGO_BIN_EXE_saddlepulley");
 
-/// Returns the binary of another build that is to run beside this one, if one is named:
-/// by hand, `SADDLEPULLEY_OLD=/path/to/saddlepulley`. Else this one.
+/// Returns the binary of another build that runs beside this one in the mixed-build tests.
+/// It is set by hand with `SADDLEPULLEY_OLD=/path/to/saddlepulley`; without it, this is the
+/// binary of this build.
 pub fn other_build() -> PathBuf {
-    let named = std::env::var_os("SADDLEPULLEY_OLD");
-    named.map_or_else(this_build, PathBuf::from)
+    let path = std::env::var_os("SADDLEPULLEY_OLD");
+    path.map_or_else(this_build, PathBuf::from)
 }
 
-/// Returns the binary of this build.
 pub fn this_build() -> PathBuf {
     PathBuf::from(THIS_BUILD)
 }
 
-/// Returns the binaries of both builds by turns: with another one named, both stand side by
-/// side in each test. The other one is first with `SADDLEPULLEY_OLD_FIRST=1`.
+/// Alternates between the binaries of both builds, so that with `SADDLEPULLEY_OLD` set each
+/// test runs daemons of both. The other build comes first with `SADDLEPULLEY_OLD_FIRST=1`.
 fn next_build() -> PathBuf {
     static STARTED: AtomicUsize = AtomicUsize::new(0);
     let other_first = usize::from(std::env::var_os("SADDLEPULLEY_OLD_FIRST").is_some());
@@ -53,47 +53,51 @@
     }
 }
 
-/// How long anything may take that is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long [`eventually`] waits for its condition.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds.
+///
+/// # Panics
+///
+/// Panics if the condition does not hold within [`WAIT_TIMEOUT`].
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let wait = async {
         while !holds().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    if tokio::time::timeout(PATIENCE, wait).await.is_err() {
+    if tokio::time::timeout(WAIT_TIMEOUT, wait).await.is_err() {
         panic!("not in time: {what}");
     }
 }
 
-/// The ports that the tests' daemons listen on: below those that the kernel
-/// gives to clients' connections, which would else take one now and then.
+/// The range of ports that the tests' daemons listen on. It lies below the kernel's ephemeral
+/// ports, as an outgoing connection could otherwise occupy a port that a daemon is to bind.
 const FIRST_PORT: u16 = 18_000;
 const LAST_PORT: u16 = 31_000;
-/// How many ports a test process has for itself: all tests of one take fewer than a
-/// thousand.
-const BLOCK: u16 = 1_300;
-
-/// The ports of this process. Processes that took them from one range, even from places far
-/// apart, met beside each other: a daemon's port was taken between the look and its start,
-/// and the test talked to the daemon of another one (two tests of a whole run beside four
-/// soaks that start daemons anew all the time).
+/// Number of ports that a test process reserves for itself. All tests of one process together
+/// use fewer than a thousand.
+const BLOCK_PORTS: u16 = 1_300;
+
+/// The ports of this process. Test processes that shared one range collided, even when they
+/// began at distant ports: another process took a daemon's port between the check that it was
+/// free and the daemon's start, and the test then talked to the other process's daemon. This
+/// failed two tests of a full run beside four soaks that restart daemons continuously.
 struct Ports {
     first: u16,
     next: AtomicU16,
-    /// Held for as long as the process lives: no other takes its ports.
+    /// A bound socket that reserves the block of ports until the process exits.
     _reservation: UdpSocket,
 }
 
 impl Ports {
     fn reserve() -> Self {
-        let blocks = (LAST_PORT - FIRST_PORT) / BLOCK;
+        let blocks = (LAST_PORT - FIRST_PORT) / BLOCK_PORTS;
         let begin = (std::process::id() % u32::from(blocks)) as u16;
         loop {
             for n in 0..blocks {
-                let first = FIRST_PORT + (begin + n) % blocks * BLOCK;
+                let first = FIRST_PORT + (begin + n) % blocks * BLOCK_PORTS;
                 if let Ok(reservation) = UdpSocket::bind(("127.0.0.1", first)) {
                     return Self {
                         first,
@@ -102,19 +106,19 @@
                     };
                 }
             }
-            // Others end sometime.
+            // All blocks are taken: wait until another test process exits.
             std::thread::sleep(Duration::from_millis(200));
         }
     }
 
     fn next(&self) -> u16 {
         let n = self.next.fetch_add(1, Ordering::Relaxed);
-        // The first port of the block is the reservation.
-        self.first + 1 + n % (BLOCK - 1)
+        // The first port of the block is bound by the reservation.
+        self.first + 1 + n % (BLOCK_PORTS - 1)
     }
 }
 
-/// Returns an address that no test has been given before and that is free.
+/// Returns a free address that no other test of this process has received.
 pub fn free_address() -> SocketAddr {
     static PORTS: LazyLock<Ports> = LazyLock::new(Ports::reserve);
     loop {
@@ -126,7 +130,7 @@
     }
 }
 
-/// What a route of the tests is like.
+/// Properties of a route in the tests' configuration.
 pub struct TestRoute {
     pub prefix: &'static str,
     pub kind: &'static str,
@@ -160,8 +164,8 @@
     ..IDEMPOTENT
 };
 
-/// Writes a configuration with the routes of the tests, one tenant, and the
-/// given runners.
+/// Formats a configuration file with the given routes, one tenant, and the given runners as
+/// upstreams.
 pub fn routes_file(version: u64, routes: &[&TestRoute], runners: &[&Runner]) -> String {
     let mut text = format!("[config]\nversion = {version}\n");
     for route in routes {
@@ -196,7 +200,7 @@
     text
 }
 
-/// A daemon that runs as a process of its own. It is killed when dropped.
+/// A daemon process. It is killed when this value is dropped.
 pub struct GatewayDaemon {
     pub clients: SocketAddr,
     pub readiness: SocketAddr,
@@ -213,29 +217,33 @@
     }
 }
 
-/// Settings of a daemon that are not the same in all tests.
+/// Settings of a daemon that differ between tests.
 pub struct DaemonSettings {
     pub name: &'static str,
+    /// TOML lines of the section `[source]`.
     pub source: String,
+    /// TOML lines that follow the section `[peers]`: more keys of it, or further sections.
     pub extra_settings: String,
+    /// Peer addresses of the daemons that it contacts to join.
     pub seeds: Vec<SocketAddr>,
     pub stdout: Stdio,
 }
 
 impl GatewayDaemon {
-    /// Starts a daemon on a file of routes and waits until it is ready.
+    /// Starts a daemon with a routes file and waits until it is ready.
     pub async fn start(routes: &str) -> Self {
         let daemon = Self::start_unready(routes);
         daemon.wait_ready().await;
         daemon
     }
 
-    /// Starts a daemon on a file of routes.
+    /// Starts a daemon with a routes file, without waiting until it is ready.
     pub fn start_unready(routes: &str) -> Self {
         Self::spawn_on_file("n1", routes, Vec::new())
     }
 
-    /// Starts a daemon on a file of routes that knows other daemons.
+    /// Starts a daemon with a routes file and the addresses of other daemons. With empty
+    /// `routes`, the file does not exist.
     pub fn spawn_on_file(name: &'static str, routes: &str, seeds: Vec<SocketAddr>) -> Self {
         let dir = TempDir::new().unwrap();
         let path = dir.path().join("routes.toml");
@@ -252,12 +260,12 @@
         Self::spawn(dir, settings)
     }
 
-    /// Starts a daemon with given settings.
+    /// Starts a daemon with the given settings, of the next build in turn.
     pub fn spawn(dir: TempDir, settings: DaemonSettings) -> Self {
         Self::spawn_build(&next_build(), dir, settings)
     }
 
-    /// Starts a daemon of a build.
+    /// Starts a daemon from the given binary.
     pub fn spawn_build(build: &Path, dir: TempDir, settings: DaemonSettings) -> Self {
         let [clients, readiness, peers, metrics] = [(); 4].map(|()| free_address());
         let seeds: Vec<String> = settings.seeds.iter().map(|s| format!("\"{s}\"")).collect();
@@ -305,11 +313,11 @@
         Some(answer.status)
     }
 
-    /// Returns the figures that the daemon tells of itself.
+    /// Fetches the daemon's metrics page.
     pub async fn metrics_page(&self) -> String {
-        let mut client = Client::connect(self.metrics).await.expect("it listens");
+        let mut client = Client::connect(self.metrics).await.expect("the metrics address accepts connections");
         let page = client.send(Request::get("/metrics"), "").await;
-        page.expect("a page").body
+        page.expect("the metrics page is answered").body
     }
 
     pub async fn client(&self) -> Client {
@@ -322,7 +330,7 @@
         kill(Pid::from_raw(self.child.id() as i32), signal).unwrap();
     }
 
-    /// Waits until the process ends; returns whether it ended well.
+    /// Waits until the process exits. Returns true if its exit status is success.
     pub async fn wait_end(&mut self) -> bool {
         let mut ended = None;
         eventually("ended", async || {
@@ -333,20 +341,20 @@
         ended == Some(true)
     }
 
-    /// Returns whether the process ended well; none while it runs.
+    /// Returns `None` while the process runs, then whether its exit status is success.
     pub fn has_ended(&mut self) -> Option<bool> {
         let ended = self.child.try_wait().unwrap();
         ended.map(|status| status.success())
     }
 }
 
-/// An answer that was read to its end.
+/// A response whose body was read until its end or the end of the connection.
 #[derive(Debug)]
 pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: String,
-    /// Whether the body reached its end.
+    /// False if the connection broke before the end of the body.
     pub complete: bool,
 }
 
@@ -359,7 +367,7 @@
     }
 }
 
-/// A client with one connection.
+/// An HTTP client with one connection.
 pub struct Client {
     sender: SendRequest<Full<Bytes>>,
 }
@@ -372,11 +380,15 @@
         Some(Self { sender })
     }
 
-    /// Sends a request with the headers that all requests of the tests have.
+    /// Sends a request with the tests' common headers and reads its response.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no response head is received.
     pub async fn fetch(&mut self, attempt: &str, path: &str, body: &str) -> Response {
         self.send(request(attempt, path), body)
             .await
-            .expect("an answer")
+            .expect("a response is received")
     }
 
     pub async fn send(
@@ -409,18 +421,18 @@
         })
     }
 
-    /// Sends a request and leaves as soon as the answer's head is there.
+    /// Sends a request and closes the connection once the head of the response is received.
     pub async fn fetch_head_and_disconnect(mut self, attempt: &str, path: &str) {
         let body = Full::new(Bytes::new());
         let sent = self
             .sender
             .send_request(request(attempt, path).body(body).unwrap());
-        let answer = sent.await.expect("a head");
+        let answer = sent.await.expect("a response head is received");
         drop(answer);
     }
 }
 
-/// Makes a request with the headers that all requests of the tests have.
+/// Builds a request with the tests' common headers.
 pub fn request(attempt: &str, path: &str) -> http::request::Builder {
     Request::post(path)
         .header("host", "h.example")
--- a/tests/gateway/upstream_signals_soak.rs
+++ b/tests/gateway/upstream_signals_soak.rs
@@ -141,7 +141,7 @@
             let first = *passed_on.iter().find(|at| **at >= from && **at < until)?;
             let sent = *self.seen.sent.get(&run.attempt)?;
             let is_late = sent >= first + LEFT_WITHIN && run.at < until;
-            let counts = is_late && !self.world.is_excused(*n, first, run.at);
+            let counts = is_late && !self.world.is_exempt(*n, first, run.at);
             counts.then(|| format!("{} {:?} after it", run.attempt, sent - first))
         })
     }
@@ -158,7 +158,7 @@
                 *n == daemon
                     && run.at >= asked.at + ON_ITS_WAY
                     && run.at < asked.at + rest
-                    && !self.world.is_excused(daemon, asked.at, run.at)
+                    && !self.world.is_exempt(daemon, asked.at, run.at)
             });
             Some(in_rest.count())
         });
@@ -180,7 +180,7 @@
     let words: Vec<_> = (0..world.runners.len())
         .map(|runner| tokio::spawn(change_words(world.clone(), runner, seed, until)))
         .collect();
-    world.faults(seed, until).await;
+    world.inject_faults(seed, until).await;
     load.await.unwrap();
     let (mut left, mut rested) = (0, 0);
     for (runner, said) in words.into_iter().enumerate() {
