--- a/tests/gateway/limits_soak.rs
+++ b/tests/gateway/limits_soak.rs
@@ -107,8 +107,8 @@
 ) -> Vec<(Instant, usize)> {
     let forwarded = forwarded.lock().unwrap();
     let counts = |at: Instant, n: usize| {
-        let times = forwarded.get(&(n, runner));
-        let had_forwarded = times.is_some_and(|times| {
+        let forwarded_at = forwarded.get(&(n, runner));
+        let had_forwarded = forwarded_at.is_some_and(|times| {
             let mut times = times.iter();
             times.any(|t| *t >= announced.from && *t + FORWARDED_BEFORE <= at)
         });
--- a/tests/gateway/mixed_builds.rs
+++ b/tests/gateway/mixed_builds.rs
@@ -36,7 +36,7 @@
 /// Length of the windows in which admitted requests are counted.
 const WINDOW: Duration = Duration::from_secs(6);
 /// Most requests allowed in a window: rate and burst, plus a tenth, plus 12 requests. The
-/// setting `[bounds.quotas]` of the daemons says the same.
+/// daemons have the same bounds in their settings `[bounds.quotas]`.
 const ALLOWED: f64 = (RATE * 6.0 + BURST) * 1.1 + 12.0;
 const RUN: Duration = Duration::from_secs(26);
 /// Least fraction of the rate that must be admitted.
