--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -85,12 +85,18 @@
         runs.filter(|run| run.body == body).count()
     }
 
-    async fn ask(&self, daemon: usize, attempt: &str, path: &str, body: &str) -> Option<Answer> {
+    async fn fetch(
+        &self,
+        daemon: usize,
+        attempt: &str,
+        path: &str,
+        body: &str,
+    ) -> Option<Response> {
         ask_as(self.daemons[daemon].clients, attempt.into(), path, body).await
     }
 }
 
-async fn ask_as(to: SocketAddr, attempt: String, path: &str, body: &str) -> Option<Answer> {
+async fn ask_as(to: SocketAddr, attempt: String, path: &str, body: &str) -> Option<Response> {
     let mut client = Client::connect(to).await?;
     client.send(request(&attempt, path), body).await.ok()
 }
@@ -147,7 +153,7 @@
         series.runs
     );
     let answer = world
-        .ask(0, "last", "/stream/resume/x", CRASHING_BODY)
+        .fetch(0, "last", "/stream/resume/x", CRASHING_BODY)
         .await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -167,7 +173,7 @@
             series.runs
         );
         for daemon in 0..world.daemons.len() {
-            let answer = world.ask(daemon, "last", path, CRASHING_BODY).await;
+            let answer = world.fetch(daemon, "last", path, CRASHING_BODY).await;
             let answer = answer.expect("an answer");
             assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{daemon}");
         }
@@ -176,7 +182,7 @@
     let late = world.start_daemon(5).await;
     world.daemons.push(late);
     tokio::time::sleep(HELD_WITHIN).await;
-    let answer = world.ask(5, "late", "/look/x", CRASHING_BODY).await;
+    let answer = world.fetch(5, "late", "/look/x", CRASHING_BODY).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "late");
 }
@@ -191,8 +197,8 @@
         let (mut asked, mut served, mut n) = (0, 0, 0);
         while began.elapsed() < Duration::from_secs(9) {
             for body in ["asked again and again", &format!("asked once: {n}")] {
-                let answer = world.ask(n % 3, &format!("i{n}"), path, body).await;
-                let is_complete = answer.is_some_and(|a| a.status.is_success() && a.whole);
+                let answer = world.fetch(n % 3, &format!("i{n}"), path, body).await;
+                let is_complete = answer.is_some_and(|a| a.status.is_success() && a.complete);
                 // Before all daemons hold the crashing request back, others may be lost in a crash.
                 if began.elapsed() > Duration::from_secs(5) {
                     asked += 1;
@@ -253,10 +259,10 @@
     let apart = daemon("n4", &store, &[]);
     apart.wait_ready().await;
     eventually("held back at all daemons", async || {
-        ask(&first, "/p/x").await;
-        ask(&other, "/p/x").await;
+        fetch(&first, "/p/x").await;
+        fetch(&other, "/p/x").await;
         if is_written(&store) {
-            ask(&apart, "/p/x").await;
+            fetch(&apart, "/p/x").await;
         }
         let refuses = async |daemon: &GatewayDaemon| {
             let page = daemon.metrics_page().await;
@@ -274,10 +280,10 @@
     let again = daemon("n3", &store, &[]);
     again.wait_ready().await;
     tokio::time::sleep(HELD_WITHIN).await;
-    assert_eq!(ask(&again, "/p/x").await, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(fetch(&again, "/p/x").await, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(requests.load(Ordering::SeqCst), 0);
     // Another path is another request.
-    ask(&again, "/p/y").await;
+    fetch(&again, "/p/y").await;
     assert_eq!(requests.load(Ordering::SeqCst), 1);
 }
 
@@ -315,7 +321,7 @@
         tokio::time::sleep(ENTRY_APPLIED).await;
         let asks = tokio::spawn({
             let clients = daemon.clients;
-            async move { ask_at(clients, "/p/x").await }
+            async move { fetch_at(clients, "/p/x").await }
         });
         eventually("it runs", async || requests.load(Ordering::SeqCst) == 1).await;
         store.put("keyed.servers", &id, &entry(address, "draining", 2));
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -25,9 +25,9 @@
     let answer = daemon
         .client()
         .await
-        .ask("a1", "/stream/once/x", "prompt")
+        .fetch("a1", "/stream/once/x", "prompt")
         .await;
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert_eq!(answer.body, events(1, 6));
     assert_eq!(answer.header("saddlepulley-signature"), "b1.a1");
 }
@@ -48,8 +48,8 @@
         // the other upstream.
         let daemon = GatewayDaemon::start(&routes).await;
         let mut client = daemon.client().await;
-        let answer = client.ask(&attempt, "/stream/resume/x", "prompt").await;
-        assert!(answer.whole, "{answer:?}");
+        let answer = client.fetch(&attempt, "/stream/resume/x", "prompt").await;
+        assert!(answer.complete, "{answer:?}");
         assert_eq!(
             answer.body,
             events(1, 8),
@@ -83,9 +83,13 @@
     a.behave(Behaviour::CutStream(4));
     b.behave(Behaviour::CutStream(4));
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM_ONCE], &[a, b])).await;
-    let answer = daemon.client().await.ask("a1", "/stream/once/x", "").await;
+    let answer = daemon
+        .client()
+        .await
+        .fetch("a1", "/stream/once/x", "")
+        .await;
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(!answer.whole, "it must not look complete");
+    assert!(!answer.complete, "it must not look complete");
     assert_eq!(
         answer.body,
         events(1, 3),
@@ -101,7 +105,7 @@
     daemon
         .client()
         .await
-        .ask_and_leave("a1", "/stream/resume/x")
+        .fetch_head_and_disconnect("a1", "/stream/resume/x")
         .await;
     eventually("cancelled", async || runner.abandoned() == 1).await;
 }
