--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -137,7 +137,7 @@
     /// # Panics
     ///
     /// Panics on a text that no header can hold.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn set_rate_limit(&self, limit: Option<&str>) {
         *self.shared.limit.lock() = limit.map(header_value);
     }
 
--- a/tests/gateway/limits_soak.rs
+++ b/tests/gateway/limits_soak.rs
@@ -78,7 +78,7 @@
     let mut all = Vec::new();
     while Instant::now() < until {
         let limit = *LIMITS.choose(&mut rng).expect("there are some");
-        world.runners[runner].name_limit(limit);
+        world.runners[runner].set_rate_limit(limit);
         let from = Instant::now();
         tokio::time::sleep(PERIOD.mul_f64(rng.random_range(0.9..1.6))).await;
         if let Some(limit) = limit {
--- a/tests/gateway/upstream_limits.rs
+++ b/tests/gateway/upstream_limits.rs
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn a_standalone_daemon_does_not_exceed_a_limit() {
     let world = FileWorld::start(1, 4).await;
-    world.runners[0].name_limit(Some("1"));
+    world.runners[0].set_rate_limit(Some("1"));
     let known = Instant::now() + HOLDS_AFTER;
     let answers = world.load(&[0], 40.0, HOLDS_AFTER + WATCHED).await;
     let most = most_in_a_span(&world, 0, known);
@@ -55,8 +55,8 @@
 #[tokio::test]
 async fn daemons_together_do_not_exceed_a_limit() {
     let world = FileWorld::start(5, 4).await;
-    world.runners[0].name_limit(Some("1"));
-    world.runners[1].name_limit(Some("2.5"));
+    world.runners[0].set_rate_limit(Some("1"));
+    world.runners[1].set_rate_limit(Some("2.5"));
     let known = Instant::now() + HOLDS_AFTER;
     let answers = world
         .load(&[0, 1, 2, 3, 4], 60.0, HOLDS_AFTER + WATCHED)
@@ -74,7 +74,7 @@
 async fn a_daemon_does_not_exceed_a_limit_received_by_another() {
     let world = FileWorld::start(2, 2).await;
     for runner in &world.runners {
-        runner.name_limit(Some("1"));
+        runner.set_rate_limit(Some("1"));
     }
     world.load(&[0], 20.0, HOLDS_AFTER).await;
     let moved = Instant::now();
@@ -97,7 +97,7 @@
     for at in [0, 4] {
         let world = FileWorld::start(5, 2).await;
         for runner in &world.runners {
-            runner.name_limit(Some("5"));
+            runner.set_rate_limit(Some("5"));
         }
         let known = Instant::now() + HOLDS_AFTER;
         world.load(&[at], 40.0, HOLDS_AFTER).await;
@@ -123,13 +123,13 @@
 async fn a_limit_does_not_outlast_the_first_response_without_it() {
     let world = FileWorld::start(2, 1).await;
     for limit in ["2", "0"] {
-        world.runners[0].name_limit(Some(limit));
+        world.runners[0].set_rate_limit(Some(limit));
         world.load(&[0, 1], 20.0, HOLDS_AFTER).await;
         let named = Instant::now();
         world.load(&[0, 1], 20.0, Duration::from_secs(4)).await;
         let got = world.runs_since(0, named);
         assert!(got <= allowed(2.0), "{got} under a limit of {limit}");
-        world.runners[0].name_limit(None);
+        world.runners[0].set_rate_limit(None);
         eventually("all served again", async || {
             let answers = world.load(&[0, 1], 20.0, Duration::from_millis(500)).await;
             answers.iter().all(|a| a.status == StatusCode::OK)
@@ -158,7 +158,7 @@
     for invalid in [
         "", "-1", "1e-9", "NaN", "inf", "soon", "0x1", "1,5", "1 2", ".", &long,
     ] {
-        world.runners[0].name_limit(Some(invalid));
+        world.runners[0].set_rate_limit(Some(invalid));
         let answers = world.load(&[0], 20.0, Duration::from_millis(500)).await;
         assert!(
             answers.iter().all(|a| a.status == StatusCode::OK),
