--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -147,7 +147,7 @@
     /// # Panics
     ///
     /// Panics on a text that no header can hold.
-    pub fn name_rest(&self, seconds: Option<&str>) {
+    pub fn set_retry_after(&self, seconds: Option<&str>) {
         *self.shared.rest.lock() = seconds.map(header_value);
     }
 
--- a/tests/gateway/upstreams_in_cooldown.rs
+++ b/tests/gateway/upstreams_in_cooldown.rs
@@ -16,7 +16,7 @@
 const ALLOWED: usize = 2;
 
 fn refuse_with_cooldown(runner: &Runner) {
-    runner.name_rest(Some("3"));
+    runner.set_retry_after(Some("3"));
     runner.behave(Behaviour::Refuse);
 }
 
@@ -126,7 +126,7 @@
         "Thu, 03 Dec 2026 00:00:00 GMT",
         &long,
     ] {
-        world.runners[0].name_rest(Some(invalid));
+        world.runners[0].set_retry_after(Some(invalid));
         world.runners[0].behave(Behaviour::Refuse);
         world.load(&[0], 20.0, Duration::from_millis(300)).await;
         world.runners[0].behave(Behaviour::Serve);
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -100,7 +100,7 @@
             1 => {
                 let rest_ms = rng.random_range(300..4_000);
                 let rest = Duration::from_millis(rest_ms);
-                upstream.name_rest(Some(&rest.as_secs_f64().to_string()));
+                upstream.set_retry_after(Some(&rest.as_secs_f64().to_string()));
                 upstream.behave(Behaviour::Refuse);
                 a_while(&mut rng).await;
                 let until = Instant::now();
