--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -157,7 +157,7 @@
     /// # Panics
     ///
     /// Panics on a text that no header can hold.
-    pub fn say_leaving(&self, word: Option<&str>) {
+    pub fn set_leaving(&self, word: Option<&str>) {
         *self.shared.leaving.lock() = word.map(header_value);
     }
 
--- a/tests/gateway/leaving_upstreams.rs
+++ b/tests/gateway/leaving_upstreams.rs
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn a_standalone_daemon_does_not_send_to_an_upstream_that_says_it_leaves() {
     let world = FileWorld::start(1, 4).await;
-    world.runners[0].say_leaving(Some("1"));
+    world.runners[0].set_leaving(Some("1"));
     let before = world.load(&[0], 40.0, LEFT_WITHIN).await;
     let left = Instant::now();
     let after = world.load(&[0], 40.0, WATCHED).await;
@@ -31,8 +31,8 @@
 #[tokio::test]
 async fn daemons_do_not_send_to_upstreams_that_say_they_leave() {
     let world = FileWorld::start(5, 4).await;
-    world.runners[0].say_leaving(Some("1"));
-    world.runners[1].say_leaving(Some("1"));
+    world.runners[0].set_leaving(Some("1"));
+    world.runners[1].set_leaving(Some("1"));
     let all = [0, 1, 2, 3, 4];
     let before = world.load(&all, 60.0, LEFT_WITHIN).await;
     let left = Instant::now();
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn daemons_do_not_send_to_an_upstream_that_told_another_daemon_that_it_leaves() {
     let world = FileWorld::start(5, 2).await;
-    world.runners[0].say_leaving(Some("1"));
+    world.runners[0].set_leaving(Some("1"));
     for at in [4, 0] {
         world.load(&[at], 20.0, LEFT_WITHIN).await;
     }
@@ -63,9 +63,9 @@
 #[tokio::test]
 async fn an_upstream_that_left_and_restarted_is_used_again() {
     let world = FileWorld::start(2, 2).await;
-    world.runners[0].say_leaving(Some("1"));
+    world.runners[0].set_leaving(Some("1"));
     world.load(&[0, 1], 40.0, LEFT_WITHIN).await;
-    world.runners[0].say_leaving(None);
+    world.runners[0].set_leaving(None);
     world.runners[0].restart();
     let restarted = Instant::now();
     eventually("used again", async || {
@@ -79,7 +79,7 @@
 async fn header_values_other_than_1_do_not_mark_an_upstream_as_leaving() {
     let world = FileWorld::start(1, 2).await;
     for value in ["", "0", "no", "true", "11"] {
-        world.runners[0].say_leaving(Some(value));
+        world.runners[0].set_leaving(Some(value));
         let said = Instant::now();
         let answers = world.load(&[0], 40.0, Duration::from_millis(500)).await;
         assert!(world.runs_since(0, said) > 0, "{value:?}");
@@ -91,7 +91,7 @@
 #[tokio::test]
 async fn the_last_upstream_gets_no_requests_after_it_says_it_leaves() {
     let world = FileWorld::start(1, 1).await;
-    world.runners[0].say_leaving(Some("1"));
+    world.runners[0].set_leaving(Some("1"));
     world.load(&[0], 20.0, LEFT_WITHIN).await;
     let left = Instant::now();
     let answers = world.load(&[0], 20.0, WATCHED).await;
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -90,10 +90,10 @@
         let from = Instant::now();
         match rng.random_range(0..3) {
             0 => {
-                upstream.say_leaving(Some("1"));
+                upstream.set_leaving(Some("1"));
                 a_while(&mut rng).await;
                 let until = Instant::now();
-                upstream.say_leaving(None);
+                upstream.set_leaving(None);
                 upstream.restart();
                 all.push(Said::Leaves { from, until });
             }
