--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -127,7 +127,7 @@
     }
 
     /// Changes what it does with requests that come from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.shared.behaviour.lock() = behaviour;
     }
 
--- a/tests/gateway/answers.rs
+++ b/tests/gateway/answers.rs
@@ -105,7 +105,7 @@
 #[tokio::test]
 async fn a_response_to_another_request_is_not_relayed() {
     let runner = Runner::start("b1", 3).await.unwrap();
-    runner.behave(Behaviour::OtherRequest);
+    runner.set_behaviour(Behaviour::OtherRequest);
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE], &[&runner])).await;
     let answer = daemon.client().await.ask("a1", "/once/x", "").await;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
@@ -115,7 +115,7 @@
 #[tokio::test]
 async fn a_503_without_the_not_run_header_becomes_502() {
     let runner = Runner::start("b1", 3).await.unwrap();
-    runner.behave(Behaviour::BareUnavailable);
+    runner.set_behaviour(Behaviour::BareUnavailable);
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE, &STREAM_ONCE], &[&runner])).await;
     let mut client = daemon.client().await;
     for path in ["/once/x", "/stream/once/x"] {
--- a/tests/gateway/logs.rs
+++ b/tests/gateway/logs.rs
@@ -46,7 +46,7 @@
 #[tokio::test]
 async fn the_story_of_a_lost_answer_names_its_cause() {
     let runner = Runner::start("b1", 3).await.unwrap();
-    runner.behave(Behaviour::LoseAnswer);
+    runner.set_behaviour(Behaviour::LoseAnswer);
     let out = TempDir::new().unwrap();
     let path = out.path().join("log");
     let routes = routes_file(1, &[&ONCE], &[&runner]);
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -12,8 +12,8 @@
         Runner::start("b1", 5).await.unwrap(),
         Runner::start("b2", 5).await.unwrap(),
     ];
-    runners[0].behave(first);
-    runners[1].behave(second);
+    runners[0].set_behaviour(first);
+    runners[1].set_behaviour(second);
     runners
 }
 
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -147,10 +147,10 @@
 
 async fn spoil(runners: &[Runner], rng: &mut ChaCha8Rng) {
     let runner = runners.choose(rng).expect("there are runners");
-    runner.behave(*SPOILED.choose(rng).expect("there are kinds"));
+    runner.set_behaviour(*SPOILED.choose(rng).expect("there are kinds"));
     let spoiled_ms = rng.random_range(200..800);
     tokio::time::sleep(Duration::from_millis(spoiled_ms)).await;
-    runner.behave(Behaviour::Serve);
+    runner.set_behaviour(Behaviour::Serve);
 }
 
 fn events() -> String {
--- a/tests/gateway/stops.rs
+++ b/tests/gateway/stops.rs
@@ -52,7 +52,7 @@
     let mut busy = daemon.client().await;
     let endless = tokio::spawn(async move { busy.ask("a1", "/stream/resume/x", "").await.whole });
     eventually("streaming", async || runner.runs().len() == 2).await;
-    runner.behave(Behaviour::Serve);
+    runner.set_behaviour(Behaviour::Serve);
     daemon.signal(Signal::SIGTERM);
     eventually("new connections are refused", async || {
         tokio::time::sleep(std::time::Duration::from_millis(300)).await;
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -42,7 +42,7 @@
     let routes = routes_file(1, &[&STREAM], &[a, b]);
     let mut moved = 0;
     for n in 0..8 {
-        a.behave(Behaviour::CutStream(1 + n));
+        a.set_behaviour(Behaviour::CutStream(1 + n));
         let attempt = format!("a{n}");
         // A new daemon knows no failures. One that has seen the first failure would choose
         // the other upstream.
@@ -80,8 +80,8 @@
         Runner::start("b2", 8).await.unwrap(),
     ];
     let [a, b] = &runners;
-    a.behave(Behaviour::CutStream(4));
-    b.behave(Behaviour::CutStream(4));
+    a.set_behaviour(Behaviour::CutStream(4));
+    b.set_behaviour(Behaviour::CutStream(4));
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM_ONCE], &[a, b])).await;
     let answer = daemon.client().await.ask("a1", "/stream/once/x", "").await;
     assert_eq!(answer.status, StatusCode::OK);
@@ -112,7 +112,7 @@
 #[tokio::test]
 async fn a_client_sees_at_once_that_its_stream_broke_off() {
     let runner = Runner::start("b1", 8).await.unwrap();
-    runner.behave(Behaviour::CutStream(3));
+    runner.set_behaviour(Behaviour::CutStream(3));
     let daemon = GatewayDaemon::start(&routes_file(1, &[&STREAM_ONCE], &[&runner])).await;
     let mut stream = TcpStream::connect(daemon.clients).await.unwrap();
     let head = "POST /stream/once/x HTTP/1.1\r\nhost: h.example\r\nsaddlepulley-attempt: a1\r\n\
--- a/tests/gateway/upstreams_in_cooldown.rs
+++ b/tests/gateway/upstreams_in_cooldown.rs
@@ -17,7 +17,7 @@
 
 fn refuse_with_cooldown(runner: &Runner) {
     runner.set_retry_after(Some("3"));
-    runner.behave(Behaviour::Refuse);
+    runner.set_behaviour(Behaviour::Refuse);
 }
 
 /// Returns the maximum number of requests from one daemon during a cooldown that it was sent.
@@ -100,7 +100,7 @@
     refuse_with_cooldown(&world.runners[1]);
     world.load(&all, 60.0, COOLDOWN * 2).await;
     for runner in &world.runners {
-        runner.behave(Behaviour::Serve);
+        runner.set_behaviour(Behaviour::Serve);
     }
     // The last cooldown that an upstream named ends.
     world.load(&all, 60.0, COOLDOWN).await;
@@ -127,9 +127,9 @@
         &long,
     ] {
         world.runners[0].set_retry_after(Some(invalid));
-        world.runners[0].behave(Behaviour::Refuse);
+        world.runners[0].set_behaviour(Behaviour::Refuse);
         world.load(&[0], 20.0, Duration::from_millis(300)).await;
-        world.runners[0].behave(Behaviour::Serve);
+        world.runners[0].set_behaviour(Behaviour::Serve);
         let answers = world.load(&[0], 20.0, Duration::from_millis(300)).await;
         assert!(
             answers.iter().all(|a| a.status == StatusCode::OK),
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -101,10 +101,10 @@
                 let rest_ms = rng.random_range(300..4_000);
                 let rest = Duration::from_millis(rest_ms);
                 upstream.set_retry_after(Some(&rest.as_secs_f64().to_string()));
-                upstream.behave(Behaviour::Refuse);
+                upstream.set_behaviour(Behaviour::Refuse);
                 a_while(&mut rng).await;
                 let until = Instant::now();
-                upstream.behave(Behaviour::Serve);
+                upstream.set_behaviour(Behaviour::Serve);
                 all.push(Said::Rest { from, until, rest });
             }
             _ => {}
