--- a/standin/src/store/service.rs
+++ b/standin/src/store/service.rs
@@ -148,7 +148,7 @@
     }
 
     /// Sets how the bodies of answers are delivered from now on.
-    pub fn deliver(&self, delivery: Delivery) {
+    pub fn set_delivery(&self, delivery: Delivery) {
         *self.shared.delivery.lock() = delivery;
     }
 
--- a/tests/gateway/large_configuration.rs
+++ b/tests/gateway/large_configuration.rs
@@ -45,7 +45,7 @@
     for daemon in daemons {
         daemon.wait_ready().await;
     }
-    store.deliver(Delivery::Steady(SLOW_LINK));
+    store.set_delivery(Delivery::Steady(SLOW_LINK));
     store.put("keyed.op", "config", &large_config(8));
     for daemon in daemons {
         eventually("in force", async || {
@@ -65,11 +65,11 @@
     let store = filled_store().await;
     let daemon = daemon("n1", &store, &[]);
     daemon.wait_ready().await;
-    store.deliver(Delivery::Stalled(1_000));
+    store.set_delivery(Delivery::Stalled(1_000));
     store.put("keyed.op", "config", &large_config(8));
     // The answer to the current read stalls in its middle, and nothing closes the connection.
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
-    store.deliver(Delivery::AtOnce);
+    store.set_delivery(Delivery::AtOnce);
     eventually("in force", async || {
         ask(&daemon, "/q/x").await == StatusCode::OK
     })
