--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -63,7 +63,7 @@
     /// How often it crashed.
     crashes: watch::Sender<u64>,
     /// Those among them that it turned away for its own sake.
-    turned_away: Mutex<Vec<Run>>,
+    refused_requests: Mutex<Vec<Run>>,
     /// What it names in each answer as the requests a second that it takes.
     limit: Mutex<Option<HeaderValue>>,
     /// What it names in each refusal as the seconds of rest that it wants.
@@ -103,7 +103,7 @@
             abandoned: Mutex::default(),
             refusals: Mutex::default(),
             crashes: watch::Sender::new(0),
-            turned_away: Mutex::default(),
+            refused_requests: Mutex::default(),
             limit: Mutex::default(),
             rest: Mutex::default(),
             leaving: Mutex::default(),
@@ -167,8 +167,8 @@
     }
 
     /// Returns the requests that it turned away for its own sake.
-    pub fn turned_away(&self) -> Vec<Run> {
-        self.shared.turned_away.lock().clone()
+    pub fn refused_requests(&self) -> Vec<Run> {
+        self.shared.refused_requests.lock().clone()
     }
 
     /// Returns what it began to run.
@@ -263,8 +263,8 @@
     };
     if behaviour == Behaviour::Refuse {
         *shared.refusals.lock() += 1;
-        shared.turned_away.lock().push(run);
-        return Ok(turned_away(&shared));
+        shared.refused_requests.lock().push(run);
+        return Ok(refused_requests(&shared));
     }
     shared.runs.lock().push(run);
     let is_stream = head.uri.path().starts_with("/stream/");
@@ -316,7 +316,7 @@
     answer
 }
 
-fn turned_away(shared: &Shared) -> Response<RunnerBody> {
+fn refused_requests(shared: &Shared) -> Response<RunnerBody> {
     let mut answer = refused(shared, StatusCode::SERVICE_UNAVAILABLE);
     if let Some(rest) = shared.rest.lock().clone() {
         answer.headers_mut().insert(RETRY_AFTER, rest);
--- a/tests/gateway/upstreams_in_cooldown.rs
+++ b/tests/gateway/upstreams_in_cooldown.rs
@@ -22,7 +22,7 @@
 
 /// Returns the maximum number of requests from one daemon during a cooldown that it was sent.
 fn most_in_a_cooldown(runner: &Runner) -> usize {
-    let refused = runner.turned_away();
+    let refused = runner.refused_requests();
     let arrived: Vec<Run> = refused.iter().cloned().chain(runner.runs()).collect();
     let daemon = |run: &Run| run.attempt.split('-').next().map(str::to_string);
     let in_cooldown = |refusal: &Run| {
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -124,7 +124,10 @@
 impl<'a> RunChecker<'a> {
     fn new(world: &'a SoakWorld, seen: &'a Seen, runner: usize) -> Self {
         let upstream = &world.runners[runner];
-        let all = upstream.runs().into_iter().chain(upstream.turned_away());
+        let all = upstream
+            .runs()
+            .into_iter()
+            .chain(upstream.refused_requests());
         let arrived = all.filter_map(|run| Some((run.clone(), daemon_of(&run.attempt)?)));
         Self {
             world,
@@ -148,8 +151,8 @@
 
     /// Returns the most requests that came from one daemon in a rest that it was asked for.
     fn most_in_a_rest(&self, from: Instant, until: Instant, rest: Duration) -> usize {
-        let turned_away = self.world.runners[self.runner].turned_away();
-        let asked = turned_away
+        let refused_requests = self.world.runners[self.runner].refused_requests();
+        let asked = refused_requests
             .iter()
             .filter(|run| run.at >= from && run.at < until);
         let counts = asked.filter_map(|asked| {
