--- a/standin/src/runner/behaviour.rs
+++ b/standin/src/runner/behaviour.rs
@@ -11,7 +11,7 @@
     CutStream(u64),
     /// Runs them; one whose body begins with "crash" ends the runner soon after it began
     /// to run, and with it all that runs beside it. The runner is back a little later.
-    CrashOnOrder,
+    CrashOnRequest,
     /// Runs them, and says nothing any more.
     Hang,
     /// Runs them, and answers that it failed.
--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -268,7 +268,7 @@
     }
     shared.runs.lock().push(run);
     let is_stream = head.uri.path().starts_with("/stream/");
-    if behaviour == Behaviour::CrashOnOrder && body.starts_with(CRASH_ORDER) {
+    if behaviour == Behaviour::CrashOnRequest && body.starts_with(CRASH_ORDER) {
         tokio::spawn(crash_soon(shared.clone()));
         if !is_stream {
             // It crashes before it answers.
--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -55,7 +55,7 @@
         let mut runners = Vec::new();
         for n in 0..UPSTREAMS {
             let runner = Runner::start(&format!("b{n}"), 20).await.unwrap();
-            runner.set_behaviour(Behaviour::CrashOnOrder);
+            runner.set_behaviour(Behaviour::CrashOnRequest);
             runners.push(runner);
         }
         let all: Vec<&Runner> = runners.iter().collect();
