--- a/standin/src/runner/behaviour.rs
+++ b/standin/src/runner/behaviour.rs
@@ -19,5 +19,5 @@
     /// Runs them, and answers 503 without saying that it did not.
     BareUnavailable,
     /// Runs them, and answers in the name of another request.
-    OtherRequest,
+    WrongAttempt,
 }
--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -290,7 +290,7 @@
             StatusCode::SERVICE_UNAVAILABLE,
             "busy",
         )),
-        Behaviour::OtherRequest => Ok(whole(&shared, "another", StatusCode::OK, "not yours")),
+        Behaviour::WrongAttempt => Ok(whole(&shared, "another", StatusCode::OK, "not yours")),
         _ if is_stream => {
             let after = text("last-event-id").parse().unwrap_or(0);
             Ok(event_stream(&shared, &attempt, after, behaviour))
--- a/tests/gateway/answers.rs
+++ b/tests/gateway/answers.rs
@@ -105,7 +105,7 @@
 #[tokio::test]
 async fn a_response_to_another_request_is_not_relayed() {
     let runner = Runner::start("b1", 3).await.unwrap();
-    runner.set_behaviour(Behaviour::OtherRequest);
+    runner.set_behaviour(Behaviour::WrongAttempt);
     let daemon = GatewayDaemon::start(&routes_file(1, &[&ONCE], &[&runner])).await;
     let answer = daemon.client().await.ask("a1", "/once/x", "").await;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY);
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -36,7 +36,7 @@
     Behaviour::Hang,
     Behaviour::Fail,
     Behaviour::BareUnavailable,
-    Behaviour::OtherRequest,
+    Behaviour::WrongAttempt,
 ];
 const ROUTES: [&TestRoute; 4] = [&IDEMPOTENT, &ONCE, &STREAM, &STREAM_ONCE];
 
