--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -37,7 +37,7 @@
 
 /// A request that came to a runner.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct ReceivedRequest {
     /// The client's attempt.
     pub attempt: String,
     /// Path and query.
@@ -55,7 +55,7 @@
     id: String,
     behaviour: Mutex<Behaviour>,
     events: u64,
-    runs: Mutex<Vec<Run>>,
+    runs: Mutex<Vec<ReceivedRequest>>,
     /// Answers that were dropped by the other side before their end.
     abandoned: Mutex<u64>,
     /// Requests that it did not begin.
@@ -63,7 +63,7 @@
     /// How often it crashed.
     crashes: watch::Sender<u64>,
     /// Those among them that it turned away for its own sake.
-    refused_requests: Mutex<Vec<Run>>,
+    refused_requests: Mutex<Vec<ReceivedRequest>>,
     /// What it names in each answer as the requests a second that it takes.
     limit: Mutex<Option<HeaderValue>>,
     /// What it names in each refusal as the seconds of rest that it wants.
@@ -167,12 +167,12 @@
     }
 
     /// Returns the requests that it turned away for its own sake.
-    pub fn refused_requests(&self) -> Vec<Run> {
+    pub fn refused_requests(&self) -> Vec<ReceivedRequest> {
         self.shared.refused_requests.lock().clone()
     }
 
     /// Returns what it began to run.
-    pub fn runs(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<ReceivedRequest> {
         self.shared.runs.lock().clone()
     }
 
@@ -254,7 +254,7 @@
         return Ok(refused(&shared, StatusCode::MISDIRECTED_REQUEST));
     }
     let behaviour = *shared.behaviour.lock();
-    let run = Run {
+    let run = ReceivedRequest {
         attempt: attempt.clone(),
         target: head.uri.to_string(),
         headers: head.headers.clone(),
--- a/tests/gateway/upstreams_in_cooldown.rs
+++ b/tests/gateway/upstreams_in_cooldown.rs
@@ -4,7 +4,7 @@
 use {
     crate::file_world::*,
     http::StatusCode,
-    saddlepulley_standin::runner::{Behaviour, Run, Runner},
+    saddlepulley_standin::runner::{Behaviour, ReceivedRequest, Runner},
     std::time::{Duration, Instant},
 };
 
@@ -23,9 +23,9 @@
 /// Returns the maximum number of requests from one daemon during a cooldown that it was sent.
 fn most_in_a_cooldown(runner: &Runner) -> usize {
     let refused = runner.refused_requests();
-    let arrived: Vec<Run> = refused.iter().cloned().chain(runner.runs()).collect();
-    let daemon = |run: &Run| run.attempt.split('-').next().map(str::to_string);
-    let in_cooldown = |refusal: &Run| {
+    let arrived: Vec<ReceivedRequest> = refused.iter().cloned().chain(runner.runs()).collect();
+    let daemon = |run: &ReceivedRequest| run.attempt.split('-').next().map(str::to_string);
+    let in_cooldown = |refusal: &ReceivedRequest| {
         let same = arrived.iter().filter(|run| daemon(run) == daemon(refusal));
         let (from, until) = (refusal.at + IN_TRANSIT, refusal.at + COOLDOWN);
         same.filter(|run| run.at >= from && run.at < until).count()
--- a/tests/gateway/words_soak.rs
+++ b/tests/gateway/words_soak.rs
@@ -14,7 +14,7 @@
     crate::{soak_world::*, support::*},
     rand::{Rng, SeedableRng},
     rand_chacha::ChaCha8Rng,
-    saddlepulley_standin::runner::{Behaviour, Run},
+    saddlepulley_standin::runner::{Behaviour, ReceivedRequest},
     std::{
         collections::HashMap,
         sync::{Arc, Mutex},
@@ -118,7 +118,7 @@
     seen: &'a Seen,
     runner: usize,
     /// All that came to the upstream.
-    arrived: Vec<(Run, usize)>,
+    arrived: Vec<(ReceivedRequest, usize)>,
 }
 
 impl<'a> RunChecker<'a> {
