--- a/standin/src/engine/service.rs
+++ b/standin/src/engine/service.rs
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// Returns the error of binding the address.
-    pub async fn start(addr: SocketAddr, cfg: EngineConfig) -> io::Result<Running> {
+    pub async fn start(addr: SocketAddr, cfg: EngineConfig) -> io::Result<ServerHandle> {
         let engine = Arc::new(Self {
             model: Mutex::new(cfg.model.clone()),
             orders: Mutex::default(),
--- a/standin/src/http/server.rs
+++ b/standin/src/http/server.rs
@@ -28,12 +28,12 @@
 
 /// A stand-in that runs; it stops when dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct ServerHandle {
     addr: SocketAddr,
     abort: AbortHandle,
 }
 
-impl Running {
+impl ServerHandle {
     /// Returns where it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
@@ -50,7 +50,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
         self.stop();
     }
@@ -61,11 +61,11 @@
 /// # Errors
 ///
 /// Returns the error of binding the address.
-pub async fn serve(addr: SocketAddr, handler: Arc<impl Handler>) -> io::Result<Running> {
+pub async fn serve(addr: SocketAddr, handler: Arc<impl Handler>) -> io::Result<ServerHandle> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
     let task = tokio::spawn(accept(listener, handler));
-    Ok(Running {
+    Ok(ServerHandle {
         addr,
         abort: task.abort_handle(),
     })
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -4,7 +4,7 @@
     pico_args::Arguments,
     saddlepulley_standin::{
         engine::{Engine, EngineConfig},
-        http::Running,
+        http::ServerHandle,
         load::{LoadReport, Workload, run as run_load},
         plain::{Plain, PlainConfig},
         platform::Platform,
@@ -56,7 +56,7 @@
     args.value_from_str("--listen")
 }
 
-async fn engine(args: &mut Arguments) -> Result<Running, Box<dyn Error>> {
+async fn engine(args: &mut Arguments) -> Result<ServerHandle, Box<dyn Error>> {
     let addr = listen(args)?;
     let default = EngineConfig::default();
     let cfg = EngineConfig {
@@ -84,7 +84,7 @@
     Ok(())
 }
 
-async fn plain(args: &mut Arguments) -> Result<Running, Box<dyn Error>> {
+async fn plain(args: &mut Arguments) -> Result<ServerHandle, Box<dyn Error>> {
     let addr = listen(args)?;
     let cfg = PlainConfig {
         name: args.value_from_str("--name")?,
--- a/standin/src/plain/mod.rs
+++ b/standin/src/plain/mod.rs
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Returns the error of binding the address.
-    pub async fn start(addr: SocketAddr, cfg: PlainConfig) -> io::Result<Running> {
+    pub async fn start(addr: SocketAddr, cfg: PlainConfig) -> io::Result<ServerHandle> {
         let plain = Self {
             cfg,
             faults: Faults::default(),
--- a/standin/src/platform/service.rs
+++ b/standin/src/platform/service.rs
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// Returns the error of binding the address.
-    pub async fn start(addr: SocketAddr) -> io::Result<Running> {
+    pub async fn start(addr: SocketAddr) -> io::Result<ServerHandle> {
         serve(addr, Arc::new(Self::default())).await
     }
 
--- a/tests/it/support/cluster.rs
+++ b/tests/it/support/cluster.rs
@@ -3,7 +3,7 @@
     saddlepulley::{caller::Status, caller::token_hash},
     saddlepulley_standin::{
         engine::{Engine, EngineConfig},
-        http::Running,
+        http::ServerHandle,
         plain::{Plain, PlainConfig},
         platform::Platform,
     },
@@ -72,14 +72,14 @@
     pub service: String,
     pub price_micros: u64,
     pub proxy: FaultProxy,
-    pub running: Running,
+    pub running: ServerHandle,
     /// Its counts, read before it was stopped.
     pub last: Value,
 }
 
 /// Stand-ins in this process, daemons as processes, proxies between all.
 pub struct Cluster {
-    pub platform: Running,
+    pub platform: ServerHandle,
     /// One proxy for each domain's way to the platform.
     pub platform_proxies: Vec<FaultProxy>,
     pub daemons: Vec<DaemonProcess>,
@@ -218,7 +218,13 @@
         self.add_upstream(running, domain, name, what).await;
     }
 
-    async fn add_upstream(&mut self, running: Running, domain: usize, name: &str, what: Value) {
+    async fn add_upstream(
+        &mut self,
+        running: ServerHandle,
+        domain: usize,
+        name: &str,
+        what: Value,
+    ) {
         let proxy = FaultProxy::start(running.addr()).await;
         let mut listed = json!({
             "id": name, "incarnation": 1, "state": "live",
