--- a/standin/src/store/paced_body.rs
+++ b/standin/src/store/paced_body.rs
@@ -20,7 +20,7 @@
     #[default]
     AtOnce,
     /// Steadily, at most so many bytes a second, as over a small link.
-    Steady(usize),
+    Throttled(usize),
     /// The first so many bytes, then nothing more.
     Stalled(usize),
 }
@@ -47,7 +47,7 @@
     fn piece(&mut self) -> Option<usize> {
         match &mut self.delivery {
             Delivery::AtOnce => Some(self.rest.len()),
-            Delivery::Steady(per_s) => {
+            Delivery::Throttled(per_s) => {
                 let pieces_per_s =
                     (Duration::from_secs(1).as_millis() / PIECE_EVERY.as_millis()) as usize;
                 Some((*per_s / pieces_per_s).max(1))
--- a/tests/gateway/large_configuration.rs
+++ b/tests/gateway/large_configuration.rs
@@ -45,7 +45,7 @@
     for daemon in daemons {
         daemon.wait_ready().await;
     }
-    store.set_delivery(Delivery::Steady(SLOW_LINK));
+    store.set_delivery(Delivery::Throttled(SLOW_LINK));
     store.put("keyed.op", "config", &large_config(8));
     for daemon in daemons {
         eventually("in force", async || {
