--- a/benches/control.rs
+++ b/benches/control.rs
@@ -13,7 +13,7 @@
 };
 
 const DOMAINS: usize = 3;
-const QUIET: Duration = Duration::from_secs(10);
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 const CHANGES: usize = 10;
 
 fn main() {
@@ -28,7 +28,7 @@
         .block_on(async {
             println!("daemons engines | peer B/s a daemon, platform B/s a daemon, cpu % a daemon, MB a daemon | table in force: median ms, max ms");
             for (daemons, engines) in sizes {
-                one(daemons, engines).await;
+                measure(daemons, engines).await;
             }
         });
 }
@@ -38,7 +38,7 @@
     Some((d.parse().ok()?, e.parse().ok()?))
 }
 
-async fn one(daemons_per_domain: usize, engines_per_domain: usize) {
+async fn measure(daemons_per_domain: usize, engines_per_domain: usize) {
     let plan = Plan {
         domains: DOMAINS,
         daemons_per_domain,
@@ -51,11 +51,11 @@
     tokio::time::sleep(Duration::from_secs(4)).await;
     let before = usage(&cluster).await;
     let started = Instant::now();
-    tokio::time::sleep(QUIET).await;
+    tokio::time::sleep(IDLE_PERIOD).await;
     let after = usage(&cluster).await;
     let s = started.elapsed().as_secs_f64();
     let cpu = (after.cpu_ms - before.cpu_ms) as f64 / 10.0 / s / n;
-    let (median, max) = changes(&cluster).await;
+    let (median, max) = measure_changes(&cluster).await;
     println!(
         "{:>7} {:>7} | {:>8.0} {:>8.0} {:>6.2} {:>6.1} | {median:>6} {max:>6}",
         cluster.daemons.len(),
@@ -91,7 +91,7 @@
 
 /// Publishes changes and returns median and maximum of the time until each is
 /// in force everywhere, in milliseconds.
-async fn changes(cluster: &Cluster) -> (u128, u128) {
+async fn measure_changes(cluster: &Cluster) -> (u128, u128) {
     let mut times = Vec::new();
     for n in 0..CHANGES {
         let file = with_weight(&shown(cluster).await, 0, n + 2);
--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -20,23 +20,23 @@
         let position = u64::from(upstreams) + 1;
         let listing = (0..upstreams).map(|n| upstream(n, u64::from(n) + 1, false));
         reader.replace(listing.collect(), position, None);
-        let whole = reader.update_since(None);
-        let known = whole.cursor;
-        follower.apply_update(whole);
+        let full_update = reader.update_since(None);
+        let cursor = full_update.cursor;
+        follower.apply_update(full_update);
         let read_ms = timed(|| {
             for n in 0..leaving {
                 reader.upsert(upstream(n, position + u64::from(n), true));
             }
             reader.read_to(position + u64::from(leaving));
         });
-        let mut news = None;
-        let announced_ms = timed(|| news = Some(reader.update_since(Some(known))));
-        let news = news.expect("told");
+        let mut update = None;
+        let announced_ms = timed(|| update = Some(reader.update_since(Some(cursor))));
+        let update = update.expect("told");
         let mut packed = Default::default();
         let packed_ms = timed(|| {
-            packed = pack_upstreams(&news.upstreams, &news.removed_ids).expect("packed");
+            packed = pack_upstreams(&update.upstreams, &update.removed_ids).expect("packed");
         });
-        let applied_ms = timed(|| follower.apply_update(news));
+        let applied_ms = timed(|| follower.apply_update(update));
         let service = ServiceName::from("s");
         let listed_ms = timed(|| {
             black_box(follower.ready_list(&service));
@@ -52,9 +52,9 @@
 
 /// Returns how long something takes, in milliseconds.
 fn timed(act: impl FnOnce()) -> f64 {
-    let began = Instant::now();
+    let started = Instant::now();
     act();
-    began.elapsed().as_secs_f64() * 1e3
+    started.elapsed().as_secs_f64() * 1e3
 }
 
 fn upstream(n: u32, offset: u64, draining: bool) -> Upstream {
--- a/benches/leaving.rs
+++ b/benches/leaving.rs
@@ -21,7 +21,7 @@
 
 const TRIALS: usize = 6;
 const WORKERS: usize = 12;
-const WATCH: Duration = Duration::from_millis(5_000);
+const OBSERVATION_PERIOD: Duration = Duration::from_millis(5_000);
 
 fn main() {
     tokio::runtime::Builder::new_multi_thread()
@@ -29,21 +29,21 @@
         .build()
         .unwrap()
         .block_on(async {
-            trials("notice seen by all", json!({}), false).await;
-            trials(
+            run_trials("notice seen by all", json!({}), false).await;
+            run_trials(
                 "notices lost, box list lags 500 ms",
                 json!({ "mute_notices": true, "list_lag_ms": 500 }),
                 false,
             )
             .await;
-            trials("the domain cut off from the platform", json!({}), true).await;
+            run_trials("the domain cut off from the platform", json!({}), true).await;
         });
 }
 
-async fn trials(name: &str, settings: Value, cut: bool) {
+async fn run_trials(name: &str, settings: Value, cut: bool) {
     let mut times = Vec::new();
     for _ in 0..TRIALS {
-        times.push(one(&settings, cut).await);
+        times.push(run_trial(&settings, cut).await);
     }
     times.sort_unstable();
     println!(
@@ -53,7 +53,7 @@
     );
 }
 
-async fn one(settings: &Value, cut: bool) -> u64 {
+async fn run_trial(settings: &Value, cut: bool) -> u64 {
     let plan = Plan {
         row: "rate = 5000\nconcurrency = 5000\npolicies = { naive = 1 }\n".to_string(),
         ..Plan::default()
@@ -76,7 +76,7 @@
     tokio::time::sleep(Duration::from_millis(700)).await;
     let notice_ms = saddlepulley::names::now_ms();
     cluster.reclaim(&["zone-a-engine-0"], 60_000).await;
-    tokio::time::sleep(WATCH).await;
+    tokio::time::sleep(OBSERVATION_PERIOD).await;
     let at = cluster.upstreams[0].running.addr();
     let counts = cluster.control_at(at, "counts", &Value::Null).await;
     stop.store(true, Ordering::SeqCst);
--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -15,12 +15,12 @@
 fn main() {
     for daemons in [100, 300, 1_000, 2_000] {
         let mut table = PeerTable::new(entry(0));
-        hear_all(&mut table, daemons, 1);
+        apply_reports(&mut table, daemons, 1);
         table.tick(1, 1);
         let mut sequence = 1;
         let heard_us = timed(|_| {
             sequence += 1;
-            hear_all(&mut table, daemons, sequence);
+            apply_reports(&mut table, daemons, sequence);
         }) / daemons as f64;
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         let named_us = timed(|n| {
@@ -41,12 +41,12 @@
 
 /// Returns how long each of some rounds takes on average, in microseconds.
 fn timed(mut act: impl FnMut(u64)) -> f64 {
-    let began = Instant::now();
+    let started = Instant::now();
     (0..ROUNDS).for_each(&mut act);
-    began.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
+    started.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
 }
 
-fn hear_all(table: &mut PeerTable, daemons: usize, sequence: u64) {
+fn apply_reports(table: &mut PeerTable, daemons: usize, sequence: u64) {
     for n in 1..daemons {
         table.apply_report(&report(n, sequence), 1);
     }
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -156,7 +156,7 @@
         let before = cpu_ms(cluster).await;
         let samples = run(&workload, &cluster.caller_addrs()[..1]).await;
         let cpu = (cpu_ms(cluster).await - before) as f64;
-        let report = LoadReport::of(&samples);
+        let report = LoadReport::from_samples(&samples);
         println!(
             "streams of {answer} tokens: {} requests, {} tokens, first token p50 {:.1} ms p99 {:.1} ms, processor time {cpu:.0} ms, outcomes {:?}",
             report.requests, report.tokens, report.first_ms[0], report.first_ms[2], report.outcomes
--- a/benches/placing.rs
+++ b/benches/placing.rs
@@ -24,11 +24,11 @@
 fn main() {
     for upstreams in [165, 1_500, 3_000] {
         let gateway = gateway(upstreams);
-        let began = Instant::now();
+        let started = Instant::now();
         for n in 0..CHOICES {
             black_box(gateway.choose(&request(n), "r"));
         }
-        let each_us = began.elapsed().as_secs_f64() * 1e6 / CHOICES as f64;
+        let each_us = started.elapsed().as_secs_f64() * 1e6 / CHOICES as f64;
         println!("{upstreams} upstreams: {each_us:.0} us a choice ({CHOICES} choices)");
     }
 }
--- a/benches/policies.rs
+++ b/benches/policies.rs
@@ -55,12 +55,12 @@
 
 /// One run's two measures, and what else is worth seeing.
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct RunMeasures {
     on_target: f64,
     cost_at_target: f64,
     computed: f64,
     recomputed: f64,
-    whole: f64,
+    completed_share: f64,
     first_p95_ms: f64,
 }
 
@@ -101,7 +101,7 @@
             let mut runs = Vec::new();
             let seeds = if waves { &FEW_SEEDS[..] } else { &SEEDS[..] };
             for seed in seeds.iter().copied() {
-                runs.push(one(name, policy, trial, seed, waves).await);
+                runs.push(run_workload(name, policy, trial, seed, waves).await);
             }
             if label == "naive" {
                 naive = runs.clone();
@@ -111,7 +111,13 @@
     }
 }
 
-async fn one(name: &str, policy: &str, trial: &str, seed: u64, waves: bool) -> Run {
+async fn run_workload(
+    name: &str,
+    policy: &str,
+    trial: &str,
+    seed: u64,
+    waves: bool,
+) -> RunMeasures {
     let path = format!("{}/workloads/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let mut workload: Workload = toml::from_str(&std::fs::read_to_string(path).unwrap()).unwrap();
     workload.seed = seed;
@@ -123,7 +129,7 @@
     if waves {
         reclaim_waves(&mut cluster).await;
     }
-    let report = LoadReport::of(&load.await.unwrap());
+    let report = LoadReport::from_samples(&load.await.unwrap());
     if report.outcomes.len() > 1 {
         println!("  {policy} seed {seed}: {:?}", report.outcomes);
     }
@@ -145,12 +151,13 @@
         computed += counts["computed_tokens"].as_f64().unwrap();
     }
     let recomputed = recomputed(&cluster).await;
-    Run {
+    RunMeasures {
         on_target: report.on_target as f64 / report.requests as f64,
         cost_at_target: cost / report.on_target.max(1) as f64,
         computed,
         recomputed,
-        whole: report.outcomes.get("whole").copied().unwrap_or(0) as f64 / report.requests as f64,
+        completed_share: report.outcomes.get("whole").copied().unwrap_or(0) as f64
+            / report.requests as f64,
         first_p95_ms: report.first_ms[1],
     }
 }
@@ -160,7 +167,7 @@
     let refuse = json!({ "refused_classes": ["reclaimable", "on-demand"] });
     cluster.control("settings", &refuse).await;
     tokio::time::sleep(Duration::from_secs(4)).await;
-    take(
+    reclaim_and_stop(
         cluster,
         &[
             "zone-b-engine-1",
@@ -179,11 +186,11 @@
         "zone-a-engine-2",
         "zone-a-codes",
     ];
-    take(cluster, &domain).await;
+    reclaim_and_stop(cluster, &domain).await;
     cluster.daemons[0].kill();
 }
 
-async fn take(cluster: &mut Cluster, names: &[&str]) {
+async fn reclaim_and_stop(cluster: &mut Cluster, names: &[&str]) {
     cluster.reclaim(names, 2_000).await;
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     for i in 0..cluster.upstreams.len() {
@@ -222,9 +229,9 @@
     (v[v.len() / 2], v[0], v[v.len() - 1])
 }
 
-fn print_runs(policy: &str, runs: &[Run], naive: &[Run]) {
-    let of = |f: fn(&Run) -> f64| median(runs.iter().map(f).collect());
-    let ratio = |f: fn(&Run) -> f64| {
+fn print_runs(policy: &str, runs: &[RunMeasures], naive: &[RunMeasures]) {
+    let median_of = |f: fn(&RunMeasures) -> f64| median(runs.iter().map(f).collect());
+    let ratio = |f: fn(&RunMeasures) -> f64| {
         let pairs = runs.iter().zip(naive);
         median(pairs.map(|(a, b)| f(a) / f(b).max(1e-9)).collect())
     };
@@ -232,16 +239,16 @@
     let (computed, c_min, c_max) = ratio(|r| r.computed);
     println!(
         "{policy:<20} whole {:.3} on target {:.3} ({:.3}-{:.3}) first p95 {:.0} ms; cost at target {:.1} = {cost:.2} ({cost_min:.2}-{cost_max:.2}) x naive; tokens taken in {:.0} = {computed:.2} ({c_min:.2}-{c_max:.2}) x naive; recomputed {:.0} ({:.0}-{:.0})",
-        of(|r| r.whole).0,
-        of(|r| r.on_target).0,
-        of(|r| r.on_target).1,
-        of(|r| r.on_target).2,
-        of(|r| r.first_p95_ms).0,
-        of(|r| r.cost_at_target).0,
-        of(|r| r.computed).0,
-        of(|r| r.recomputed).0,
-        of(|r| r.recomputed).1,
-        of(|r| r.recomputed).2,
+        median_of(|r| r.completed_share).0,
+        median_of(|r| r.on_target).0,
+        median_of(|r| r.on_target).1,
+        median_of(|r| r.on_target).2,
+        median_of(|r| r.first_p95_ms).0,
+        median_of(|r| r.cost_at_target).0,
+        median_of(|r| r.computed).0,
+        median_of(|r| r.recomputed).0,
+        median_of(|r| r.recomputed).1,
+        median_of(|r| r.recomputed).2,
     );
 }
 
@@ -315,7 +322,7 @@
                 duration_s: 22.0,
                 streams: vec![stream(24.0, 0.0, 0.0), stream(50.0, 6.0, 10.0)],
             };
-            let report = LoadReport::of(&run(&workload, &cluster.caller_addrs()).await);
+            let report = LoadReport::from_samples(&run(&workload, &cluster.caller_addrs()).await);
             before.push(report.goodput(1, 6));
             during.push(report.goodput(6, 10));
             after.push(report.goodput(14, 22));
--- a/standin/src/engine/batch.rs
+++ b/standin/src/engine/batch.rs
@@ -28,31 +28,31 @@
     pub fn add(
         &mut self,
         cfg: &EngineConfig,
-        ask: &CompletionRequest,
+        request: &CompletionRequest,
         tx: UnboundedSender<CompletionFrame>,
     ) {
         for seq in self.all_mut() {
-            if seq.id == ask.request_id && seq.resume(ask, tx.clone()) {
+            if seq.id == request.request_id && seq.resume(request, tx.clone()) {
                 return;
             }
         }
-        self.cancel(ask.request_id);
+        self.cancel(request.request_id);
         self.started += 1;
         self.last_started_ms = crate::platform::now_ms();
-        let hashes = prefix_hashes(&ask.prompt);
-        let all = prompt_tokens(&ask.prompt) + ask.generated.len();
-        let imported = self.imported.remove(&ask.request_id).unwrap_or(0);
+        let hashes = prefix_hashes(&request.prompt);
+        let all = prompt_tokens(&request.prompt) + request.generated.len();
+        let imported = self.imported.remove(&request.request_id).unwrap_or(0);
         let cached = self.cache.cached_tokens(&hashes).max(imported).min(all);
         self.computed_tokens += (all - cached) as u64;
         let mut seq = Sequence {
-            id: ask.request_id,
-            attempt: ask.attempt,
-            prompt: ask.prompt.as_str().into(),
-            start: ask.generated.len(),
-            made: Vec::new(),
-            max_tokens: ask.max_tokens.max(ask.generated.len()),
-            priority: ask.priority,
-            prefill_left: (all - cached) as f64,
+            id: request.request_id,
+            attempt: request.attempt,
+            prompt: request.prompt.as_str().into(),
+            start: request.generated.len(),
+            produced: Vec::new(),
+            max_tokens: request.max_tokens.max(request.generated.len()),
+            priority: request.priority,
+            prefill_remaining: (all - cached) as f64,
             hashes,
             tx: Some(tx),
             unread_since_ms: None,
@@ -90,7 +90,7 @@
 
     /// Does one step and returns how long it takes, in milliseconds.
     pub fn step(&mut self, cfg: &EngineConfig, now_ms: u64) -> f64 {
-        self.forget_unread(cfg, now_ms);
+        self.remove_unread(cfg, now_ms);
         while self.running.len() < cfg.slots as usize && !self.waiting.is_empty() {
             let seq = self.waiting.remove(0);
             self.running.push(seq);
@@ -102,7 +102,7 @@
         }
         self.prefill(cfg, step_ms, now_ms);
         for seq in &mut self.running {
-            if seq.prefill_left <= 0.0 && !seq.is_done() {
+            if seq.prefill_remaining <= 0.0 && !seq.is_done() {
                 seq.step(cfg, now_ms);
             }
         }
@@ -134,20 +134,20 @@
     fn prefill(&mut self, cfg: &EngineConfig, step_ms: f64, now_ms: u64) {
         let mut room = cfg.prefill_tokens_per_s * step_ms / 1_000.0;
         for seq in &mut self.running {
-            if seq.prefill_left <= 0.0 {
+            if seq.prefill_remaining <= 0.0 {
                 continue;
             }
-            let part = seq.prefill_left.min(room);
-            seq.prefill_left -= part;
+            let part = seq.prefill_remaining.min(room);
+            seq.prefill_remaining -= part;
             room -= part;
-            if seq.prefill_left <= 0.0 {
+            if seq.prefill_remaining <= 0.0 {
                 let hashes = seq.hashes.clone();
                 self.cache.store(&hashes, cfg.cache_blocks, now_ms);
             }
         }
     }
 
-    fn forget_unread(&mut self, cfg: &EngineConfig, now_ms: u64) {
+    fn remove_unread(&mut self, cfg: &EngineConfig, now_ms: u64) {
         let keep = |s: &mut Sequence| {
             if s.tx.as_ref().is_some_and(UnboundedSender::is_closed) {
                 s.tx = None;
--- a/standin/src/engine/prefix_cache.rs
+++ b/standin/src/engine/prefix_cache.rs
@@ -8,7 +8,7 @@
 pub const BLOCK_TOKENS: usize = 32;
 
 /// Events kept for readers.
-const KEPT_EVENTS: usize = 4_096;
+const MAX_EVENTS: usize = 4_096;
 
 /// Returns the hash of each prefix of a text that ends with a whole block.
 ///
@@ -54,19 +54,19 @@
     }
 
     /// Stores blocks.
-    pub fn store(&mut self, hashes: &[u64], most: usize, now_ms: u64) {
+    pub fn store(&mut self, hashes: &[u64], max_blocks: usize, now_ms: u64) {
         for hash in hashes {
             if !self.blocks.contains_key(hash) {
-                self.event("stored", *hash, now_ms);
+                self.push_event("stored", *hash, now_ms);
             }
             self.touch(*hash);
         }
-        while self.blocks.len() > most {
+        while self.blocks.len() > max_blocks {
             let Some((_, hash)) = self.by_use.pop_first() else {
                 return;
             };
             self.blocks.remove(&hash);
-            self.event("removed", hash, now_ms);
+            self.push_event("removed", hash, now_ms);
         }
     }
 
@@ -89,7 +89,7 @@
         self.by_use.insert(self.tick, hash);
     }
 
-    fn event(&mut self, kind: &str, hash: u64, now_ms: u64) {
+    fn push_event(&mut self, kind: &str, hash: u64, now_ms: u64) {
         let event = CacheEvent {
             seq: self.next_seq,
             kind: kind.to_string(),
@@ -97,7 +97,7 @@
         };
         self.next_seq += 1;
         self.events.push_back((now_ms, event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/standin/src/engine/sequence.rs
+++ b/standin/src/engine/sequence.rs
@@ -12,13 +12,13 @@
     /// The offset of its first own token.
     pub start: usize,
     /// The tokens that it made.
-    pub made: Vec<String>,
+    pub produced: Vec<String>,
     /// Length of the whole answer.
     pub max_tokens: usize,
     /// Higher goes first.
     pub priority: u8,
     /// Tokens that are still to be taken in.
-    pub prefill_left: f64,
+    pub prefill_remaining: f64,
     /// Hashes of its prompt's blocks.
     pub hashes: Vec<u64>,
     /// Where its frames go.
@@ -30,7 +30,7 @@
 impl Sequence {
     /// Returns the offset of its next token.
     pub fn next(&self) -> usize {
-        self.start + self.made.len()
+        self.start + self.produced.len()
     }
 
     /// Returns whether its answer is whole.
@@ -42,7 +42,7 @@
     pub fn step(&mut self, cfg: &EngineConfig, now_ms: u64) {
         let offset = self.next();
         let token = answer_token(cfg, &self.prompt, offset);
-        self.made.push(token.clone());
+        self.produced.push(token.clone());
         let frame = self.frame(offset, vec![token]);
         self.send(frame, now_ms);
     }
@@ -59,21 +59,22 @@
     /// Lets a new reader go on after `generated`, if that is what was made here.
     pub fn resume(
         &mut self,
-        ask: &CompletionRequest,
+        request: &CompletionRequest,
         tx: UnboundedSender<CompletionFrame>,
     ) -> bool {
-        let Some(skip) = ask.generated.len().checked_sub(self.start) else {
+        let Some(skip) = request.generated.len().checked_sub(self.start) else {
             return false;
         };
-        let same = self.made.len() >= skip && ask.generated[self.start..] == self.made[..skip];
-        if !same || *ask.prompt != *self.prompt {
+        let same =
+            self.produced.len() >= skip && request.generated[self.start..] == self.produced[..skip];
+        if !same || *request.prompt != *self.prompt {
             return false;
         }
-        self.attempt = ask.attempt;
+        self.attempt = request.attempt;
         self.tx = Some(tx);
         self.unread_since_ms = None;
-        let all = ask.generated.len() + prompt_tokens(&ask.prompt);
-        let mut frame = self.frame(ask.generated.len(), self.made[skip..].to_vec());
+        let all = request.generated.len() + prompt_tokens(&request.prompt);
+        let mut frame = self.frame(request.generated.len(), self.produced[skip..].to_vec());
         frame.usage = Some(Usage {
             prompt_tokens: all,
             cached_tokens: all,
--- a/standin/src/engine/service.rs
+++ b/standin/src/engine/service.rs
@@ -78,8 +78,8 @@
     }
 
     fn complete(&self, body: &Bytes) -> Response<Body> {
-        let ask = match serde_json::from_slice::<CompletionRequest>(body) {
-            Ok(ask) => ask,
+        let request = match serde_json::from_slice::<CompletionRequest>(body) {
+            Ok(request) => request,
             Err(e) => return text(StatusCode::BAD_REQUEST, &e.to_string()),
         };
         let (tx, rx) = mpsc::unbounded_channel();
@@ -88,7 +88,7 @@
             if batch.waiting.len() >= MAX_WAITING {
                 return not_started(StatusCode::TOO_MANY_REQUESTS);
             }
-            batch.add(&self.cfg, &ask, tx);
+            batch.add(&self.cfg, &request, tx);
         }
         self.work.notify_one();
         event_stream(rx)
@@ -122,8 +122,8 @@
             return text(StatusCode::NOT_FOUND, "no such request\n");
         };
         let all = prompt_tokens(&seq.prompt) + seq.next();
-        let tokens = all - seq.prefill_left.max(0.0) as usize;
-        let exported = Exported {
+        let tokens = all - seq.prefill_remaining.max(0.0) as usize;
+        let exported = KvExport {
             request_id: seq.id,
             tokens,
             bytes: tokens as u64 * self.cfg.kv_bytes_per_token,
@@ -132,25 +132,28 @@
     }
 
     async fn import(&self, body: &Bytes) -> Response<Body> {
-        let Ok(ask) = serde_json::from_slice::<ImportRequest>(body) else {
+        let Ok(request) = serde_json::from_slice::<ImportRequest>(body) else {
             return text(StatusCode::BAD_REQUEST, "expected request_id and from\n");
         };
-        let Some(exported) = self.fetch_export(&ask).await else {
+        let Some(exported) = self.fetch_export(&request).await else {
             return text(StatusCode::BAD_GATEWAY, "the exporter didn't answer\n");
         };
         let ms = exported.bytes as f64 / self.cfg.kv_bytes_per_ms.max(1.0);
         tokio::time::sleep(Duration::from_micros((ms * 1_000.0) as u64)).await;
         // Still there at the end of the transfer, or it was cut half-way.
-        if self.fetch_export(&ask).await.is_none() {
+        if self.fetch_export(&request).await.is_none() {
             return text(StatusCode::BAD_GATEWAY, "the exporter left\n");
         }
         let mut batch = self.batch.lock();
-        batch.imported.insert(ask.request_id, exported.tokens);
+        batch.imported.insert(request.request_id, exported.tokens);
         json(StatusCode::OK, &exported)
     }
 
-    async fn fetch_export(&self, ask: &ImportRequest) -> Option<Exported> {
-        let uri = format!("http://{}/v1/kv/export/{}", ask.from, ask.request_id);
+    async fn fetch_export(&self, request: &ImportRequest) -> Option<KvExport> {
+        let uri = format!(
+            "http://{}/v1/kv/export/{}",
+            request.from, request.request_id
+        );
         let req = Request::post(uri).body(Full::default()).ok()?;
         let rep = self.client.request(req).await.ok()?;
         let body = rep.into_body().collect().await.ok()?.to_bytes();
@@ -213,7 +216,7 @@
 }
 
 impl Handler for Engine {
-    fn handle(self: Arc<Self>, req: Request<Bytes>) -> Answer {
+    fn handle(self: Arc<Self>, req: Request<Bytes>) -> ResponseFuture {
         Box::pin(async move { self.dispatch(req).await })
     }
 
--- a/standin/src/engine/wire.rs
+++ b/standin/src/engine/wire.rs
@@ -96,7 +96,7 @@
 
 /// The answer of `POST /v1/kv/export`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Exported {
+pub struct KvExport {
     /// The request.
     pub request_id: Uuid,
     /// Tokens in the KV cache.
--- a/standin/src/http/faults.rs
+++ b/standin/src/http/faults.rs
@@ -55,22 +55,22 @@
     }
 
     /// Returns whether this request is to be refused.
-    pub fn refuses(&self) -> bool {
-        count_down(&self.refuse)
+    pub fn take_refusal(&self) -> bool {
+        take_one(&self.refuse)
     }
 
     /// Returns whether this answer is to be lost.
-    pub fn loses_answer(&self) -> bool {
-        count_down(&self.lose_answers)
+    pub fn take_lost_answer(&self) -> bool {
+        take_one(&self.lose_answers)
     }
 }
 
-fn count_down(n: &AtomicI64) -> bool {
-    let less = |n: i64| match n {
+fn take_one(n: &AtomicI64) -> bool {
+    let decremented = |n: i64| match n {
         0 => None,
         n if n < 0 => Some(n),
         n => Some(n - 1),
     };
-    n.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less)
+    n.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decremented)
         .is_ok()
 }
--- a/standin/src/http/server.rs
+++ b/standin/src/http/server.rs
@@ -15,12 +15,12 @@
 };
 
 /// The answer of a stand-in, some time later.
-pub type Answer = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
 /// What a stand-in does with requests.
 pub trait Handler: Send + Sync + 'static {
     /// Answers one request.
-    fn handle(self: Arc<Self>, req: Request<Bytes>) -> Answer;
+    fn handle(self: Arc<Self>, req: Request<Bytes>) -> ResponseFuture;
 
     /// Returns the faults in force.
     fn faults(&self) -> &Faults;
@@ -87,14 +87,14 @@
 
 async fn serve_conn(stream: TcpStream, handler: Arc<impl Handler>) {
     let _ = stream.set_nodelay(true);
-    let service = service_fn(move |req| answer(req, handler.clone()));
+    let service = service_fn(move |req| respond(req, handler.clone()));
     let builder = auto::Builder::new(TokioExecutor::new());
     let _ = builder
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn answer(
+async fn respond(
     req: Request<Incoming>,
     handler: Arc<impl Handler>,
 ) -> Result<Response<Body>, io::Error> {
@@ -117,10 +117,10 @@
     if delay > 0 {
         tokio::time::sleep(Duration::from_millis(delay)).await;
     }
-    if faults.refuses() {
+    if faults.take_refusal() {
         return Ok(not_started(StatusCode::SERVICE_UNAVAILABLE));
     }
-    let lost = faults.loses_answer();
+    let lost = faults.take_lost_answer();
     let rep = handler.clone().handle(req).await;
     if lost {
         return Err(io::Error::other("answer lost"));
--- a/standin/src/load/report.rs
+++ b/standin/src/load/report.rs
@@ -48,7 +48,7 @@
 
 impl LoadReport {
     /// Works out the report from samples.
-    pub fn of(samples: &[Sample]) -> Self {
+    pub fn from_samples(samples: &[Sample]) -> Self {
         let mut outcomes = BTreeMap::new();
         let mut first = histogram();
         let mut total = histogram();
--- a/standin/src/load/run.rs
+++ b/standin/src/load/run.rs
@@ -17,11 +17,11 @@
 };
 
 /// The target between tokens.
-const BETWEEN_TARGET: Duration = Duration::from_millis(46);
-const SLOW_GAPS_ALLOWED: f64 = 0.05;
+const MAX_TOKEN_GAP: Duration = Duration::from_millis(46);
+const MAX_SLOW_GAP_SHARE: f64 = 0.05;
 /// How long an answer is waited for where no deadline is set.
-const PATIENCE: Duration = Duration::from_secs(60);
-const MAX_ATTACHES: u32 = 60;
+const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(60);
+const MAX_REATTACHES: u32 = 60;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
@@ -51,7 +51,7 @@
             last: None,
             id: String::new(),
         };
-        set.spawn(call.go());
+        set.spawn(call.execute());
     }
     set.join_all().await
 }
@@ -61,7 +61,7 @@
     boxes: Arc<[SocketAddr]>,
     first: usize,
     stream: Stream,
-    due: Due,
+    due: DueRequest,
     at: Instant,
     tokens: u64,
     slow_gaps: u64,
@@ -71,12 +71,12 @@
 }
 
 impl Call {
-    async fn go(mut self) -> Sample {
+    async fn execute(mut self) -> Sample {
         let mut sends = 0;
         let outcome = loop {
             sends += 1;
             let max_wait = match self.stream.deadline_ms {
-                0 => PATIENCE,
+                0 => DEFAULT_MAX_WAIT,
                 ms => Duration::from_millis(ms) + Duration::from_secs(2),
             };
             let answer = tokio::time::timeout(max_wait, self.send()).await;
@@ -91,7 +91,7 @@
         let first_ok = self
             .first_us
             .is_some_and(|us| us <= self.stream.first_ms * 1_000);
-        let gaps_ok = self.slow_gaps as f64 <= self.tokens as f64 * SLOW_GAPS_ALLOWED;
+        let gaps_ok = self.slow_gaps as f64 <= self.tokens as f64 * MAX_SLOW_GAP_SHARE;
         Sample {
             due_us: self.due.at_us,
             stream: self.due.stream,
@@ -107,13 +107,13 @@
 
     async fn send(&mut self) -> String {
         let (path, body) = if self.stream.model {
-            let ask = json!({
+            let request = json!({
                 "model": self.stream.service,
                 "prompt": self.due.prompt,
                 "max_tokens": self.due.answer_tokens,
                 "stream": true,
             });
-            ("/v1/completions".to_string(), ask.to_string())
+            ("/v1/completions".to_string(), request.to_string())
         } else {
             (
                 format!("/{}/call", self.stream.service),
@@ -125,16 +125,16 @@
         };
         let status = rep.status().as_u16();
         if status != 200 {
-            return outcome_of(rep.into_body()).await;
+            return parse_outcome(rep.into_body()).await;
         }
         if !self.stream.model {
-            let whole = rep.into_body().collect().await.is_ok();
-            self.token();
-            return if whole { "whole" } else { "lost" }.to_string();
+            let is_complete = rep.into_body().collect().await.is_ok();
+            self.record_token();
+            return if is_complete { "whole" } else { "lost" }.to_string();
         }
         let id = rep.headers().get("saddlepulley-request");
         self.id = id.and_then(|v| v.to_str().ok()).unwrap_or("").to_string();
-        self.read_on(rep.into_body()).await
+        self.read_with_reattach(rep.into_body()).await
     }
 
     /// Sends to the first box that takes connections, as a balancer does.
@@ -157,11 +157,11 @@
     }
 
     /// Reads the answer over as many connections as it takes.
-    async fn read_on(&mut self, body: Incoming) -> String {
-        if let Some(end) = self.read(body).await {
-            return end;
+    async fn read_with_reattach(&mut self, body: Incoming) -> String {
+        if let Some(outcome) = self.read_events(body).await {
+            return outcome;
         }
-        for n in 1..MAX_ATTACHES {
+        for n in 1..MAX_REATTACHES {
             let at = self.boxes[(self.first + n as usize) % self.boxes.len()];
             let req = Request::get(format!("http://{at}/v1/requests/{}", self.id))
                 .header("authorization", format!("Bearer {}", self.stream.token))
@@ -171,8 +171,8 @@
             };
             match self.client.request(req).await {
                 Ok(rep) if rep.status() == 200 => {
-                    if let Some(end) = self.read(rep.into_body()).await {
-                        return end;
+                    if let Some(outcome) = self.read_events(rep.into_body()).await {
+                        return outcome;
                     }
                 }
                 _ => tokio::time::sleep(Duration::from_millis(100)).await,
@@ -181,14 +181,14 @@
         "lost".to_string()
     }
 
-    async fn read(&mut self, mut body: Incoming) -> Option<String> {
+    async fn read_events(&mut self, mut body: Incoming) -> Option<String> {
         let mut buf = String::new();
         while let Some(Ok(frame)) = body.frame().await {
             buf += std::str::from_utf8(&frame.into_data().unwrap_or_default()).unwrap_or("");
             while let Some(end) = buf.find("\n\n") {
                 let event: String = buf.drain(..end + 2).collect();
-                if let Some(end) = self.event(&event) {
-                    return end;
+                if let Some(outcome) = self.handle_event(&event) {
+                    return outcome;
                 }
             }
         }
@@ -196,7 +196,7 @@
     }
 
     /// Returns whether reading is over, and with which end.
-    fn event(&mut self, event: &str) -> Option<Option<String>> {
+    fn handle_event(&mut self, event: &str) -> Option<Option<String>> {
         let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
         let doc: Value = serde_json::from_str(field("data: ")?).unwrap_or_default();
         match field("event: ") {
@@ -212,18 +212,18 @@
         }
         let text = doc["choices"][0]["text"].as_str().unwrap_or("");
         for _ in text.split_whitespace() {
-            self.token();
+            self.record_token();
         }
         None
     }
 
-    fn token(&mut self) {
+    fn record_token(&mut self) {
         let now = Instant::now();
         match self.last {
             None if self.first_us.is_none() => {
                 self.first_us = Some(self.at.elapsed().as_micros() as u64);
             }
-            Some(last) if now - last > BETWEEN_TARGET => self.slow_gaps += 1,
+            Some(last) if now - last > MAX_TOKEN_GAP => self.slow_gaps += 1,
             _ => {}
         }
         self.last = Some(now);
@@ -231,7 +231,7 @@
     }
 }
 
-async fn outcome_of(body: Incoming) -> String {
+async fn parse_outcome(body: Incoming) -> String {
     let bytes = body
         .collect()
         .await
--- a/standin/src/load/workload.rs
+++ b/standin/src/load/workload.rs
@@ -60,7 +60,7 @@
 
 /// A request that is due.
 #[derive(Clone, Debug)]
-pub struct Due {
+pub struct DueRequest {
     /// When it is sent, in microseconds from the start.
     pub at_us: u64,
     /// Which stream it is of.
@@ -73,7 +73,7 @@
 
 impl Workload {
     /// Works out all requests: Poisson arrivals, the same for the same seed.
-    pub fn schedule(&self) -> Vec<Due> {
+    pub fn schedule(&self) -> Vec<DueRequest> {
         let mut all = Vec::new();
         for (n, stream) in self.streams.iter().enumerate() {
             let mut rng = ChaCha8Rng::seed_from_u64(self.seed * 1_000 + n as u64);
@@ -89,7 +89,7 @@
                 if at >= end.min(self.duration_s) {
                     break;
                 }
-                all.push(Due {
+                all.push(DueRequest {
                     at_us: (at * 1e6) as u64,
                     stream: n,
                     prompt: stream.prompt(all.len(), &mut rng),
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -79,7 +79,7 @@
     let samples = run_load(&workload, &boxes?).await;
     println!(
         "{}",
-        serde_json::to_string_pretty(&LoadReport::of(&samples))?
+        serde_json::to_string_pretty(&LoadReport::from_samples(&samples))?
     );
     Ok(())
 }
--- a/standin/src/plain/mod.rs
+++ b/standin/src/plain/mod.rs
@@ -55,7 +55,7 @@
         };
         let key = header("idempotency-key").unwrap_or_default();
         let fence = header("fencing-token").and_then(|f| f.parse::<u64>().ok());
-        if !self.fence_allows(&key, fence) {
+        if !self.accept_fence(&key, fence) {
             return not_started(StatusCode::CONFLICT);
         }
         *self.executions.lock().entry(key.clone()).or_default() += 1;
@@ -70,7 +70,7 @@
         json(StatusCode::OK, &answer)
     }
 
-    fn fence_allows(&self, key: &str, fence: Option<u64>) -> bool {
+    fn accept_fence(&self, key: &str, fence: Option<u64>) -> bool {
         let Some(fence) = fence.filter(|_| self.cfg.checks_fence) else {
             return true;
         };
@@ -85,7 +85,7 @@
 }
 
 impl Handler for Plain {
-    fn handle(self: Arc<Self>, req: Request<Bytes>) -> Answer {
+    fn handle(self: Arc<Self>, req: Request<Bytes>) -> ResponseFuture {
         Box::pin(async move {
             // A call goes on when its caller leaves, as a real service's would.
             let task = tokio::spawn(async move { self.call(req).await });
--- a/standin/src/platform/world.rs
+++ b/standin/src/platform/cloud_state.rs
@@ -68,7 +68,7 @@
 
 /// What the cloud and the box list know.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct CloudState {
     /// All boxes, with the time of their last change.
     pub boxes: BTreeMap<String, (u64, ListedBox)>,
     previous: BTreeMap<String, ListedBox>,
@@ -86,7 +86,7 @@
     pub mute_notices: bool,
 }
 
-impl World {
+impl CloudState {
     /// Puts a box into the list, or changes it.
     pub fn put(&mut self, b: ListedBox) {
         if let Some((_, old)) = self.boxes.get(&b.id) {
@@ -97,11 +97,11 @@
 
     /// Returns the list as it lags: a recent change isn't shown yet.
     pub fn list(&self) -> Vec<ListedBox> {
-        let shown_to = now_ms().saturating_sub(self.list_lag_ms);
+        let visible_until_ms = now_ms().saturating_sub(self.list_lag_ms);
         self.boxes
             .values()
             .filter_map(|(at, b)| {
-                if *at <= shown_to {
+                if *at <= visible_until_ms {
                     return Some(b.clone());
                 }
                 self.previous.get(&b.id).cloned()
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -1,7 +1,7 @@
 //! The platform's stand-in: log service, box list, cloud API and weight store.
 
+mod cloud_state;
 mod log_streams;
 mod service;
-mod world;
 
-pub use {log_streams::*, service::*, world::*};
+pub use {cloud_state::*, log_streams::*, service::*};
--- a/standin/src/platform/service.rs
+++ b/standin/src/platform/service.rs
@@ -24,18 +24,18 @@
 pub struct Platform {
     faults: Faults,
     log: Mutex<LogStreams>,
-    world: Mutex<World>,
-    weights: Mutex<Weights>,
+    cloud_state: Mutex<CloudState>,
+    weights: Mutex<WeightStore>,
     changed: Notify,
 }
 
 #[derive(Debug)]
-struct Weights {
+struct WeightStore {
     per_minute: u32,
     pulls: Vec<Instant>,
 }
 
-impl Default for Weights {
+impl Default for WeightStore {
     fn default() -> Self {
         Self {
             per_minute: 6,
@@ -74,7 +74,7 @@
 
     async fn dispatch(&self, req: Request<Bytes>) -> Response<Body> {
         let path = req.uri().path().to_string();
-        let query = query_of(&req);
+        let query = parse_query(&req);
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (req.method(), parts.as_slice()) {
             (&Method::POST, ["log", stream]) => self.append(stream, req.body()),
@@ -119,12 +119,12 @@
     async fn notices(&self, query: &BTreeMap<String, u64>) -> Response<Body> {
         let from = query.get("from").copied().unwrap_or(0) as usize;
         let ready = || {
-            let world = self.world.lock();
-            let news: Vec<Notice> = world.notices.iter().skip(from).cloned().collect();
-            (!news.is_empty()).then_some(news)
+            let cloud_state = self.cloud_state.lock();
+            let new_notices: Vec<Notice> = cloud_state.notices.iter().skip(from).cloned().collect();
+            (!new_notices.is_empty()).then_some(new_notices)
         };
-        let news = self.wait_for(query, ready).await.unwrap_or_default();
-        json(StatusCode::OK, &value!({ "notices": news }))
+        let new_notices = self.wait_for(query, ready).await.unwrap_or_default();
+        json(StatusCode::OK, &value!({ "notices": new_notices }))
     }
 
     async fn wait_for<T>(
@@ -148,7 +148,7 @@
     fn list(&self) -> Response<Body> {
         json(
             StatusCode::OK,
-            &value!({ "boxes": self.world.lock().list() }),
+            &value!({ "boxes": self.cloud_state.lock().list() }),
         )
     }
 
@@ -156,12 +156,12 @@
         let Ok(order) = serde_json::from_slice::<BoxOrder>(body) else {
             return text(StatusCode::BAD_REQUEST, "expected an order\n");
         };
-        let mut world = self.world.lock();
+        let mut cloud_state = self.cloud_state.lock();
         let known = |o: &BoxOrder| o.client_token == order.client_token;
-        if world.orders.iter().any(known) {
+        if cloud_state.orders.iter().any(known) {
             return json(StatusCode::OK, &value!({ "taken": true }));
         }
-        let fence = world
+        let fence = cloud_state
             .fences
             .entry(order.failure_domain.clone())
             .or_default();
@@ -169,17 +169,17 @@
             return text(StatusCode::CONFLICT, "an older fencing token\n");
         }
         *fence = order.fence;
-        if world.refused_classes.contains(&order.class) {
+        if cloud_state.refused_classes.contains(&order.class) {
             return text(StatusCode::SERVICE_UNAVAILABLE, "no capacity\n");
         }
-        world.orders.push(order);
+        cloud_state.orders.push(order);
         json(StatusCode::OK, &value!({ "taken": true }))
     }
 
     fn orders(&self, query: &BTreeMap<String, u64>) -> Response<Body> {
         let from = query.get("from").copied().unwrap_or(0) as usize;
-        let world = self.world.lock();
-        let orders: Vec<&BoxOrder> = world.orders.iter().skip(from).collect();
+        let cloud_state = self.cloud_state.lock();
+        let orders: Vec<&BoxOrder> = cloud_state.orders.iter().skip(from).collect();
         json(StatusCode::OK, &value!({ "orders": orders }))
     }
 
@@ -197,8 +197,8 @@
     fn put_boxes(&self, body: &Bytes) -> Response<Body> {
         match serde_json::from_slice::<Vec<ListedBox>>(body) {
             Ok(boxes) => {
-                let mut world = self.world.lock();
-                boxes.into_iter().for_each(|b| world.put(b));
+                let mut cloud_state = self.cloud_state.lock();
+                boxes.into_iter().for_each(|b| cloud_state.put(b));
                 text(StatusCode::OK, "ok\n")
             }
             Err(e) => text(StatusCode::BAD_REQUEST, &e.to_string()),
@@ -208,7 +208,9 @@
     fn reclaim(&self, body: &Bytes) -> Response<Body> {
         match serde_json::from_slice::<ReclaimOrder>(body) {
             Ok(order) => {
-                self.world.lock().reclaim(&order.boxes, order.notice_ms);
+                self.cloud_state
+                    .lock()
+                    .reclaim(&order.boxes, order.notice_ms);
                 self.changed.notify_waiters();
                 text(StatusCode::OK, "ok\n")
             }
@@ -221,15 +223,15 @@
             Ok(order) => order,
             Err(e) => return text(StatusCode::BAD_REQUEST, &e.to_string()),
         };
-        let mut world = self.world.lock();
+        let mut cloud_state = self.cloud_state.lock();
         if let Some(ms) = order.list_lag_ms {
-            world.list_lag_ms = ms;
+            cloud_state.list_lag_ms = ms;
         }
         if let Some(classes) = order.refused_classes {
-            world.refused_classes = classes;
+            cloud_state.refused_classes = classes;
         }
         if let Some(mute) = order.mute_notices {
-            world.mute_notices = mute;
+            cloud_state.mute_notices = mute;
         }
         if let Some(keep) = order.keep_records {
             self.log.lock().keep = keep;
@@ -242,7 +244,7 @@
 
     fn counts(&self) -> Response<Body> {
         let appends = self.log.lock().appends;
-        let orders = self.world.lock().orders.len();
+        let orders = self.cloud_state.lock().orders.len();
         json(
             StatusCode::OK,
             &value!({ "appends": appends, "orders": orders }),
@@ -251,7 +253,7 @@
 }
 
 impl Handler for Platform {
-    fn handle(self: Arc<Self>, req: Request<Bytes>) -> Answer {
+    fn handle(self: Arc<Self>, req: Request<Bytes>) -> ResponseFuture {
         Box::pin(async move { self.dispatch(req).await })
     }
 
@@ -261,7 +263,7 @@
 }
 
 /// Returns the numbers of a query.
-fn query_of(req: &Request<Bytes>) -> BTreeMap<String, u64> {
+fn parse_query(req: &Request<Bytes>) -> BTreeMap<String, u64> {
     req.uri()
         .query()
         .unwrap_or("")
--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -25,15 +25,15 @@
     },
 };
 
-const EVENT_PAUSE: Duration = Duration::from_millis(15);
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 /// What the body of a request begins with that crashes a runner.
-const CRASH_ORDER: &[u8] = b"crash";
+const CRASH_PREFIX: &[u8] = b"crash";
 /// How long after it began to run such a request crashes its runner.
-const CRASH_AFTER: Duration = Duration::from_millis(40);
+const CRASH_DELAY: Duration = Duration::from_millis(40);
 /// How long a runner is gone that crashed.
-const DOWN: Duration = Duration::from_millis(1_200);
+const RESTART_DELAY: Duration = Duration::from_millis(1_200);
 
-type RunnerBody = UnsyncBoxBody<Bytes, io::Error>;
+type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
 
 /// A request that came to a runner.
 #[derive(Clone, Debug)]
@@ -65,9 +65,9 @@
     /// Those among them that it turned away for its own sake.
     refused_requests: Mutex<Vec<ReceivedRequest>>,
     /// What it names in each answer as the requests a second that it takes.
-    limit: Mutex<Option<HeaderValue>>,
+    rate_limit: Mutex<Option<HeaderValue>>,
     /// What it names in each refusal as the seconds of rest that it wants.
-    rest: Mutex<Option<HeaderValue>>,
+    retry_after: Mutex<Option<HeaderValue>>,
     /// What it says in each answer of whether it leaves.
     leaving: Mutex<Option<HeaderValue>>,
 }
@@ -104,11 +104,11 @@
             refusals: Mutex::default(),
             crashes: watch::Sender::new(0),
             refused_requests: Mutex::default(),
-            limit: Mutex::default(),
-            rest: Mutex::default(),
+            rate_limit: Mutex::default(),
+            retry_after: Mutex::default(),
             leaving: Mutex::default(),
         });
-        let task = tokio::spawn(live_on(listener, address, shared.clone()));
+        let task = tokio::spawn(serve_across_restarts(listener, address, shared.clone()));
         Ok(Self {
             shared,
             address,
@@ -138,7 +138,7 @@
     ///
     /// Panics on a text that no header can hold.
     pub fn set_rate_limit(&self, limit: Option<&str>) {
-        *self.shared.limit.lock() = limit.map(header_value);
+        *self.shared.rate_limit.lock() = limit.map(header_value);
     }
 
     /// Changes for how many seconds it wants rest, as its refusals say: any text, or
@@ -148,7 +148,7 @@
     ///
     /// Panics on a text that no header can hold.
     pub fn set_retry_after(&self, seconds: Option<&str>) {
-        *self.shared.rest.lock() = seconds.map(header_value);
+        *self.shared.retry_after.lock() = seconds.map(header_value);
     }
 
     /// Changes what its answers say of whether it leaves: any text, or nothing. It takes
@@ -193,12 +193,12 @@
 }
 
 /// Serves one life after the other.
-async fn live_on(first: TcpListener, address: SocketAddr, shared: Arc<Shared>) {
+async fn serve_across_restarts(first: TcpListener, address: SocketAddr, shared: Arc<Shared>) {
     let mut listener = first;
     loop {
         accept(listener, &shared).await;
         listener = loop {
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(RESTART_DELAY).await;
             if let Ok(listener) = TcpListener::bind(address).await {
                 break listener;
             }
@@ -222,7 +222,7 @@
 
 async fn serve(stream: TcpStream, shared: Arc<Shared>) {
     let mut crashed = shared.crashes.subscribe();
-    let service = service_fn(move |request| answer(request, shared.clone()));
+    let service = service_fn(move |request| respond(request, shared.clone()));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         // An answer that fails closes the connection: that is what is wanted.
@@ -232,15 +232,15 @@
 }
 
 /// Crashes the runner a little later.
-async fn crash_soon(shared: Arc<Shared>) {
-    tokio::time::sleep(CRASH_AFTER).await;
+async fn crash_after_delay(shared: Arc<Shared>) {
+    tokio::time::sleep(CRASH_DELAY).await;
     shared.crashes.send_modify(|n| *n += 1);
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     shared: Arc<Shared>,
-) -> io::Result<Response<RunnerBody>> {
+) -> io::Result<Response<ResponseBody>> {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
     let text = |name: &str| {
@@ -251,7 +251,7 @@
     let expected = text("saddlepulley-expected-upstream");
     if expected != shared.id {
         *shared.refusals.lock() += 1;
-        return Ok(refused(&shared, StatusCode::MISDIRECTED_REQUEST));
+        return Ok(not_started(&shared, StatusCode::MISDIRECTED_REQUEST));
     }
     let behaviour = *shared.behaviour.lock();
     let run = ReceivedRequest {
@@ -268,8 +268,8 @@
     }
     shared.runs.lock().push(run);
     let is_stream = head.uri.path().starts_with("/stream/");
-    if behaviour == Behaviour::CrashOnRequest && body.starts_with(CRASH_ORDER) {
-        tokio::spawn(crash_soon(shared.clone()));
+    if behaviour == Behaviour::CrashOnRequest && body.starts_with(CRASH_PREFIX) {
+        tokio::spawn(crash_after_delay(shared.clone()));
         if !is_stream {
             // It crashes before it answers.
             std::future::pending::<()>().await;
@@ -278,19 +278,24 @@
     match behaviour {
         Behaviour::LoseAnswer => Err(io::ErrorKind::ConnectionReset.into()),
         Behaviour::Hang => std::future::pending().await,
-        Behaviour::Fail => Ok(whole(
+        Behaviour::Fail => Ok(signed_response(
             &shared,
             &attempt,
             StatusCode::INTERNAL_SERVER_ERROR,
             "failed",
         )),
-        Behaviour::BareUnavailable => Ok(whole(
+        Behaviour::BareUnavailable => Ok(signed_response(
             &shared,
             &attempt,
             StatusCode::SERVICE_UNAVAILABLE,
             "busy",
         )),
-        Behaviour::WrongAttempt => Ok(whole(&shared, "another", StatusCode::OK, "not yours")),
+        Behaviour::WrongAttempt => Ok(signed_response(
+            &shared,
+            "another",
+            StatusCode::OK,
+            "not yours",
+        )),
         _ if is_stream => {
             let after = text("last-event-id").parse().unwrap_or(0);
             Ok(event_stream(&shared, &attempt, after, behaviour))
@@ -302,24 +307,24 @@
                 head.uri,
                 String::from_utf8_lossy(&body)
             );
-            Ok(whole(&shared, &attempt, StatusCode::OK, &echo))
+            Ok(signed_response(&shared, &attempt, StatusCode::OK, &echo))
         }
     }
 }
 
-fn refused(shared: &Shared, status: StatusCode) -> Response<RunnerBody> {
-    let mut answer = Response::new(full("not started"));
+fn not_started(shared: &Shared, status: StatusCode) -> Response<ResponseBody> {
+    let mut answer = Response::new(body_of("not started"));
     *answer.status_mut() = status;
     let yes = HeaderValue::from_static("1");
     answer.headers_mut().insert("x-not-started", yes);
-    tell_state(&mut answer, shared);
+    add_state_headers(&mut answer, shared);
     answer
 }
 
-fn refused_requests(shared: &Shared) -> Response<RunnerBody> {
-    let mut answer = refused(shared, StatusCode::SERVICE_UNAVAILABLE);
-    if let Some(rest) = shared.rest.lock().clone() {
-        answer.headers_mut().insert(RETRY_AFTER, rest);
+fn refused_requests(shared: &Shared) -> Response<ResponseBody> {
+    let mut answer = not_started(shared, StatusCode::SERVICE_UNAVAILABLE);
+    if let Some(retry_after) = shared.retry_after.lock().clone() {
+        answer.headers_mut().insert(RETRY_AFTER, retry_after);
     }
     answer
 }
@@ -329,9 +334,9 @@
 }
 
 /// Adds what it says of itself in all its answers.
-fn tell_state(answer: &mut Response<RunnerBody>, shared: &Shared) {
+fn add_state_headers(answer: &mut Response<ResponseBody>, shared: &Shared) {
     let headers = answer.headers_mut();
-    if let Some(limit) = shared.limit.lock().clone() {
+    if let Some(limit) = shared.rate_limit.lock().clone() {
         headers.insert("saddlepulley-limit", limit);
     }
     if let Some(word) = shared.leaving.lock().clone() {
@@ -339,21 +344,26 @@
     }
 }
 
-fn whole(shared: &Shared, attempt: &str, status: StatusCode, body: &str) -> Response<RunnerBody> {
-    let mut answer = Response::new(full(body));
+fn signed_response(
+    shared: &Shared,
+    attempt: &str,
+    status: StatusCode,
+    body: &str,
+) -> Response<ResponseBody> {
+    let mut answer = Response::new(body_of(body));
     *answer.status_mut() = status;
-    sign(&mut answer, shared, attempt);
+    add_signature(&mut answer, shared, attempt);
     answer
 }
 
-fn full(body: &str) -> RunnerBody {
+fn body_of(body: &str) -> ResponseBody {
     let bytes = Bytes::copy_from_slice(body.as_bytes());
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-fn sign(answer: &mut Response<RunnerBody>, shared: &Shared, attempt: &str) {
+fn add_signature(answer: &mut Response<ResponseBody>, shared: &Shared, attempt: &str) {
     let headers = answer.headers_mut();
     let signature = format!("{}.{attempt}", shared.id);
     if let Ok(value) = HeaderValue::from_str(&signature) {
@@ -362,24 +372,24 @@
     if let Ok(value) = HeaderValue::from_str(attempt) {
         headers.insert("saddlepulley-attempt", value);
     }
-    tell_state(answer, shared);
+    add_state_headers(answer, shared);
 }
 
 /// Counts an answer that is dropped before its end.
-struct Watched {
+struct AbandonmentGuard {
     shared: Arc<Shared>,
     next: u64,
     done: bool,
 }
 
-impl Watched {
+impl AbandonmentGuard {
     /// Notes that the answer reached its end.
     fn finish(&mut self) {
         self.done = true;
     }
 }
 
-impl Drop for Watched {
+impl Drop for AbandonmentGuard {
     fn drop(&mut self) {
         if !self.done {
             *self.shared.abandoned.lock() += 1;
@@ -392,8 +402,8 @@
     attempt: &str,
     after: u64,
     behaviour: Behaviour,
-) -> Response<RunnerBody> {
-    let state = Watched {
+) -> Response<ResponseBody> {
+    let state = AbandonmentGuard {
         shared: shared.clone(),
         next: after + 1,
         done: false,
@@ -403,7 +413,7 @@
             state.finish();
             return None;
         }
-        tokio::time::sleep(EVENT_PAUSE).await;
+        tokio::time::sleep(EVENT_INTERVAL).await;
         let number = state.next;
         state.next += 1;
         let event = format!("id: {number}\ndata: event {number}\n\n");
@@ -426,6 +436,6 @@
     answer
         .headers_mut()
         .insert(hyper::header::CONTENT_TYPE, kind);
-    sign(&mut answer, shared, attempt);
+    add_signature(&mut answer, shared, attempt);
     answer
 }
--- a/standin/src/store/paced_body.rs
+++ b/standin/src/store/paced_body.rs
@@ -11,7 +11,7 @@
 };
 
 /// The time between two pieces of a paced body.
-const PIECE_EVERY: Duration = Duration::from_millis(50);
+const CHUNK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How answers are delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 /// The body of an answer, delivered as told.
 #[derive(Debug)]
 pub struct PacedBody {
-    rest: Bytes,
+    remaining: Bytes,
     delivery: Delivery,
     pause: Pin<Box<Sleep>>,
 }
@@ -37,20 +37,20 @@
     /// Makes a body.
     pub fn new(bytes: Bytes, delivery: Delivery) -> Self {
         Self {
-            rest: bytes,
+            remaining: bytes,
             delivery,
             pause: Box::pin(sleep(Duration::ZERO)),
         }
     }
 
     /// Returns how many bytes may go out now; none while it stalls.
-    fn piece(&mut self) -> Option<usize> {
+    fn next_chunk_bytes(&mut self) -> Option<usize> {
         match &mut self.delivery {
-            Delivery::AtOnce => Some(self.rest.len()),
+            Delivery::AtOnce => Some(self.remaining.len()),
             Delivery::Throttled(per_s) => {
-                let pieces_per_s =
-                    (Duration::from_secs(1).as_millis() / PIECE_EVERY.as_millis()) as usize;
-                Some((*per_s / pieces_per_s).max(1))
+                let chunks_per_s =
+                    (Duration::from_secs(1).as_millis() / CHUNK_INTERVAL.as_millis()) as usize;
+                Some((*per_s / chunks_per_s).max(1))
             }
             Delivery::Stalled(0) => None,
             Delivery::Stalled(left) => Some(std::mem::take(left)),
@@ -66,27 +66,27 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return Poll::Ready(None);
         }
         if self.pause.as_mut().poll(cx).is_pending() {
             return Poll::Pending;
         }
-        let Some(piece) = self.piece() else {
+        let Some(next_chunk_bytes) = self.next_chunk_bytes() else {
             // Nothing wakes it: its caller has to give up.
             return Poll::Pending;
         };
-        let piece = piece.min(self.rest.len());
-        let bytes = self.rest.split_to(piece);
-        self.pause = Box::pin(sleep(PIECE_EVERY));
+        let next_chunk_bytes = next_chunk_bytes.min(self.remaining.len());
+        let bytes = self.remaining.split_to(next_chunk_bytes);
+        self.pause = Box::pin(sleep(CHUNK_INTERVAL));
         Poll::Ready(Some(Ok(Frame::data(bytes))))
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.rest.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.rest.is_empty()
+        self.remaining.is_empty()
     }
 }
--- a/standin/src/store/service.rs
+++ b/standin/src/store/service.rs
@@ -15,7 +15,7 @@
     tokio::{net::TcpListener, sync::watch, task::AbortHandle},
 };
 
-type StoreAnswer = Response<Bytes>;
+type StoreResponse = Response<Bytes>;
 
 #[derive(Debug)]
 struct Shared {
@@ -167,7 +167,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         let shared = shared.clone();
         tokio::spawn(async move {
-            let service = service_fn(move |request| paced_answer(request, shared.clone()));
+            let service = service_fn(move |request| paced_response(request, shared.clone()));
             // A caller that goes away is no matter.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
@@ -176,36 +176,36 @@
     }
 }
 
-async fn paced_answer(
+async fn paced_response(
     request: Request<Incoming>,
     shared: Arc<Shared>,
 ) -> Result<Response<PacedBody>, Infallible> {
-    note_read(&request, &shared);
+    record_read(&request, &shared);
     let answer = tokio::select! {
         biased;
-        () = until_silent(&shared) => std::future::pending().await,
-        answer = answer(request, &shared) => answer,
+        () = wait_until_silent(&shared) => std::future::pending().await,
+        answer = respond(request, &shared) => answer,
     };
     let delivery = *shared.delivery.lock();
     Ok(answer.map(|bytes| PacedBody::new(bytes, delivery)))
 }
 
-fn note_read(request: &Request<Incoming>, shared: &Shared) {
+fn record_read(request: &Request<Incoming>, shared: &Shared) {
     if request.uri().path() == "/log-read" {
-        let read = topic(&query_of(request.uri())).to_string();
+        let topic = topic(&parse_query(request.uri())).to_string();
         shared
             .reads
-            .send_modify(|reads| *reads.entry(read).or_default() += 1);
+            .send_modify(|reads| *reads.entry(topic).or_default() += 1);
     }
 }
 
-async fn until_silent(shared: &Shared) {
+async fn wait_until_silent(shared: &Shared) {
     let mut silent = shared.silent.subscribe();
     // The sender lives as long as the store.
     let _ = silent.wait_for(|silent| *silent).await;
 }
 
-fn query_of(uri: &hyper::Uri) -> HashMap<String, String> {
+fn parse_query(uri: &hyper::Uri) -> HashMap<String, String> {
     uri.query()
         .unwrap_or_default()
         .split('&')
@@ -214,7 +214,7 @@
         .collect()
 }
 
-async fn answer(request: Request<Incoming>, shared: &Shared) -> StoreAnswer {
+async fn respond(request: Request<Incoming>, shared: &Shared) -> StoreResponse {
     if *shared.down.lock() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -224,7 +224,7 @@
         .await
         .map(|b| b.to_bytes())
         .unwrap_or_default();
-    let query = query_of(&head.uri);
+    let query = parse_query(&head.uri);
     match head.uri.path() {
         "/log-append" => append(shared, &query, &body),
         "/log-read" => read(shared, &query).await,
@@ -235,13 +235,13 @@
     }
 }
 
-fn status(status: StatusCode) -> StoreAnswer {
+fn status(status: StatusCode) -> StoreResponse {
     let mut answer = Response::new(Bytes::new());
     *answer.status_mut() = status;
     answer
 }
 
-fn json_answer(code: StatusCode, value: &Value) -> StoreAnswer {
+fn json_response(code: StatusCode, value: &Value) -> StoreResponse {
     let mut answer = Response::new(Bytes::from(value.to_string()));
     *answer.status_mut() = code;
     answer
@@ -255,14 +255,14 @@
     query.get("topic").map_or("", String::as_str)
 }
 
-fn append(shared: &Shared, query: &HashMap<String, String>, body: &Bytes) -> StoreAnswer {
+fn append(shared: &Shared, query: &HashMap<String, String>, body: &Bytes) -> StoreResponse {
     let mut topics = shared.topics.lock();
     let end = topics.end(topic(query));
     if let Some(answer) = check_producer(shared, query) {
         return answer;
     }
     if number(query, "at").is_some_and(|at| at != end) {
-        return json_answer(StatusCode::PRECONDITION_FAILED, &json!({ "end": end }));
+        return json_response(StatusCode::PRECONDITION_FAILED, &json!({ "end": end }));
     }
     let mut at = 0;
     while at + 4 <= body.len() {
@@ -277,12 +277,12 @@
     }
     let new_end = topics.end(topic(query));
     shared.changed.send_modify(|n| *n += 1);
-    json_answer(StatusCode::OK, &json!({ "offset": end, "end": new_end }))
+    json_response(StatusCode::OK, &json!({ "offset": end, "end": new_end }))
 }
 
 /// Refuses a producer's append under an epoch that is over or out of order, and answers
 /// one that was taken already as it was then.
-fn check_producer(shared: &Shared, query: &HashMap<String, String>) -> Option<StoreAnswer> {
+fn check_producer(shared: &Shared, query: &HashMap<String, String>) -> Option<StoreResponse> {
     let producer = query.get("producer")?;
     let (epoch, sequence) = (number(query, "epoch")?, number(query, "sequence")?);
     let mut producers = shared.producers.lock();
@@ -290,26 +290,26 @@
     let (last_epoch, last) = producers.get(&key).copied().unwrap_or((0, 0));
     if epoch < last_epoch {
         let fenced = json!({ "reason": "fenced" });
-        return Some(json_answer(StatusCode::CONFLICT, &fenced));
+        return Some(json_response(StatusCode::CONFLICT, &fenced));
     }
     if epoch == last_epoch && sequence <= last {
-        return Some(json_answer(StatusCode::OK, &json!({})));
+        return Some(json_response(StatusCode::OK, &json!({})));
     }
     if epoch == last_epoch && sequence != last + 1 {
         let wanted = json!({ "reason": "seq", "sequence": last + 1 });
-        return Some(json_answer(StatusCode::CONFLICT, &wanted));
+        return Some(json_response(StatusCode::CONFLICT, &wanted));
     }
     producers.insert(key, (epoch, sequence));
     None
 }
 
-async fn read(shared: &Shared, query: &HashMap<String, String>) -> StoreAnswer {
+async fn read(shared: &Shared, query: &HashMap<String, String>) -> StoreResponse {
     let from = number(query, "source").unwrap_or(0);
     let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
     let mut changed = shared.changed.subscribe();
-    let has_unannounced = |_: &u64| shared.topics.lock().end(topic(query)) > from;
+    let has_records = |_: &u64| shared.topics.lock().end(topic(query)) > from;
     // Without news in time, the answer holds no records.
-    let _ = tokio::time::timeout(wait, changed.wait_for(has_unannounced)).await;
+    let _ = tokio::time::timeout(wait, changed.wait_for(has_records)).await;
     let topics = shared.topics.lock();
     let mut bytes = topics.end(topic(query)).to_be_bytes().to_vec();
     bytes.extend_from_slice(&0_u64.to_be_bytes());
@@ -320,7 +320,7 @@
     Response::new(Bytes::from(bytes))
 }
 
-fn newest(shared: &Shared, query: &HashMap<String, String>) -> StoreAnswer {
+fn newest(shared: &Shared, query: &HashMap<String, String>) -> StoreResponse {
     let listed = topic(query).to_string();
     *shared.listings.lock().entry(listed).or_default() += 1;
     let topics = shared.topics.lock();
@@ -332,13 +332,13 @@
         })
         .collect();
     let end = topics.end(topic(query));
-    json_answer(
+    json_response(
         StatusCode::OK,
         &json!({ "entries": entries, "more": false, "end": end }),
     )
 }
 
-fn duty(shared: &Shared, duty: &str, headers: &hyper::HeaderMap, body: &Bytes) -> StoreAnswer {
+fn duty(shared: &Shared, duty: &str, headers: &hyper::HeaderMap, body: &Bytes) -> StoreResponse {
     let text = |name: &str| {
         headers
             .get(name)
--- a/standin/src/store/topics.rs
+++ b/standin/src/store/topics.rs
@@ -40,7 +40,7 @@
     pub fn newest(&self, topic: &str) -> BTreeMap<String, (u64, Vec<u8>)> {
         let mut newest = BTreeMap::new();
         for (offset, record) in (0..).zip(self.read(topic, 0)) {
-            let Some((key, value)) = split_keyed(record) else {
+            let Some((key, value)) = split_key(record) else {
                 continue;
             };
             let key = String::from_utf8_lossy(key).into_owned();
@@ -53,7 +53,7 @@
     }
 }
 
-fn split_keyed(record: &[u8]) -> Option<(&[u8], &[u8])> {
+fn split_key(record: &[u8]) -> Option<(&[u8], &[u8])> {
     let (length, rest) = record.split_first()?;
     rest.split_at_checked(usize::from(*length))
 }
