--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,7 +1,7 @@
-//! What control costs a daemon: bytes, processor time and memory against the
-//! number of daemons and upstreams, and how long a change takes to reach all.
+//! Measures the cost of the control plane for a daemon (bytes, processor time and memory,
+//! by the number of daemons and upstreams) and how long a change takes to reach all daemons.
 //!
-//! `cargo bench --bench control -- 3x1 6x2 ...` (daemons x engines a domain)
+//! `cargo bench --bench control -- 3x1 6x2 ...` (daemons x engines per failure domain)
 
 #[path = "../tests/it/support/mod.rs"]
 #[allow(dead_code, unused_imports)]
@@ -13,6 +13,7 @@
 };
 
 const DOMAINS: usize = 3;
+/// Time without requests over which the costs are measured.
 const IDLE_PERIOD: Duration = Duration::from_secs(10);
 const CHANGES: usize = 10;
 
@@ -89,8 +90,8 @@
     usage
 }
 
-/// Publishes changes and returns median and maximum of the time until each is
-/// in force everywhere, in milliseconds.
+/// Publishes changes of the table and returns the median and maximum time until each is
+/// active on all daemons, in milliseconds.
 async fn measure_changes(cluster: &Cluster) -> (u128, u128) {
     let mut times = Vec::new();
     for n in 0..CHANGES {
--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -1,5 +1,5 @@
-//! What a wave of upstreams that leave costs a daemon that reads the source, and each that
-//! follows it, by how many upstreams there are.
+//! Measures the cost of many upstreams leaving at once, for the daemon that reads the source
+//! and for a daemon that follows it, by the number of upstreams.
 //!
 //! `cargo bench --bench directory`
 
@@ -31,10 +31,10 @@
         });
         let mut update = None;
         let announced_ms = timed(|| update = Some(reader.update_since(Some(cursor))));
-        let update = update.expect("told");
+        let update = update.expect("the directory update was taken");
         let mut packed = Default::default();
         let packed_ms = timed(|| {
-            packed = pack_upstreams(&update.upstreams, &update.removed_ids).expect("packed");
+            packed = pack_upstreams(&update.upstreams, &update.removed_ids).expect("the update is packed");
         });
         let applied_ms = timed(|| follower.apply_update(update));
         let service = ServiceName::from("s");
@@ -50,7 +50,7 @@
     }
 }
 
-/// Returns how long something takes, in milliseconds.
+/// Returns the duration of a call, in milliseconds.
 fn timed(act: impl FnOnce()) -> f64 {
     let started = Instant::now();
     act();
--- a/benches/leaving.rs
+++ b/benches/leaving.rs
@@ -1,4 +1,4 @@
-//! How long after a reclaim notice an upstream still gets new work.
+//! Measures for how long after a reclaim notice an upstream still receives new requests.
 //!
 //! `cargo bench --bench leaving`
 
@@ -21,6 +21,7 @@
 
 const TRIALS: usize = 6;
 const WORKERS: usize = 12;
+/// How long load continues after the notice.
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(5_000);
 
 fn main() {
@@ -53,6 +54,8 @@
     );
 }
 
+/// Returns the time from the notice to the last request that the upstream started, in
+/// milliseconds.
 async fn run_trial(settings: &Value, cut: bool) -> u64 {
     let plan = Plan {
         row: "rate = 5000\nconcurrency = 5000\npolicies = { naive = 1 }\n".to_string(),
--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -1,4 +1,5 @@
-//! What it costs a daemon to hear others and to answer who they are, by how many there are.
+//! Measures the cost of applying the reports of other daemons and of membership queries, by
+//! the number of daemons.
 //!
 //! `cargo bench --bench membership`
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Returns how long each of some rounds takes on average, in microseconds.
+/// Returns the mean duration of `ROUNDS` calls, in microseconds.
 fn timed(mut act: impl FnMut(u64)) -> f64 {
     let started = Instant::now();
     (0..ROUNDS).for_each(&mut act);
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -1,5 +1,5 @@
-//! What one entry box costs: requests and tokens per second of processor time,
-//! and the latency it adds, as ratios to calling the stand-in directly, in one run.
+//! Measures the cost of one entry box: requests and tokens per second of processor time, and
+//! the added latency as a ratio to direct calls of the stand-in in the same run.
 //!
 //! `cargo bench --bench overhead`
 
@@ -75,7 +75,7 @@
         .iter()
         .find(|u| u.service == "codes")
         .unwrap();
-    // The proxy stands in both ways, so that it cancels out.
+    // Both paths pass the fault proxy, so its cost cancels out.
     let direct = calls(codes.proxy.addr(), "/call").await;
     let before = cpu_ms(cluster).await;
     let through = calls(cluster.daemons[0].callers, "/codes/call").await;
@@ -167,7 +167,7 @@
     let [(r1, t1, c1), (r2, t2, c2)] = points[..] else {
         return;
     };
-    // Two runs, two unknowns: processor time a request and a token.
+    // Two runs determine two unknowns: the processor time of a request and of a token.
     let token = (c2 / r2 - c1 / r1) / (t2 / r2 - t1 / r1);
     let request = c1 / r1 - token * t1 / r1;
     println!(
@@ -178,7 +178,7 @@
     );
 }
 
-/// Processor time of all daemons, in milliseconds.
+/// Returns the total processor time of all daemons, in milliseconds.
 async fn cpu_ms(cluster: &Cluster) -> u64 {
     let mut sum = 0;
     for daemon in &cluster.daemons {
--- a/benches/placing.rs
+++ b/benches/placing.rs
@@ -1,11 +1,11 @@
-//! What it costs a hub to choose an upstream, by how many there are.
+//! Measures the cost for a hub of choosing an upstream, by the number of upstreams.
 //!
 //! `cargo bench --bench placing`
 //!
-//! Each upstream was looked up and hashed anew for each request before, and tables of
-//! loads were copied: 61 us a choice at 165 upstreams, 573 at 1,500, 1,182 at 3,000.
-//! With a list that is worked out once a change of the directory, 9, 50 and 96 (one
-//! run each on the same machine).
+//! Looking up and hashing each upstream for each request, and copying load tables, took
+//! 61 us a choice at 165 upstreams, 573 us at 1,500 and 1,182 us at 3,000. With a list that
+//! is computed once per change of the directory, it takes 9, 50 and 96 us (one run each on
+//! the same machine).
 
 use {
     saddlepulley::{
@@ -18,7 +18,7 @@
 };
 
 const CHOICES: u64 = 2_000;
-/// What is at upstreams, of each: so many requests of this daemon.
+/// Active requests of this daemon at each upstream.
 const ACTIVE: u32 = 3;
 
 fn main() {
--- a/benches/policies.rs
+++ b/benches/policies.rs
@@ -1,8 +1,8 @@
-//! Policies under load, as ratios to `naive` in one run: cost at the latency
-//! target, tokens recomputed, goodput under overload, reclaim waves.
+//! Compares policies under load with `naive` in the same run: cost at the latency target,
+//! recomputed tokens, goodput under overload, and reclaim waves.
 //!
 //! `cargo bench --bench policies -- compare | waves | overload` (all by default);
-//! with `short` Austin only, and three cases of the overload.
+//! `short` limits the comparison to Austin and the overload to three cases.
 
 #[path = "../tests/it/support/mod.rs"]
 #[allow(dead_code, unused_imports)]
@@ -18,7 +18,7 @@
     support::*,
 };
 
-/// Name, policy, and what is switched off.
+/// Label, policy, and settings that switch mechanisms off.
 const VARIANTS: [(&str, &str, &str); 4] = [
     ("naive", "naive", ""),
     ("cheapest-on-target", "cheapest-on-target", ""),
@@ -26,7 +26,7 @@
     ("cheapest, no spill", "cheapest-on-target", "spill = false"),
 ];
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// The waves and the overload take longer a run.
+/// Reclaim waves and overload use fewer seeds because a run takes longer.
 const FEW_SEEDS: [u64; 1] = [1];
 const RUN_SECONDS: f64 = 10.0;
 
@@ -53,13 +53,18 @@
         });
 }
 
-/// One run's two measures, and what else is worth seeing.
+/// The results of one run.
 #[derive(Clone, Copy, Debug)]
 struct RunMeasures {
+    /// Share of requests that met their target.
     on_target: f64,
+    /// Cost of the engines' busy time per request on target, in millionths of a currency unit.
     cost_at_target: f64,
+    /// Tokens that the engines prefilled.
     computed: f64,
+    /// Tokens prefilled again, as the daemons count them.
     recomputed: f64,
+    /// Share of requests with a complete answer.
     completed_share: f64,
     first_p95_ms: f64,
 }
@@ -141,7 +146,7 @@
         .filter(|u| u.service == "assistant")
     {
         let at = u.running.addr();
-        // A box that was taken tells nothing any more; its figures were read before.
+        // A reclaimed upstream no longer answers; its counters were read before it stopped.
         let counts = if u.running.is_stopped() {
             u.last.clone()
         } else {
@@ -162,7 +167,7 @@
     }
 }
 
-/// 47% of the engines with 2 s of notice, then a whole failure domain.
+/// Reclaims 47% of the engines with 2 s of notice, then a complete failure domain.
 async fn reclaim_waves(cluster: &mut Cluster) {
     let refuse = json!({ "refused_classes": ["reclaimable", "on-demand"] });
     cluster.control("settings", &refuse).await;
@@ -190,6 +195,7 @@
     cluster.daemons[0].kill();
 }
 
+/// Reclaims upstreams with 2 s of notice, reads their counters, then stops them.
 async fn reclaim_and_stop(cluster: &mut Cluster, names: &[&str]) {
     cluster.reclaim(names, 2_000).await;
     tokio::time::sleep(Duration::from_millis(2_000)).await;
@@ -203,7 +209,7 @@
     }
 }
 
-/// Tokens computed again, as the daemons that still run count them.
+/// Returns the number of recomputed tokens, as counted by the daemons that still run.
 async fn recomputed(cluster: &Cluster) -> f64 {
     let auth = bearer(OPERATOR_TOKEN);
     let mut sum = 0.0;
@@ -224,6 +230,7 @@
     sum
 }
 
+/// Returns median, minimum and maximum.
 fn median(mut v: Vec<f64>) -> (f64, f64, f64) {
     v.sort_by(f64::total_cmp);
     (v[v.len() / 2], v[0], v[v.len() - 1])
@@ -252,7 +259,7 @@
     );
 }
 
-/// Goodput before, during and after a burst, with impatient callers.
+/// Measures goodput before, during and after a burst, with callers that retry at once.
 async fn overload() {
     println!(
         "\noverload: load at about 85% of capacity, a burst of 4 s, callers that ask again at once up to 3 times"
@@ -283,7 +290,7 @@
         ),
         ("all", "cheapest-on-target", ""),
     ];
-    // `-- overload short`: the baseline, the queue, and all together.
+    // `-- overload short` runs only the baseline, the queue, and all mechanisms together.
     if std::env::args().any(|a| a == "short") {
         cases.retain(|c| ["naive", "+ queue", "all"].contains(&c.0));
     }
--- a/standin/src/engine/answer.rs
+++ b/standin/src/engine/answer.rs
@@ -3,14 +3,15 @@
     sha2::{Digest, Sha256},
 };
 
+/// Words from which answers are composed.
 const WORDS: [&str; 32] = [
     "index", "query", "found", "match", "claim", "item", "case", "gate", "train", "bag", "file",
     "line", "call", "type", "field", "value", "list", "branch", "merge", "review", "desk", "hall",
     "code", "reply", "notes", "date", "time", "owner", "blue", "small", "large", "lost",
 ];
 
-/// Returns token `i` of the answer to a prompt: the same on every engine,
-/// unless the engine salts its answers.
+/// Returns token `i` of the answer to a prompt. It is the same on every engine,
+/// unless the engine adds its name to its tokens (`salted`).
 pub fn answer_token(cfg: &EngineConfig, prompt: &str, i: usize) -> String {
     let word = expected_word(prompt, i);
     if cfg.salted {
@@ -19,7 +20,7 @@
     format!("{word} ")
 }
 
-/// Returns the word of token `i` of the answer to a prompt.
+/// Returns the word of token `i`, which depends only on the prompt and `i`.
 pub fn expected_word(prompt: &str, i: usize) -> String {
     let mut hash = Sha256::new();
     hash.update(prompt);
--- a/standin/src/engine/batch.rs
+++ b/standin/src/engine/batch.rs
@@ -1,30 +1,30 @@
 use {super::*, std::collections::BTreeMap, tokio::sync::mpsc::UnboundedSender, uuid::Uuid};
 
-/// What an engine works on.
+/// The requests of an engine, with its prefix cache and counters.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Sequences that are decoded.
+    /// Sequences that occupy a slot and are prefilled or decoded.
     pub running: Vec<Sequence>,
-    /// Sequences that wait for a slot.
+    /// Sequences that wait for a slot, by descending priority.
     pub waiting: Vec<Sequence>,
-    /// Whole answers that nobody has read to the end yet.
+    /// Complete sequences, retained for `resume_grace_ms` so that a reader can resume.
     pub finished: Vec<Sequence>,
-    /// The prefix cache.
     pub cache: PrefixCache,
-    /// Imported KV caches: how many tokens of a request are here.
+    /// Tokens of imported KV cache, by request.
     pub imported: BTreeMap<Uuid, usize>,
-    /// Requests that were started, resumed ones not counted.
+    /// Requests started, not counting resumed ones.
     pub started: u64,
-    /// When the last one of them was started, in Unix milliseconds.
+    /// When the last request was started, in Unix milliseconds.
     pub last_started_ms: u64,
-    /// Time spent with work, in milliseconds.
+    /// Total time of steps with running sequences, in milliseconds.
     pub busy_ms: f64,
-    /// Tokens taken in, all requests together.
+    /// Tokens to prefill of all requests, without cached and imported ones.
     pub computed_tokens: u64,
 }
 
 impl Batch {
-    /// Takes in a request, or resumes one that is still here.
+    /// Adds a request, or attaches the new reader to its sequence if that still exists and
+    /// matches.
     pub fn add(
         &mut self,
         cfg: &EngineConfig,
@@ -75,20 +75,19 @@
         }
     }
 
-    /// Ends a request.
+    /// Removes the sequence of a request.
     pub fn cancel(&mut self, id: Uuid) {
         self.running.retain(|s| s.id != id);
         self.waiting.retain(|s| s.id != id);
         self.finished.retain(|s| s.id != id);
     }
 
-    /// Returns a request's sequence.
     pub fn find(&self, id: Uuid) -> Option<&Sequence> {
         let all = self.running.iter().chain(&self.waiting);
         all.chain(&self.finished).find(|s| s.id == id)
     }
 
-    /// Does one step and returns how long it takes, in milliseconds.
+    /// Performs one step and returns how long it takes, in milliseconds.
     pub fn step(&mut self, cfg: &EngineConfig, now_ms: u64) -> f64 {
         self.remove_unread(cfg, now_ms);
         while self.running.len() < cfg.slots as usize && !self.waiting.is_empty() {
@@ -112,7 +111,7 @@
         step_ms
     }
 
-    /// Returns whether there is nothing to step.
+    /// Returns true if there are no sequences, so that no step is needed.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty() && self.finished.is_empty()
     }
@@ -122,6 +121,7 @@
         all.chain(&mut self.finished)
     }
 
+    /// Starts a sequence if a slot is free; queues it by priority otherwise.
     fn enqueue(&mut self, cfg: &EngineConfig, seq: Sequence) {
         if self.running.len() < cfg.slots as usize && self.waiting.is_empty() {
             self.running.push(seq);
@@ -131,6 +131,7 @@
         self.waiting.insert(at, seq);
     }
 
+    /// Spends the prefill budget of one step on the running sequences, in order.
     fn prefill(&mut self, cfg: &EngineConfig, step_ms: f64, now_ms: u64) {
         let mut room = cfg.prefill_tokens_per_s * step_ms / 1_000.0;
         for seq in &mut self.running {
@@ -147,6 +148,7 @@
         }
     }
 
+    /// Removes sequences that have had no reader for `resume_grace_ms`.
     fn remove_unread(&mut self, cfg: &EngineConfig, now_ms: u64) {
         let keep = |s: &mut Sequence| {
             if s.tx.as_ref().is_some_and(UnboundedSender::is_closed) {
@@ -161,7 +163,7 @@
         self.running.retain_mut(keep);
         self.waiting.retain_mut(keep);
         self.finished.retain_mut(|s| {
-            // A whole answer was sent; it stays only for a reader that comes back.
+            // The complete answer was sent; it is retained only for a reader that resumes.
             s.unread_since_ms.get_or_insert(now_ms);
             s.tx = None;
             keep(s)
--- a/standin/src/engine/config.rs
+++ b/standin/src/engine/config.rs
@@ -1,37 +1,37 @@
 use serde::{Deserialize, Serialize};
 
-/// How a model engine's stand-in behaves.
+/// Settings of a model engine's stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineConfig {
-    /// Its name.
+    /// Name of the engine.
     pub name: String,
-    /// The model that it has loaded, or empty.
+    /// Model that is loaded at the start; empty for none.
     pub model: String,
-    /// Requests that it decodes at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Milliseconds of a step with one request running.
+    /// Duration of a step with one running request, in milliseconds.
     pub step_ms: f64,
     /// Milliseconds that each further request adds to a step.
     pub step_ms_per_request: f64,
-    /// Prompt tokens that it takes in a second.
+    /// Tokens prefilled a second.
     pub prefill_tokens_per_s: f64,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// How long a sequence goes on without its reader, in milliseconds.
+    /// How long a sequence is retained without a reader, in milliseconds.
     pub resume_grace_ms: u64,
-    /// How old the load is that it reports, in milliseconds.
+    /// Age of the reported load, in milliseconds.
     pub load_lag_ms: u64,
-    /// How late cache events are published, in milliseconds.
+    /// Delay before a cache event is published, in milliseconds.
     pub events_lag_ms: u64,
-    /// Every n-th cache event is never published; 0 for none.
+    /// Withholds every n-th cache event; 0 publishes all.
     pub events_gap: u64,
-    /// Bytes of KV cache a token.
+    /// Size of the KV cache of one token, in bytes.
     pub kv_bytes_per_token: u64,
-    /// Bytes of KV cache sent in a millisecond.
+    /// Transfer rate of KV caches, in bytes a millisecond.
     pub kv_bytes_per_ms: f64,
-    /// Whether its name is woven into its tokens, so that two engines never
-    /// word an answer alike.
+    /// Adds the engine's name to each token, so that the answers of two engines
+    /// always differ.
     pub salted: bool,
 }
 
--- a/standin/src/engine/mod.rs
+++ b/standin/src/engine/mod.rs
@@ -1,5 +1,6 @@
-//! A model engine's stand-in: continuous batching, a prefix cache, priorities,
-//! resume, cancel, KV export and import, late cache events, lagging load.
+//! Stand-in of a model engine with continuous batching, a prefix cache, priorities,
+//! resume, cancel, KV cache export and import, delayed cache events and delayed load
+//! reports.
 
 mod answer;
 mod batch;
--- a/standin/src/engine/prefix_cache.rs
+++ b/standin/src/engine/prefix_cache.rs
@@ -7,12 +7,12 @@
 /// Tokens in a block of the prefix cache.
 pub const BLOCK_TOKENS: usize = 32;
 
-/// Events kept for readers.
+/// Number of newest cache events retained for readers.
 const MAX_EVENTS: usize = 4_096;
 
-/// Returns the hash of each prefix of a text that ends with a whole block.
+/// Returns the hash of each prefix of a text that consists of complete blocks.
 ///
-/// Published form: the first eight bytes, big-endian, of the SHA-256 of the
+/// The published form is the first eight bytes, big-endian, of the SHA-256 of the
 /// prefix's words, each followed by a space.
 pub fn prefix_hashes(text: &str) -> Vec<u64> {
     let mut hash = Sha256::new();
@@ -30,7 +30,7 @@
     hashes
 }
 
-/// A prefix cache of limited size; the block used least recently goes first.
+/// A prefix cache of limited size that evicts the least recently used block.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     blocks: BTreeMap<u64, u64>,
@@ -41,7 +41,7 @@
 }
 
 impl PrefixCache {
-    /// Returns how many leading tokens are cached, and marks their blocks as used.
+    /// Returns the number of leading tokens that are cached, and marks their blocks as used.
     pub fn cached_tokens(&mut self, hashes: &[u64]) -> usize {
         let n = hashes
             .iter()
@@ -53,7 +53,7 @@
         n * BLOCK_TOKENS
     }
 
-    /// Stores blocks.
+    /// Stores blocks, then evicts down to `max_blocks`.
     pub fn store(&mut self, hashes: &[u64], max_blocks: usize, now_ms: u64) {
         for hash in hashes {
             if !self.blocks.contains_key(hash) {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Returns the events from a place on that are at least `lag_ms` old, less
-    /// every `gap`-th.
+    /// Returns the events from sequence number `from` on that are at least `lag_ms` old,
+    /// without every `gap`-th; with a `gap` of 0 none is left out.
     pub fn events(&self, from: u64, now_ms: u64, lag_ms: u64, gap: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
--- a/standin/src/engine/sequence.rs
+++ b/standin/src/engine/sequence.rs
@@ -1,44 +1,43 @@
 use {super::*, std::sync::Arc, tokio::sync::mpsc::UnboundedSender, uuid::Uuid};
 
-/// A request inside the engine.
+/// The state of a request in the engine.
 #[derive(Debug)]
 pub struct Sequence {
-    /// The request.
+    /// ID of the request.
     pub id: Uuid,
-    /// The attempt that reads it now.
+    /// Attempt that reads the answer now.
     pub attempt: u32,
-    /// The prompt.
     pub prompt: Arc<str>,
-    /// The offset of its first own token.
+    /// Offset of the first token produced here; earlier attempts generated those before it.
     pub start: usize,
-    /// The tokens that it made.
+    /// Tokens produced here.
     pub produced: Vec<String>,
-    /// Length of the whole answer.
+    /// Length of the complete answer, in tokens.
     pub max_tokens: usize,
-    /// Higher goes first.
+    /// Priority in the queue; the higher value is served first.
     pub priority: u8,
-    /// Tokens that are still to be taken in.
+    /// Tokens still to be prefilled.
     pub prefill_remaining: f64,
-    /// Hashes of its prompt's blocks.
+    /// Hashes of the prompt's prefixes, one for each complete block.
     pub hashes: Vec<u64>,
-    /// Where its frames go.
+    /// Channel to the reader; `None` without a reader.
     pub tx: Option<UnboundedSender<CompletionFrame>>,
-    /// Since when nobody reads it, in Unix milliseconds.
+    /// Since when the sequence has no reader, in Unix milliseconds.
     pub unread_since_ms: Option<u64>,
 }
 
 impl Sequence {
-    /// Returns the offset of its next token.
+    /// Returns the offset of the next token.
     pub fn next(&self) -> usize {
         self.start + self.produced.len()
     }
 
-    /// Returns whether its answer is whole.
+    /// Returns true once the answer is complete.
     pub fn is_done(&self) -> bool {
         self.next() >= self.max_tokens
     }
 
-    /// Makes one token and sends it.
+    /// Produces one token and sends it.
     pub fn step(&mut self, cfg: &EngineConfig, now_ms: u64) {
         let offset = self.next();
         let token = answer_token(cfg, &self.prompt, offset);
@@ -47,7 +46,7 @@
         self.send(frame, now_ms);
     }
 
-    /// Sends a frame; a reader that left is noted.
+    /// Sends a frame. If the reader is gone, records since when.
     pub fn send(&mut self, frame: CompletionFrame, now_ms: u64) {
         let sent = self.tx.as_ref().is_some_and(|tx| tx.send(frame).is_ok());
         if !sent {
@@ -56,7 +55,8 @@
         }
     }
 
-    /// Lets a new reader go on after `generated`, if that is what was made here.
+    /// Attaches a new reader after the tokens in `generated`, and returns true, if prompt
+    /// and tokens match those of this sequence.
     pub fn resume(
         &mut self,
         request: &CompletionRequest,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Returns how many tokens a prompt has.
+/// Returns the number of tokens of a prompt: its words.
 pub fn prompt_tokens(prompt: &str) -> usize {
     prompt.split_whitespace().count()
 }
--- a/standin/src/engine/service.rs
+++ b/standin/src/engine/service.rs
@@ -23,6 +23,7 @@
     uuid::Uuid,
 };
 
+/// Queue length from which on further requests are refused with status 429.
 const MAX_WAITING: usize = 512;
 
 /// A model engine's stand-in.
@@ -140,7 +141,7 @@
         };
         let ms = exported.bytes as f64 / self.cfg.kv_bytes_per_ms.max(1.0);
         tokio::time::sleep(Duration::from_micros((ms * 1_000.0) as u64)).await;
-        // Still there at the end of the transfer, or it was cut half-way.
+        // The transfer counts as interrupted if the exporter is gone at its end.
         if self.fetch_export(&request).await.is_none() {
             return text(StatusCode::BAD_GATEWAY, "the exporter left\n");
         }
@@ -203,6 +204,7 @@
         }
     }
 
+    /// Returns the newest load that is at least `load_lag_ms` old, or the oldest one.
     fn lagging_load(&self) -> Load {
         let now = now_ms();
         let mut reports = self.reports.lock();
@@ -225,7 +227,7 @@
     }
 }
 
-/// Steps the batch until the engine is gone.
+/// Steps the batch until the engine is dropped.
 async fn run(engine: Weak<Engine>) {
     let mut due = tokio::time::Instant::now();
     loop {
@@ -256,6 +258,7 @@
     }
 }
 
+/// Sends the frames as server-sent events up to the one with `total`.
 fn event_stream(rx: mpsc::UnboundedReceiver<CompletionFrame>) -> Response<Body> {
     let frames = futures_util::stream::unfold((rx, false), |(mut rx, done)| async move {
         if done {
--- a/standin/src/http/faults.rs
+++ b/standin/src/http/faults.rs
@@ -3,22 +3,22 @@
     std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering},
 };
 
-/// How a stand-in misbehaves, as sent to `/control/faults`. A field that is
-/// left out stays as it is.
+/// Body of `/control/faults`: the faults to inject. Fields that are left out keep their
+/// present value.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultOrder {
-    /// Milliseconds that every answer waits.
+    /// Delay before each request is handled, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// How many requests to refuse before doing anything; -1 for all.
+    /// Number of requests to refuse without executing them; -1 for all.
     pub refuse: Option<i64>,
-    /// How many answers to lose after acting; -1 for all.
+    /// Number of requests to execute without sending the answer; -1 for all.
     pub lose_answers: Option<i64>,
-    /// Whether every request is turned away.
+    /// Closes the connection on every request while true.
     pub down: Option<bool>,
 }
 
-/// The faults in force.
+/// The faults that are injected at present.
 #[derive(Debug, Default)]
 pub struct Faults {
     delay_ms: AtomicU64,
@@ -28,7 +28,7 @@
 }
 
 impl Faults {
-    /// Puts an order in force.
+    /// Applies an order.
     pub fn apply(&self, order: &FaultOrder) {
         if let Some(ms) = order.delay_ms {
             self.delay_ms.store(ms, Ordering::SeqCst);
@@ -44,27 +44,28 @@
         }
     }
 
-    /// Returns the delay of answers in milliseconds.
+    /// Returns the delay of each request in milliseconds.
     pub fn delay_ms(&self) -> u64 {
         self.delay_ms.load(Ordering::SeqCst)
     }
 
-    /// Returns whether every request is turned away.
+    /// Returns true while every request is to fail.
     pub fn is_down(&self) -> bool {
         self.down.load(Ordering::SeqCst)
     }
 
-    /// Returns whether this request is to be refused.
+    /// Returns true if this request is to be refused, and counts it.
     pub fn take_refusal(&self) -> bool {
         take_one(&self.refuse)
     }
 
-    /// Returns whether this answer is to be lost.
+    /// Returns true if this answer is to be lost, and counts it.
     pub fn take_lost_answer(&self) -> bool {
         take_one(&self.lose_answers)
     }
 }
 
+/// Counts a positive `n` down. Returns false if `n` is 0; negative values stay.
 fn take_one(n: &AtomicI64) -> bool {
     let decremented = |n: i64| match n {
         0 => None,
--- a/standin/src/http/mod.rs
+++ b/standin/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a small HTTP server that can misbehave.
+//! HTTP server with fault injection, shared by the stand-ins.
 
 mod faults;
 mod reply;
--- a/standin/src/http/reply.rs
+++ b/standin/src/http/reply.rs
@@ -6,10 +6,10 @@
     std::convert::Infallible,
 };
 
-/// The body of an answer.
+/// The body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut rep = Response::new(Full::new(Bytes::from(bytes)).boxed());
@@ -19,14 +19,14 @@
     rep
 }
 
-/// Returns an answer with a text body.
+/// Returns a response with a text body.
 pub fn text(status: StatusCode, text: &str) -> Response<Body> {
     let mut rep = Response::new(Full::new(Bytes::copy_from_slice(text.as_bytes())).boxed());
     *rep.status_mut() = status;
     rep
 }
 
-/// Returns the typed refusal: the request was not started.
+/// Returns a refusal whose header `x-not-started` states that the request was not executed.
 pub fn not_started(status: StatusCode) -> Response<Body> {
     let mut rep = text(status, "not started");
     let yes = hyper::header::HeaderValue::from_static("true");
--- a/standin/src/http/server.rs
+++ b/standin/src/http/server.rs
@@ -14,19 +14,19 @@
     },
 };
 
-/// The answer of a stand-in, some time later.
+/// The future of a stand-in's response.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// What a stand-in does with requests.
+/// A stand-in that handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(self: Arc<Self>, req: Request<Bytes>) -> ResponseFuture;
 
-    /// Returns the faults in force.
+    /// Returns the faults to inject.
     fn faults(&self) -> &Faults;
 }
 
-/// A stand-in that runs; it stops when dropped.
+/// A running stand-in, which stops when this handle is dropped.
 #[derive(Debug)]
 pub struct ServerHandle {
     addr: SocketAddr,
@@ -34,17 +34,17 @@
 }
 
 impl ServerHandle {
-    /// Returns where it listens.
+    /// Returns the address on which the stand-in listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Returns whether it was stopped.
+    /// Returns true once the stand-in has stopped.
     pub fn is_stopped(&self) -> bool {
         self.abort.is_finished()
     }
 
-    /// Stops it at once: connections are cut.
+    /// Stops the stand-in at once and closes its connections.
     pub fn stop(&self) {
         self.abort.abort();
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// Serves a handler.
+/// Listens on `addr` and serves requests with `handler`.
 ///
 /// # Errors
 ///
@@ -94,6 +94,7 @@
         .await;
 }
 
+/// Handles one request with the faults applied. Requests under `/control` are exempt.
 async fn respond(
     req: Request<Incoming>,
     handler: Arc<impl Handler>,
@@ -123,7 +124,7 @@
     let lost = faults.take_lost_answer();
     let rep = handler.clone().handle(req).await;
     if lost {
-        return Err(io::Error::other("answer lost"));
+        return Err(io::Error::other("response dropped by an injected fault"));
     }
     Ok(rep)
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the outside systems that saddlepulley meets, and a load tool.
+//! Stand-ins for the external systems that saddlepulley calls, and a load generator.
 //!
-//! Each stand-in speaks the published protocol of what it stands for over HTTP,
-//! and takes orders to misbehave under `/control`.
+//! Each stand-in implements the published HTTP protocol of the system that it replaces.
+//! Requests under `/control` inject faults and change its settings.
 
 pub mod engine;
 pub mod http;
--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! The load tool: open loop, seeded, with latencies counted from the time at
-//! which a request should have been sent.
+//! Open-loop load generator with a seeded schedule. Latencies are measured from the
+//! scheduled time of a request.
 
 mod report;
 mod run;
--- a/standin/src/load/report.rs
+++ b/standin/src/load/report.rs
@@ -1,53 +1,53 @@
 use {hdrhistogram::Histogram, serde::Serialize, std::collections::BTreeMap};
 
-/// How one request went.
+/// The measurements of one request.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// When it was due, in microseconds from the start.
+    /// Scheduled time, in microseconds from the start.
     pub due_us: u64,
-    /// Which stream it is of.
+    /// Index of the workload's stream.
     pub stream: usize,
-    /// From when it was due to its first token or answer, in microseconds.
+    /// Time from the schedule to the first token or the plain answer, in microseconds.
     pub first_us: Option<u64>,
-    /// From when it was due to its end, in microseconds.
+    /// Time from the schedule to the end, in microseconds.
     pub total_us: u64,
-    /// Tokens of the answer.
+    /// Number of tokens received.
     pub tokens: u64,
-    /// Gaps between tokens over 46 ms.
+    /// Number of gaps between tokens that exceeded 46 ms.
     pub slow_gaps: u64,
-    /// `whole`, or the outcome that was told, or `lost`.
+    /// `whole` for a complete answer, the outcome that the error names, or `lost` without one.
     pub outcome: String,
-    /// Whether it met its target.
+    /// True if the answer is complete and met its latency targets.
     pub on_target: bool,
-    /// How often it was sent.
+    /// How often the request was sent, retries included.
     pub sends: u32,
 }
 
-/// What a run of the load tool found.
+/// The results of a load run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// Requests that were due.
+    /// Number of scheduled requests.
     pub requests: usize,
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub outcomes: BTreeMap<String, usize>,
-    /// Requests that met their target.
+    /// Number of requests that met their target.
     pub on_target: usize,
-    /// Tokens of answers.
+    /// Number of tokens received.
     pub tokens: u64,
-    /// Time to the first token or answer, in milliseconds: p50, p95, p99.
+    /// Time to the first token or the plain answer, in milliseconds: p50, p95, p99.
     pub first_ms: [f64; 3],
     /// Time to the end, in milliseconds: p50, p95, p99.
     pub total_ms: [f64; 3],
-    /// How often requests were sent, per request.
+    /// Mean number of sends per request.
     pub sends_per_request: f64,
-    /// Requests on target by second of their due time.
+    /// Number of requests that met their target, by second of their scheduled time.
     pub on_target_by_s: Vec<usize>,
-    /// Requests due by second.
+    /// Number of requests by second of their scheduled time.
     pub due_by_s: Vec<usize>,
 }
 
 impl LoadReport {
-    /// Works out the report from samples.
+    /// Computes the report from samples.
     pub fn from_samples(samples: &[Sample]) -> Self {
         let mut outcomes = BTreeMap::new();
         let mut first = histogram();
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Returns the share of requests on target that were due in some seconds.
+    /// Returns the share of requests on target among those scheduled in the seconds from
+    /// `from_s` up to `to_s`, exclusive.
     pub fn goodput(&self, from_s: usize, to_s: usize) -> f64 {
         let sum = |v: &[usize]| v.iter().take(to_s).skip(from_s).sum::<usize>() as f64;
         sum(&self.on_target_by_s) / sum(&self.due_by_s).max(1.0)
--- a/standin/src/load/run.rs
+++ b/standin/src/load/run.rs
@@ -16,16 +16,18 @@
     tokio::task::JoinSet,
 };
 
-/// The target between tokens.
+/// A longer gap between two tokens counts as slow.
 const MAX_TOKEN_GAP: Duration = Duration::from_millis(46);
+/// Share of slow gaps among a request's tokens up to which it is on target.
 const MAX_SLOW_GAP_SHARE: f64 = 0.05;
-/// How long an answer is waited for where no deadline is set.
+/// Longest wait for the answer to a request without a deadline.
 const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(60);
+/// Bound of the connections over which one answer is read.
 const MAX_REATTACHES: u32 = 60;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Sends a workload to the boxes in turn and waits for all answers.
+/// Sends a workload to the boxes in round-robin order and waits for all answers.
 pub async fn run(workload: &Workload, boxes: &[SocketAddr]) -> Vec<Sample> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
@@ -43,7 +45,7 @@
             first: n,
             stream: streams[due.stream].clone(),
             due,
-            // Counted from when it should have been sent, however late it was.
+            // Latencies start at the scheduled time, even if the request is sent late.
             at,
             tokens: 0,
             slow_gaps: 0,
@@ -137,7 +139,7 @@
         self.read_with_reattach(rep.into_body()).await
     }
 
-    /// Sends to the first box that takes connections, as a balancer does.
+    /// Sends to the first box that accepts connections, as a load balancer does.
     async fn open(&self, path: &str, body: &str) -> Option<Response<Incoming>> {
         for n in 0..self.boxes.len() {
             let at = self.boxes[(self.first + n) % self.boxes.len()];
@@ -156,7 +158,7 @@
         None
     }
 
-    /// Reads the answer over as many connections as it takes.
+    /// Reads the answer, and reattaches to it where the connection ends early.
     async fn read_with_reattach(&mut self, body: Incoming) -> String {
         if let Some(outcome) = self.read_events(body).await {
             return outcome;
@@ -181,6 +183,8 @@
         "lost".to_string()
     }
 
+    /// Reads events up to the end of the answer and returns the outcome; `None` if the
+    /// connection ended first.
     async fn read_events(&mut self, mut body: Incoming) -> Option<String> {
         let mut buf = String::new();
         while let Some(Ok(frame)) = body.frame().await {
@@ -195,7 +199,8 @@
         None
     }
 
-    /// Returns whether reading is over, and with which end.
+    /// Returns `None` if the stream goes on, `Some(None)` if the reader is to reattach, and
+    /// the outcome at the end of the answer.
     fn handle_event(&mut self, event: &str) -> Option<Option<String>> {
         let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
         let doc: Value = serde_json::from_str(field("data: ")?).unwrap_or_default();
--- a/standin/src/load/workload.rs
+++ b/standin/src/load/workload.rs
@@ -4,75 +4,76 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A workload, as its file gives it.
+/// A workload file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
-    /// Where randomness starts.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// How long requests are sent, in seconds.
+    /// Duration of sending, in seconds.
     pub duration_s: f64,
-    /// The kinds of request.
+    /// Streams of requests of one kind each.
     #[serde(rename = "stream")]
     pub streams: Vec<Stream>,
 }
 
-/// One kind of request.
+/// A stream of requests of one kind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stream {
-    /// The bearer token of its client account.
+    /// Bearer token of the client account.
     pub token: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Whether it is a model call.
+    /// True for calls of a model, false for calls of a plain service.
     pub model: bool,
-    /// Requests a second.
+    /// Mean number of requests a second.
     pub rate: f64,
-    /// When it starts, in seconds.
+    /// Start of the stream, in seconds from the start of the workload.
     #[serde(default)]
     pub from_s: f64,
-    /// When it ends, in seconds; 0 for the end of the workload.
+    /// End of the stream, in seconds; 0 for the end of the workload.
     #[serde(default)]
     pub to_s: f64,
-    /// How many different documents the prompts begin with; 0 for none.
+    /// Number of different documents with which prompts begin; 0 for none.
     #[serde(default)]
     pub documents: u32,
-    /// Tokens of a document.
+    /// Length of a document in tokens.
     #[serde(default)]
     pub document_tokens: u32,
-    /// Tokens of a prompt beside its document, at least and at most.
+    /// Minimum and maximum tokens of a prompt without its document.
     #[serde(default = "default_prompt_tokens")]
     pub prompt_tokens: [u32; 2],
-    /// Tokens of an answer, at least and at most.
+    /// Minimum and maximum tokens of an answer.
     #[serde(default = "default_answer_tokens")]
     pub answer_tokens: [u32; 2],
-    /// The target for the first token, or a plain call's answer, in milliseconds.
+    /// Latency target for the first token or the plain answer, in milliseconds.
     #[serde(default = "default_first_ms")]
     pub first_ms: u64,
-    /// The deadline sent with it, in milliseconds; 0 for none.
+    /// Deadline sent with each request, in milliseconds; 0 for none.
     #[serde(default)]
     pub deadline_ms: u64,
-    /// How often a caller asks again after a failure, at once, as an impatient one does.
+    /// Number of immediate retries after a failure, as by an impatient caller.
     #[serde(default)]
     pub caller_retries: u32,
 }
 
-/// A request that is due.
+/// A scheduled request.
 #[derive(Clone, Debug)]
 pub struct DueRequest {
-    /// When it is sent, in microseconds from the start.
+    /// Scheduled time, in microseconds from the start.
     pub at_us: u64,
-    /// Which stream it is of.
+    /// Index of the workload's stream.
     pub stream: usize,
-    /// The prompt.
+    /// Prompt or body of the request.
     pub prompt: String,
-    /// Tokens of the answer.
+    /// Length of the answer in tokens.
     pub answer_tokens: u32,
 }
 
 impl Workload {
-    /// Works out all requests: Poisson arrivals, the same for the same seed.
+    /// Computes all requests, sorted by time. Arrivals are a Poisson process and depend
+    /// only on the workload and its seed.
     pub fn schedule(&self) -> Vec<DueRequest> {
         let mut all = Vec::new();
         for (n, stream) in self.streams.iter().enumerate() {
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes of their own.
+//! Command line that runs a stand-in or the load generator as a separate process.
 
 use {
     pico_args::Arguments,
--- a/standin/src/plain/mod.rs
+++ b/standin/src/plain/mod.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in, which counts every execution per key.
+//! Stand-in of a plain service, which counts executions by idempotency key.
 
 use {
     crate::http::*,
@@ -9,14 +9,14 @@
     std::{collections::BTreeMap, io, net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How a plain service's stand-in behaves.
+/// Settings of a plain service's stand-in.
 #[derive(Clone, Debug)]
 pub struct PlainConfig {
-    /// Its name, shown in answers.
+    /// Name of the service instance, included in answers.
     pub name: String,
-    /// How long a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub work_ms: u64,
-    /// Whether a key with an older fencing token is refused.
+    /// Refuses a call whose fencing token is older than one seen for the same key.
     pub checks_fence: bool,
 }
 
@@ -70,6 +70,8 @@
         json(StatusCode::OK, &answer)
     }
 
+    /// Records the fencing token of a key. Returns false if it is outdated and fencing
+    /// tokens are checked.
     fn accept_fence(&self, key: &str, fence: Option<u64>) -> bool {
         let Some(fence) = fence.filter(|_| self.cfg.checks_fence) else {
             return true;
@@ -87,7 +89,7 @@
 impl Handler for Plain {
     fn handle(self: Arc<Self>, req: Request<Bytes>) -> ResponseFuture {
         Box::pin(async move {
-            // A call goes on when its caller leaves, as a real service's would.
+            // As in a real service, a call completes even if its caller disconnects.
             let task = tokio::spawn(async move { self.call(req).await });
             task.await
                 .unwrap_or_else(|_| text(StatusCode::INTERNAL_SERVER_ERROR, "panicked\n"))
--- a/standin/src/platform/cloud_state.rs
+++ b/standin/src/platform/cloud_state.rs
@@ -7,25 +7,25 @@
     },
 };
 
-/// A box as the box list shows it.
+/// An entry of the box list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListedBox {
-    /// The box's name.
+    /// Name of the box.
     pub id: String,
-    /// Which life of the box.
+    /// Incarnation of the box.
     pub incarnation: u64,
     /// `live`, `leaving` or `gone`.
     pub state: String,
-    /// When it is taken, in Unix milliseconds; 0 if not known.
+    /// When the cloud takes the box back, in Unix milliseconds; 0 if not known.
     #[serde(default)]
     pub leaves_at_ms: u64,
     /// `entry`, `engine` or `plain`.
     pub kind: String,
-    /// The failure domain.
+    /// Failure domain of the box.
     pub failure_domain: String,
-    /// Where it takes calls.
+    /// Address on which the box accepts calls.
     pub address: SocketAddr,
-    /// The service that it serves, or empty.
+    /// Service that the box runs; empty for none.
     #[serde(default)]
     pub service: String,
     /// `reclaimable` or `on-demand`.
@@ -33,7 +33,7 @@
     /// Price in millionths of a currency unit a second.
     #[serde(default)]
     pub price_micros: u64,
-    /// Whether it checks fencing tokens.
+    /// True if the box checks fencing tokens.
     #[serde(default)]
     pub checks_fence: bool,
 }
@@ -41,53 +41,55 @@
 /// A reclaim notice.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Notice {
-    /// Its place in the sequence of notices.
+    /// Sequence number of the notice.
     pub seq: u64,
-    /// The box.
+    /// Name of the box.
     pub id: String,
-    /// Which life of the box.
+    /// Incarnation of the box.
     pub incarnation: u64,
-    /// When it is taken, in Unix milliseconds.
+    /// When the cloud takes the box back, in Unix milliseconds.
     pub leaves_at_ms: u64,
 }
 
 /// An order for a box.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BoxOrder {
-    /// The orderer's own name for the order; the same name orders once.
+    /// Idempotency token chosen by the daemon that orders: repeated orders with the same
+    /// token count once.
     pub client_token: String,
-    /// The fencing token of the orderer's lease.
+    /// Fencing token of the lease under which the order is sent.
     pub fence: u64,
-    /// The failure domain.
+    /// Failure domain in which the box is to start.
     pub failure_domain: String,
     /// `reclaimable` or `on-demand`.
     pub class: String,
-    /// The service that the box shall serve.
+    /// Service that the box is to run.
     pub service: String,
 }
 
-/// What the cloud and the box list know.
+/// The state of the cloud API and the box list.
 #[derive(Debug, Default)]
 pub struct CloudState {
-    /// All boxes, with the time of their last change.
+    /// All boxes with the time of their last change in Unix milliseconds, by name.
     pub boxes: BTreeMap<String, (u64, ListedBox)>,
+    /// State of each box before its last change, which the list shows while it lags.
     previous: BTreeMap<String, ListedBox>,
-    /// All notices.
+    /// All notices, by sequence number.
     pub notices: Vec<Notice>,
-    /// Orders that were taken.
+    /// Accepted orders.
     pub orders: Vec<BoxOrder>,
-    /// The highest fencing token of each failure domain.
+    /// Highest fencing token received for each failure domain.
     pub fences: BTreeMap<String, u64>,
-    /// How long the box list lags, in milliseconds.
+    /// Delay after which a change appears in the box list, in milliseconds.
     pub list_lag_ms: u64,
-    /// Classes that the cloud refuses for now.
+    /// Box classes of which orders are refused.
     pub refused_classes: Vec<String>,
-    /// Notices that are not sent, for trials.
+    /// Suppresses reclaim notices, as a fault to test.
     pub mute_notices: bool,
 }
 
 impl CloudState {
-    /// Puts a box into the list, or changes it.
+    /// Adds a box to the list, or replaces its entry.
     pub fn put(&mut self, b: ListedBox) {
         if let Some((_, old)) = self.boxes.get(&b.id) {
             self.previous.insert(b.id.clone(), old.clone());
@@ -95,7 +97,8 @@
         self.boxes.insert(b.id.clone(), (now_ms(), b));
     }
 
-    /// Returns the list as it lags: a recent change isn't shown yet.
+    /// Returns the box list as it was `list_lag_ms` ago; a box without an older state is
+    /// left out.
     pub fn list(&self) -> Vec<ListedBox> {
         let visible_until_ms = now_ms().saturating_sub(self.list_lag_ms);
         self.boxes
@@ -109,7 +112,7 @@
             .collect()
     }
 
-    /// Announces that boxes will be taken.
+    /// Marks boxes as leaving and issues reclaim notices, unless these are muted.
     pub fn reclaim(&mut self, ids: &[String], notice_ms: u64) {
         let leaves_at_ms = now_ms() + notice_ms;
         for id in ids {
--- a/standin/src/platform/log_streams.rs
+++ b/standin/src/platform/log_streams.rs
@@ -3,33 +3,33 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// A record as a read returns it.
+/// A record of a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its offset in the stream.
+    /// Offset in the stream.
     pub offset: u64,
-    /// What was appended.
+    /// Content of the record.
     pub data: String,
 }
 
 /// A page of a stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The lowest offset that retention has left.
+    /// Lowest offset that is retained.
     pub first: u64,
-    /// The offset of the next append.
+    /// Offset that the next append gets.
     pub next: u64,
-    /// The records.
+    /// Records of the page, by offset.
     pub records: Vec<LogEntry>,
 }
 
-/// Append-only streams with offsets and a retention.
+/// Append-only streams that retain a limited number of records.
 #[derive(Debug, Default)]
 pub struct LogStreams {
     streams: BTreeMap<String, Stream>,
-    /// How many records each stream keeps; 0 for all.
+    /// Number of records that each stream retains; 0 for all.
     pub keep: usize,
-    /// How many appends were taken.
+    /// Number of appends to all streams.
     pub appends: u64,
 }
 
@@ -56,7 +56,7 @@
         offset
     }
 
-    /// Reads from an offset.
+    /// Reads up to `max` records from an offset on.
     pub fn read(&self, stream: &str, from: u64, max: usize) -> LogPage {
         let Some(stream) = self.streams.get(stream) else {
             return LogPage {
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: log service, box list, cloud API and weight store.
+//! Stand-in of the platform: log service, box list, cloud API and weight store.
 
 mod cloud_state;
 mod log_streams;
--- a/standin/src/platform/service.rs
+++ b/standin/src/platform/service.rs
@@ -16,7 +16,9 @@
     tokio::sync::Notify,
 };
 
+/// Bound of the `wait_ms` that a long poll may ask for.
 const MAX_WAIT_MS: u64 = 5_000;
+/// Bound of the number of records in a page.
 const MAX_PAGE: usize = 1_000;
 
 /// The platform's stand-in.
@@ -29,6 +31,7 @@
     changed: Notify,
 }
 
+/// The weight store, which limits the number of pulls a minute.
 #[derive(Debug)]
 struct WeightStore {
     per_minute: u32,
@@ -44,14 +47,14 @@
     }
 }
 
-/// An order of `/control/reclaim`.
+/// The body of `/control/reclaim`.
 #[derive(Debug, Deserialize)]
 struct ReclaimOrder {
     boxes: Vec<String>,
     notice_ms: u64,
 }
 
-/// An order of `/control/settings`.
+/// The body of `/control/settings`. Fields that are left out keep their present value.
 #[derive(Debug, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
 struct SettingsOrder {
@@ -127,6 +130,8 @@
         json(StatusCode::OK, &value!({ "notices": new_notices }))
     }
 
+    /// Polls `ready` on each change until it returns a value, for at most `wait_ms` of the
+    /// query. Returns `None` after that, or while the platform is down.
     async fn wait_for<T>(
         &self,
         query: &BTreeMap<String, u64>,
@@ -262,7 +267,7 @@
     }
 }
 
-/// Returns the numbers of a query.
+/// Returns the numeric parameters of a query.
 fn parse_query(req: &Request<Bytes>) -> BTreeMap<String, u64> {
     req.uri()
         .query()
--- a/standin/src/runner/behaviour.rs
+++ b/standin/src/runner/behaviour.rs
@@ -1,23 +1,23 @@
-/// What a runner does with its requests.
+/// How a runner handles its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Runs them.
+    /// Runs requests and answers them.
     Serve,
-    /// Refuses them before their start.
+    /// Refuses requests without running them, marked `x-not-started`.
     Refuse,
-    /// Runs them, and closes the connection without an answer.
+    /// Runs requests, and closes the connection without an answer.
     LoseAnswer,
-    /// Runs them, and closes the connection inside the event with this number.
+    /// Runs requests, and closes the connection halfway through the event with this number.
     CutStream(u64),
-    /// Runs them; one whose body begins with "crash" ends the runner soon after it began
-    /// to run, and with it all that runs beside it. The runner is back a little later.
+    /// Runs requests. One whose body begins with "crash" crashes the runner soon after its
+    /// start, together with all requests that run there. The runner restarts later.
     CrashOnRequest,
-    /// Runs them, and says nothing any more.
+    /// Accepts requests and never answers.
     Hang,
-    /// Runs them, and answers that it failed.
+    /// Runs requests and answers with status 500.
     Fail,
-    /// Runs them, and answers 503 without saying that it did not.
+    /// Runs requests and answers with status 503, without the mark `x-not-started`.
     BareUnavailable,
-    /// Runs them, and answers in the name of another request.
+    /// Runs requests, and signs the answers for another attempt.
     WrongAttempt,
 }
--- a/standin/src/runner/mod.rs
+++ b/standin/src/runner/mod.rs
@@ -1,5 +1,5 @@
-//! An upstream of the routed path: answers requests byte for byte, streams
-//! numbered events, and misbehaves on order.
+//! Stand-in of an upstream of the routed path: echoes requests, streams numbered events,
+//! and injects faults.
 
 mod behaviour;
 mod service;
--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -25,28 +25,27 @@
     },
 };
 
+/// Time before each event of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(15);
-/// What the body of a request begins with that crashes a runner.
+/// A request whose body begins with these bytes crashes the runner.
 const CRASH_PREFIX: &[u8] = b"crash";
-/// How long after it began to run such a request crashes its runner.
+/// Time from the start of such a request to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(40);
-/// How long a runner is gone that crashed.
+/// Time from a crash to the restart of the runner.
 const RESTART_DELAY: Duration = Duration::from_millis(1_200);
 
 type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A request that came to a runner.
+/// A request received by a runner.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// The client's attempt.
+    /// Value of the header `saddlepulley-attempt`.
     pub attempt: String,
-    /// Path and query.
+    /// Request target: path and query.
     pub target: String,
-    /// The headers.
     pub headers: HeaderMap,
-    /// The body.
     pub body: Bytes,
-    /// When it came.
+    /// When the request was received.
     pub at: Instant,
 }
 
@@ -56,23 +55,23 @@
     behaviour: Mutex<Behaviour>,
     events: u64,
     runs: Mutex<Vec<ReceivedRequest>>,
-    /// Answers that were dropped by the other side before their end.
+    /// Streams that the client dropped before their end.
     abandoned: Mutex<u64>,
-    /// Requests that it did not begin.
+    /// Number of requests that were not started.
     refusals: Mutex<u64>,
-    /// How often it crashed.
+    /// Number of crashes and restarts; a change ends the present connections.
     crashes: watch::Sender<u64>,
-    /// Those among them that it turned away for its own sake.
+    /// Requests refused by `Behaviour::Refuse`; misdirected ones are not among them.
     refused_requests: Mutex<Vec<ReceivedRequest>>,
-    /// What it names in each answer as the requests a second that it takes.
+    /// Value of `saddlepulley-limit` in each answer: the requests a second that the runner accepts.
     rate_limit: Mutex<Option<HeaderValue>>,
-    /// What it names in each refusal as the seconds of rest that it wants.
+    /// Value of `Retry-After` in refusals, in seconds.
     retry_after: Mutex<Option<HeaderValue>>,
-    /// What it says in each answer of whether it leaves.
+    /// Value of `saddlepulley-leaving` in each answer.
     leaving: Mutex<Option<HeaderValue>>,
 }
 
-/// A runner; it stops when dropped.
+/// A runner, which stops when dropped.
 #[derive(Debug)]
 pub struct Runner {
     shared: Arc<Shared>,
@@ -87,7 +86,7 @@
 }
 
 impl Runner {
-    /// Starts a runner whose streams hold some events.
+    /// Starts a runner whose streams hold `events` events.
     ///
     /// # Errors
     ///
@@ -116,23 +115,24 @@
         })
     }
 
-    /// Returns its id.
+    /// Returns the upstream ID of the runner.
     pub fn id(&self) -> &str {
         &self.shared.id
     }
 
-    /// Returns where it listens.
+    /// Returns the address on which the runner listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what it does with requests that come from now on.
+    /// Changes how later requests are handled.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.shared.behaviour.lock() = behaviour;
     }
 
-    /// Changes how many requests a second it says that it takes from all together: any
-    /// text, or nothing. It takes all that come all the same.
+    /// Sets the header that names how many requests a second the runner accepts from all
+    /// daemons together; any text is possible, `None` removes the header. The runner does
+    /// not enforce the limit.
     ///
     /// # Panics
     ///
@@ -141,8 +141,8 @@
         *self.shared.rate_limit.lock() = limit.map(header_value);
     }
 
-    /// Changes for how many seconds it wants rest, as its refusals say: any text, or
-    /// nothing. It keeps no account of who comes sooner.
+    /// Sets the header `Retry-After` of refusals; any text is possible, `None` removes the
+    /// header. The runner does not check whether requests come sooner.
     ///
     /// # Panics
     ///
@@ -151,8 +151,8 @@
         *self.shared.retry_after.lock() = seconds.map(header_value);
     }
 
-    /// Changes what its answers say of whether it leaves: any text, or nothing. It takes
-    /// all that comes all the same.
+    /// Sets the header by which answers announce that the runner leaves; any text is
+    /// possible, `None` removes the header. The runner still accepts requests.
     ///
     /// # Panics
     ///
@@ -161,38 +161,38 @@
         *self.shared.leaving.lock() = word.map(header_value);
     }
 
-    /// Ends it; it is back a little later, at the same address and under the same id.
+    /// Stops the runner; it restarts after a delay, with the same address and ID.
     pub fn restart(&self) {
         self.shared.crashes.send_modify(|n| *n += 1);
     }
 
-    /// Returns the requests that it turned away for its own sake.
+    /// Returns the requests refused by `Behaviour::Refuse`.
     pub fn refused_requests(&self) -> Vec<ReceivedRequest> {
         self.shared.refused_requests.lock().clone()
     }
 
-    /// Returns what it began to run.
+    /// Returns the requests that were started.
     pub fn runs(&self) -> Vec<ReceivedRequest> {
         self.shared.runs.lock().clone()
     }
 
-    /// Returns how many requests it did not begin.
+    /// Returns the number of requests that were not started.
     pub fn refusals(&self) -> u64 {
         *self.shared.refusals.lock()
     }
 
-    /// Returns how often it crashed.
+    /// Returns the number of crashes and restarts.
     pub fn crashes(&self) -> u64 {
         *self.shared.crashes.borrow()
     }
 
-    /// Returns how many answers were dropped before their end.
+    /// Returns the number of streams that clients dropped before their end.
     pub fn abandoned(&self) -> u64 {
         *self.shared.abandoned.lock()
     }
 }
 
-/// Serves one life after the other.
+/// Serves until a crash, then listens again on the same address, and so on.
 async fn serve_across_restarts(first: TcpListener, address: SocketAddr, shared: Arc<Shared>) {
     let mut listener = first;
     loop {
@@ -225,13 +225,13 @@
     let service = service_fn(move |request| respond(request, shared.clone()));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        // An answer that fails closes the connection: that is what is wanted.
+        // A failed answer closes the connection, which is the fault to inject.
         _ = connection => {}
         _ = crashed.changed() => {}
     }
 }
 
-/// Crashes the runner a little later.
+/// Crashes the runner after `CRASH_DELAY`.
 async fn crash_after_delay(shared: Arc<Shared>) {
     tokio::time::sleep(CRASH_DELAY).await;
     shared.crashes.send_modify(|n| *n += 1);
@@ -264,14 +264,14 @@
     if behaviour == Behaviour::Refuse {
         *shared.refusals.lock() += 1;
         shared.refused_requests.lock().push(run);
-        return Ok(refused_requests(&shared));
+        return Ok(refusal_with_retry_after(&shared));
     }
     shared.runs.lock().push(run);
     let is_stream = head.uri.path().starts_with("/stream/");
     if behaviour == Behaviour::CrashOnRequest && body.starts_with(CRASH_PREFIX) {
         tokio::spawn(crash_after_delay(shared.clone()));
         if !is_stream {
-            // It crashes before it answers.
+            // The runner crashes before it answers.
             std::future::pending::<()>().await;
         }
     }
@@ -312,6 +312,7 @@
     }
 }
 
+/// Returns a refusal that states that the request was not started.
 fn not_started(shared: &Shared, status: StatusCode) -> Response<ResponseBody> {
     let mut answer = Response::new(body_of("not started"));
     *answer.status_mut() = status;
@@ -321,7 +322,8 @@
     answer
 }
 
-fn refused_requests(shared: &Shared) -> Response<ResponseBody> {
+/// Returns the refusal of an overloaded runner, with `Retry-After` if set.
+fn refusal_with_retry_after(shared: &Shared) -> Response<ResponseBody> {
     let mut answer = not_started(shared, StatusCode::SERVICE_UNAVAILABLE);
     if let Some(retry_after) = shared.retry_after.lock().clone() {
         answer.headers_mut().insert(RETRY_AFTER, retry_after);
@@ -333,7 +335,7 @@
     HeaderValue::from_str(text).expect("a header's value")
 }
 
-/// Adds what it says of itself in all its answers.
+/// Adds the headers about the runner's state that all answers carry.
 fn add_state_headers(answer: &mut Response<ResponseBody>, shared: &Shared) {
     let headers = answer.headers_mut();
     if let Some(limit) = shared.rate_limit.lock().clone() {
@@ -375,7 +377,7 @@
     add_state_headers(answer, shared);
 }
 
-/// Counts an answer that is dropped before its end.
+/// Counts a stream as abandoned if dropped before its end.
 struct AbandonmentGuard {
     shared: Arc<Shared>,
     next: u64,
@@ -383,7 +385,7 @@
 }
 
 impl AbandonmentGuard {
-    /// Notes that the answer reached its end.
+    /// Records that the stream reached its end.
     fn finish(&mut self) {
         self.done = true;
     }
--- a/standin/src/store/duty_call.rs
+++ b/standin/src/store/duty_call.rs
@@ -1,14 +1,14 @@
 use serde_json::Value;
 
-/// A call for a duty that was taken.
+/// An accepted call to the API for duties.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DutyCall {
     /// `usage` or `scale`.
     pub duty: String,
-    /// Who made it.
+    /// Lease holder that made the call.
     pub holder: String,
-    /// With which fencing token.
+    /// Fencing token of the holder's lease.
     pub fence: u64,
-    /// The body.
+    /// Body of the call.
     pub body: Value,
 }
--- a/standin/src/store/mod.rs
+++ b/standin/src/store/mod.rs
@@ -1,5 +1,6 @@
-//! The users' store and API for duties, as far as their published protocol is
-//! spoken here: topics, keyed topics, appends under a condition, usage, orders.
+//! Stand-in of the users' store and of the API for duties. Implements the parts of their
+//! published protocol that are used here: topics, keyed topics, conditional appends, usage
+//! and orders.
 
 mod duty_call;
 mod paced_body;
--- a/standin/src/store/paced_body.rs
+++ b/standin/src/store/paced_body.rs
@@ -10,22 +10,22 @@
     tokio::time::{Sleep, sleep},
 };
 
-/// The time between two pieces of a paced body.
+/// Time between two chunks of a body.
 const CHUNK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How answers are delivered.
+/// How the bodies of answers are delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// At once.
+    /// At once, in one chunk.
     #[default]
     AtOnce,
-    /// Steadily, at most so many bytes a second, as over a small link.
+    /// At most this many bytes a second, as over a slow link.
     Throttled(usize),
-    /// The first so many bytes, then nothing more.
+    /// This many bytes, then nothing more, with the connection left open.
     Stalled(usize),
 }
 
-/// The body of an answer, delivered as told.
+/// The body of an answer, delivered in chunks according to `Delivery`.
 #[derive(Debug)]
 pub struct PacedBody {
     remaining: Bytes,
@@ -34,7 +34,6 @@
 }
 
 impl PacedBody {
-    /// Makes a body.
     pub fn new(bytes: Bytes, delivery: Delivery) -> Self {
         Self {
             remaining: bytes,
@@ -43,7 +42,7 @@
         }
     }
 
-    /// Returns how many bytes may go out now; none while it stalls.
+    /// Returns the size of the next chunk; `None` once the delivery stalls.
     fn next_chunk_bytes(&mut self) -> Option<usize> {
         match &mut self.delivery {
             Delivery::AtOnce => Some(self.remaining.len()),
@@ -73,7 +72,7 @@
             return Poll::Pending;
         }
         let Some(next_chunk_bytes) = self.next_chunk_bytes() else {
-            // Nothing wakes it: its caller has to give up.
+            // No waker is registered, so the client has to time out.
             return Poll::Pending;
         };
         let next_chunk_bytes = next_chunk_bytes.min(self.remaining.len());
--- a/standin/src/store/service.rs
+++ b/standin/src/store/service.rs
@@ -23,18 +23,18 @@
     changed: watch::Sender<u64>,
     calls: Mutex<Vec<DutyCall>>,
     down: Mutex<bool>,
-    /// While it holds, calls get no answer, nor do those that wait for one.
+    /// While true, calls get no answer, including those in progress.
     silent: watch::Sender<bool>,
     delivery: Mutex<Delivery>,
-    /// The newest epoch and number of each producer, by topic.
+    /// Newest epoch and sequence number, by `topic/producer`.
     producers: Mutex<HashMap<String, (u64, u64)>>,
-    /// How often each topic was listed whole.
+    /// Number of listings of each keyed topic.
     listings: Mutex<HashMap<String, u64>>,
-    /// How many reads of each topic have come.
+    /// Number of reads received for each topic.
     reads: watch::Sender<HashMap<String, u64>>,
 }
 
-/// A store; it stops when dropped.
+/// A store, which stops when dropped.
 #[derive(Debug)]
 pub struct Store {
     shared: Arc<Shared>,
@@ -76,19 +76,19 @@
         })
     }
 
-    /// Returns where it listens, for both the store and the API for duties.
+    /// Returns the address of both the store and the API for duties.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Writes a key of a keyed topic.
+    /// Writes the value of a key to a keyed topic.
     pub fn put(&self, topic: &str, key: &str, value: &Value) {
         let value = value.to_string();
         self.shared.topics.lock().put(topic, key, value.as_bytes());
         self.shared.changed.send_modify(|n| *n += 1);
     }
 
-    /// Writes any bytes as the key and the value of a keyed topic's record.
+    /// Writes a record of a keyed topic with arbitrary bytes as key and value.
     pub fn put_bytes(&self, topic: &str, key: &[u8], value: &[u8]) {
         let mut record = vec![key.len() as u8];
         record.extend_from_slice(key);
@@ -96,13 +96,13 @@
         self.append(topic, &record);
     }
 
-    /// Appends any bytes to a topic.
+    /// Appends arbitrary bytes to a topic.
     pub fn append(&self, topic: &str, record: &[u8]) {
         self.shared.topics.lock().append(topic, record);
         self.shared.changed.send_modify(|n| *n += 1);
     }
 
-    /// Returns all values that a key of a keyed topic had, in order.
+    /// Returns all values written for a key of a keyed topic, in order.
     pub fn values(&self, topic: &str, key: &str) -> Vec<Value> {
         let topics = self.shared.topics.lock();
         let mine = topics.read(topic, 0).iter().filter_map(|record| {
@@ -121,24 +121,24 @@
         kept.map(|(key, _)| key).collect()
     }
 
-    /// Drops a key of a keyed topic.
+    /// Deletes a key of a keyed topic by an empty value.
     pub fn drop_key(&self, topic: &str, key: &str) {
         self.shared.topics.lock().put(topic, key, &[]);
         self.shared.changed.send_modify(|n| *n += 1);
     }
 
-    /// Answers 503 to everything, or stops doing so.
+    /// Answers every call with status 503 while `down` is true.
     pub fn set_down(&self, down: bool) {
         *self.shared.down.lock() = down;
     }
 
-    /// Gives calls no answer any more, those that wait for one included, or stops doing so.
-    /// Nothing is closed: calls that met the silence never get one.
+    /// Leaves all calls without an answer while `silent` is true, including those in
+    /// progress. Connections stay open; a call affected never gets an answer, even later.
     pub fn set_silent(&self, silent: bool) {
         self.shared.silent.send_replace(silent);
     }
 
-    /// Waits until one more read of a topic has come.
+    /// Waits until another read of a topic is received.
     pub async fn next_read(&self, topic: &str) {
         let count = |reads: &HashMap<String, u64>| reads.get(topic).copied().unwrap_or(0);
         let mut reads = self.shared.reads.subscribe();
@@ -147,17 +147,17 @@
         let _ = reads.wait_for(|reads| count(reads) > before).await;
     }
 
-    /// Sets how the bodies of answers are delivered from now on.
+    /// Sets how the bodies of later answers are delivered.
     pub fn set_delivery(&self, delivery: Delivery) {
         *self.shared.delivery.lock() = delivery;
     }
 
-    /// Returns how often a keyed topic was listed.
+    /// Returns the number of listings of a keyed topic.
     pub fn listings(&self, topic: &str) -> u64 {
         self.shared.listings.lock().get(topic).copied().unwrap_or(0)
     }
 
-    /// Returns the calls for duties that were taken.
+    /// Returns the accepted calls to the API for duties.
     pub fn duty_calls(&self) -> Vec<DutyCall> {
         self.shared.calls.lock().clone()
     }
@@ -168,7 +168,7 @@
         let shared = shared.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| paced_response(request, shared.clone()));
-            // A caller that goes away is no matter.
+            // Errors of clients that disconnect are ignored.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -280,8 +280,9 @@
     json_response(StatusCode::OK, &json!({ "offset": end, "end": new_end }))
 }
 
-/// Refuses a producer's append under an epoch that is over or out of order, and answers
-/// one that was taken already as it was then.
+/// Checks the epoch and sequence number of a producer's append. Returns a refusal for an
+/// outdated epoch or a sequence number out of order, and success without a new append for
+/// one that was accepted before.
 fn check_producer(shared: &Shared, query: &HashMap<String, String>) -> Option<StoreResponse> {
     let producer = query.get("producer")?;
     let (epoch, sequence) = (number(query, "epoch")?, number(query, "sequence")?);
@@ -308,7 +309,7 @@
     let wait = Duration::from_millis(number(query, "wait_ms").unwrap_or(0));
     let mut changed = shared.changed.subscribe();
     let has_records = |_: &u64| shared.topics.lock().end(topic(query)) > from;
-    // Without news in time, the answer holds no records.
+    // If no record is appended in time, the answer holds none.
     let _ = tokio::time::timeout(wait, changed.wait_for(has_records)).await;
     let topics = shared.topics.lock();
     let mut bytes = topics.end(topic(query)).to_be_bytes().to_vec();
