--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -34,7 +34,8 @@
         let update = update.expect("the directory update was taken");
         let mut packed = Default::default();
         let packed_ms = timed(|| {
-            packed = pack_upstreams(&update.upstreams, &update.removed_ids).expect("the update is packed");
+            packed = pack_upstreams(&update.upstreams, &update.removed_ids)
+                .expect("the update is packed");
         });
         let applied_ms = timed(|| follower.apply_update(update));
         let service = ServiceName::from("s");
--- a/src/cli/demo_world.rs
+++ b/src/cli/demo_world.rs
@@ -6,7 +6,7 @@
     },
     saddlepulley_standin::{
         engine::{Engine, EngineConfig},
-        http::Running,
+        http::ServerHandle,
         plain::{Plain, PlainConfig},
         platform::Platform,
     },
@@ -33,7 +33,7 @@
     pub daemons: Vec<Daemon>,
     /// The engines' names and addresses.
     pub engines: Vec<(String, SocketAddr)>,
-    standins: Vec<Running>,
+    standins: Vec<ServerHandle>,
 }
 
 impl DemoWorld {
@@ -157,7 +157,7 @@
     kind: &str,
     service: &str,
     class: &str,
-    running: &Running,
+    running: &ServerHandle,
 ) -> Value {
     let price = if class == "on-demand" { 900 } else { 300 };
     value!({
