--- a/standin/src/platform/cloud_state.rs
+++ b/standin/src/platform/cloud_state.rs
@@ -97,8 +97,8 @@
         self.boxes.insert(b.id.clone(), (now_ms(), b));
     }
 
-    /// Returns the box list as it was `list_lag_ms` ago; a box without an older state is
-    /// left out.
+    /// Returns the box list. For a box that changed less than `list_lag_ms` ago, its
+    /// previous state is listed; a new box is left out.
     pub fn list(&self) -> Vec<ListedBox> {
         let visible_until_ms = now_ms().saturating_sub(self.list_lag_ms);
         self.boxes
--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -55,7 +55,7 @@
     behaviour: Mutex<Behaviour>,
     events: u64,
     runs: Mutex<Vec<ReceivedRequest>>,
-    /// Streams that the client dropped before their end.
+    /// Number of streams dropped before their end, by the client or by a crash.
     abandoned: Mutex<u64>,
     /// Number of requests that were not started.
     refusals: Mutex<u64>,
@@ -186,7 +186,7 @@
         *self.shared.crashes.borrow()
     }
 
-    /// Returns the number of streams that clients dropped before their end.
+    /// Returns the number of streams dropped before their end, by the client or by a crash.
     pub fn abandoned(&self) -> u64 {
         *self.shared.abandoned.lock()
     }
