--- a/benches/directory.rs
+++ b/benches/directory.rs
@@ -1,5 +1,5 @@
-//! What a wave of upstreams that leave costs a daemon that reads the source, and each that
-//! follows it, by how many upstreams there are.
+//! Measures the cost of many upstreams leaving at once, for the daemon that reads the source
+//! and for a daemon that follows it, by the number of upstreams.
 //!
 //! `cargo bench --bench directory`
 
@@ -20,23 +20,24 @@
         let position = u64::from(upstreams) + 1;
         let listing = (0..upstreams).map(|n| upstream(n, u64::from(n) + 1, false));
         reader.replace(listing.collect(), position, None);
-        let whole = reader.update_since(None);
-        let known = whole.cursor;
-        follower.apply_update(whole);
+        let full_update = reader.update_since(None);
+        let cursor = full_update.cursor;
+        follower.apply_update(full_update);
         let read_ms = timed(|| {
             for n in 0..leaving {
                 reader.upsert(upstream(n, position + u64::from(n), true));
             }
             reader.read_to(position + u64::from(leaving));
         });
-        let mut news = None;
-        let announced_ms = timed(|| news = Some(reader.update_since(Some(known))));
-        let news = news.expect("told");
+        let mut update = None;
+        let announced_ms = timed(|| update = Some(reader.update_since(Some(cursor))));
+        let update = update.expect("the directory update was taken");
         let mut packed = Default::default();
         let packed_ms = timed(|| {
-            packed = pack_upstreams(&news.upstreams, &news.removed_ids).expect("packed");
+            packed = pack_upstreams(&update.upstreams, &update.removed_ids)
+                .expect("the update is packed");
         });
-        let applied_ms = timed(|| follower.apply_update(news));
+        let applied_ms = timed(|| follower.apply_update(update));
         let service = ServiceName::from("s");
         let listed_ms = timed(|| {
             black_box(follower.ready_list(&service));
@@ -50,11 +51,11 @@
     }
 }
 
-/// Returns how long something takes, in milliseconds.
+/// Returns the duration of a call, in milliseconds.
 fn timed(act: impl FnOnce()) -> f64 {
-    let began = Instant::now();
+    let started = Instant::now();
     act();
-    began.elapsed().as_secs_f64() * 1e3
+    started.elapsed().as_secs_f64() * 1e3
 }
 
 fn upstream(n: u32, offset: u64, draining: bool) -> Upstream {
--- a/benches/policies.rs
+++ b/benches/policies.rs
@@ -1,8 +1,8 @@
-//! Policies under load, as ratios to `naive` in one run: cost at the latency
-//! target, tokens recomputed, goodput under overload, reclaim waves.
+//! Compares policies under load with `naive` in the same run: cost at the latency target,
+//! recomputed tokens, goodput under overload, and reclaim waves.
 //!
 //! `cargo bench --bench policies -- compare | waves | overload` (all by default);
-//! with `short` Austin only, and three cases of the overload.
+//! `short` limits the comparison to Austin and the overload to three cases.
 
 #[path = "../tests/it/support/mod.rs"]
 #[allow(dead_code, unused_imports)]
@@ -18,7 +18,7 @@
     support::*,
 };
 
-/// Name, policy, and what is switched off.
+/// Label, policy, and settings that switch mechanisms off.
 const VARIANTS: [(&str, &str, &str); 4] = [
     ("naive", "naive", ""),
     ("cheapest-on-target", "cheapest-on-target", ""),
@@ -26,7 +26,7 @@
     ("cheapest, no spill", "cheapest-on-target", "spill = false"),
 ];
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// The waves and the overload take longer a run.
+/// Reclaim waves and overload use fewer seeds because a run takes longer.
 const FEW_SEEDS: [u64; 1] = [1];
 const RUN_SECONDS: f64 = 10.0;
 
@@ -53,14 +53,19 @@
         });
 }
 
-/// One run's two measures, and what else is worth seeing.
+/// The results of one run.
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct RunMeasures {
+    /// Share of requests that met their target.
     on_target: f64,
+    /// Cost of the engines' busy time per request on target, in millionths of a currency unit.
     cost_at_target: f64,
+    /// Tokens that the engines prefilled.
     computed: f64,
+    /// Tokens prefilled again, as the daemons count them.
     recomputed: f64,
-    whole: f64,
+    /// Share of requests with a complete answer.
+    completed_share: f64,
     first_p95_ms: f64,
 }
 
@@ -101,7 +106,7 @@
             let mut runs = Vec::new();
             let seeds = if waves { &FEW_SEEDS[..] } else { &SEEDS[..] };
             for seed in seeds.iter().copied() {
-                runs.push(one(name, policy, trial, seed, waves).await);
+                runs.push(run_workload(name, policy, trial, seed, waves).await);
             }
             if label == "naive" {
                 naive = runs.clone();
@@ -111,7 +116,13 @@
     }
 }
 
-async fn one(name: &str, policy: &str, trial: &str, seed: u64, waves: bool) -> Run {
+async fn run_workload(
+    name: &str,
+    policy: &str,
+    trial: &str,
+    seed: u64,
+    waves: bool,
+) -> RunMeasures {
     let path = format!("{}/workloads/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let mut workload: Workload = toml::from_str(&std::fs::read_to_string(path).unwrap()).unwrap();
     workload.seed = seed;
@@ -123,7 +134,7 @@
     if waves {
         reclaim_waves(&mut cluster).await;
     }
-    let report = LoadReport::of(&load.await.unwrap());
+    let report = LoadReport::from_samples(&load.await.unwrap());
     if report.outcomes.len() > 1 {
         println!("  {policy} seed {seed}: {:?}", report.outcomes);
     }
@@ -135,7 +146,7 @@
         .filter(|u| u.service == "assistant")
     {
         let at = u.running.addr();
-        // A box that was taken tells nothing any more; its figures were read before.
+        // A reclaimed upstream no longer answers; its counters were read before it stopped.
         let counts = if u.running.is_stopped() {
             u.last.clone()
         } else {
@@ -145,22 +156,23 @@
         computed += counts["computed_tokens"].as_f64().unwrap();
     }
     let recomputed = recomputed(&cluster).await;
-    Run {
+    RunMeasures {
         on_target: report.on_target as f64 / report.requests as f64,
         cost_at_target: cost / report.on_target.max(1) as f64,
         computed,
         recomputed,
-        whole: report.outcomes.get("whole").copied().unwrap_or(0) as f64 / report.requests as f64,
+        completed_share: report.outcomes.get("whole").copied().unwrap_or(0) as f64
+            / report.requests as f64,
         first_p95_ms: report.first_ms[1],
     }
 }
 
-/// 47% of the engines with 2 s of notice, then a whole failure domain.
+/// Reclaims 47% of the engines with 2 s of notice, then a complete failure domain.
 async fn reclaim_waves(cluster: &mut Cluster) {
     let refuse = json!({ "refused_classes": ["reclaimable", "on-demand"] });
     cluster.control("settings", &refuse).await;
     tokio::time::sleep(Duration::from_secs(4)).await;
-    take(
+    reclaim_and_stop(
         cluster,
         &[
             "zone-b-engine-1",
@@ -179,11 +191,12 @@
         "zone-a-engine-2",
         "zone-a-codes",
     ];
-    take(cluster, &domain).await;
+    reclaim_and_stop(cluster, &domain).await;
     cluster.daemons[0].kill();
 }
 
-async fn take(cluster: &mut Cluster, names: &[&str]) {
+/// Reclaims upstreams with 2 s of notice, reads their counters, then stops them.
+async fn reclaim_and_stop(cluster: &mut Cluster, names: &[&str]) {
     cluster.reclaim(names, 2_000).await;
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     for i in 0..cluster.upstreams.len() {
@@ -196,7 +209,7 @@
     }
 }
 
-/// Tokens computed again, as the daemons that still run count them.
+/// Returns the number of recomputed tokens, as counted by the daemons that still run.
 async fn recomputed(cluster: &Cluster) -> f64 {
     let auth = bearer(OPERATOR_TOKEN);
     let mut sum = 0.0;
@@ -217,14 +230,15 @@
     sum
 }
 
+/// Returns median, minimum and maximum.
 fn median(mut v: Vec<f64>) -> (f64, f64, f64) {
     v.sort_by(f64::total_cmp);
     (v[v.len() / 2], v[0], v[v.len() - 1])
 }
 
-fn print_runs(policy: &str, runs: &[Run], naive: &[Run]) {
-    let of = |f: fn(&Run) -> f64| median(runs.iter().map(f).collect());
-    let ratio = |f: fn(&Run) -> f64| {
+fn print_runs(policy: &str, runs: &[RunMeasures], naive: &[RunMeasures]) {
+    let median_of = |f: fn(&RunMeasures) -> f64| median(runs.iter().map(f).collect());
+    let ratio = |f: fn(&RunMeasures) -> f64| {
         let pairs = runs.iter().zip(naive);
         median(pairs.map(|(a, b)| f(a) / f(b).max(1e-9)).collect())
     };
@@ -232,20 +246,20 @@
     let (computed, c_min, c_max) = ratio(|r| r.computed);
     println!(
         "{policy:<20} whole {:.3} on target {:.3} ({:.3}-{:.3}) first p95 {:.0} ms; cost at target {:.1} = {cost:.2} ({cost_min:.2}-{cost_max:.2}) x naive; tokens taken in {:.0} = {computed:.2} ({c_min:.2}-{c_max:.2}) x naive; recomputed {:.0} ({:.0}-{:.0})",
-        of(|r| r.whole).0,
-        of(|r| r.on_target).0,
-        of(|r| r.on_target).1,
-        of(|r| r.on_target).2,
-        of(|r| r.first_p95_ms).0,
-        of(|r| r.cost_at_target).0,
-        of(|r| r.computed).0,
-        of(|r| r.recomputed).0,
-        of(|r| r.recomputed).1,
-        of(|r| r.recomputed).2,
+        median_of(|r| r.completed_share).0,
+        median_of(|r| r.on_target).0,
+        median_of(|r| r.on_target).1,
+        median_of(|r| r.on_target).2,
+        median_of(|r| r.first_p95_ms).0,
+        median_of(|r| r.cost_at_target).0,
+        median_of(|r| r.computed).0,
+        median_of(|r| r.recomputed).0,
+        median_of(|r| r.recomputed).1,
+        median_of(|r| r.recomputed).2,
     );
 }
 
-/// Goodput before, during and after a burst, with impatient callers.
+/// Measures goodput before, during and after a burst, with callers that retry at once.
 async fn overload() {
     println!(
         "\noverload: load at about 85% of capacity, a burst of 4 s, callers that ask again at once up to 3 times"
@@ -276,7 +290,7 @@
         ),
         ("all", "cheapest-on-target", ""),
     ];
-    // `-- overload short`: the baseline, the queue, and all together.
+    // `-- overload short` runs only the baseline, the queue, and all mechanisms together.
     if std::env::args().any(|a| a == "short") {
         cases.retain(|c| ["naive", "+ queue", "all"].contains(&c.0));
     }
@@ -315,7 +329,7 @@
                 duration_s: 22.0,
                 streams: vec![stream(24.0, 0.0, 0.0), stream(50.0, 6.0, 10.0)],
             };
-            let report = LoadReport::of(&run(&workload, &cluster.caller_addrs()).await);
+            let report = LoadReport::from_samples(&run(&workload, &cluster.caller_addrs()).await);
             before.push(report.goodput(1, 6));
             during.push(report.goodput(6, 10));
             after.push(report.goodput(14, 22));
--- a/standin/src/engine/prefix_cache.rs
+++ b/standin/src/engine/prefix_cache.rs
@@ -7,12 +7,12 @@
 /// Tokens in a block of the prefix cache.
 pub const BLOCK_TOKENS: usize = 32;
 
-/// Events kept for readers.
-const KEPT_EVENTS: usize = 4_096;
+/// Number of newest cache events retained for readers.
+const MAX_EVENTS: usize = 4_096;
 
-/// Returns the hash of each prefix of a text that ends with a whole block.
+/// Returns the hash of each prefix of a text that consists of complete blocks.
 ///
-/// Published form: the first eight bytes, big-endian, of the SHA-256 of the
+/// The published form is the first eight bytes, big-endian, of the SHA-256 of the
 /// prefix's words, each followed by a space.
 pub fn prefix_hashes(text: &str) -> Vec<u64> {
     let mut hash = Sha256::new();
@@ -30,7 +30,7 @@
     hashes
 }
 
-/// A prefix cache of limited size; the block used least recently goes first.
+/// A prefix cache of limited size that evicts the least recently used block.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     blocks: BTreeMap<u64, u64>,
@@ -41,7 +41,7 @@
 }
 
 impl PrefixCache {
-    /// Returns how many leading tokens are cached, and marks their blocks as used.
+    /// Returns the number of leading tokens that are cached, and marks their blocks as used.
     pub fn cached_tokens(&mut self, hashes: &[u64]) -> usize {
         let n = hashes
             .iter()
@@ -53,25 +53,25 @@
         n * BLOCK_TOKENS
     }
 
-    /// Stores blocks.
-    pub fn store(&mut self, hashes: &[u64], most: usize, now_ms: u64) {
+    /// Stores blocks, then evicts down to `max_blocks`.
+    pub fn store(&mut self, hashes: &[u64], max_blocks: usize, now_ms: u64) {
         for hash in hashes {
             if !self.blocks.contains_key(hash) {
-                self.event("stored", *hash, now_ms);
+                self.push_event("stored", *hash, now_ms);
             }
             self.touch(*hash);
         }
-        while self.blocks.len() > most {
+        while self.blocks.len() > max_blocks {
             let Some((_, hash)) = self.by_use.pop_first() else {
                 return;
             };
             self.blocks.remove(&hash);
-            self.event("removed", hash, now_ms);
+            self.push_event("removed", hash, now_ms);
         }
     }
 
-    /// Returns the events from a place on that are at least `lag_ms` old, less
-    /// every `gap`-th.
+    /// Returns the events from sequence number `from` on that are at least `lag_ms` old,
+    /// without every `gap`-th; with a `gap` of 0 none is left out.
     pub fn events(&self, from: u64, now_ms: u64, lag_ms: u64, gap: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
@@ -89,7 +89,7 @@
         self.by_use.insert(self.tick, hash);
     }
 
-    fn event(&mut self, kind: &str, hash: u64, now_ms: u64) {
+    fn push_event(&mut self, kind: &str, hash: u64, now_ms: u64) {
         let event = CacheEvent {
             seq: self.next_seq,
             kind: kind.to_string(),
@@ -97,7 +97,7 @@
         };
         self.next_seq += 1;
         self.events.push_back((now_ms, event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/standin/src/engine/service.rs
+++ b/standin/src/engine/service.rs
@@ -23,6 +23,7 @@
     uuid::Uuid,
 };
 
+/// Queue length from which on further requests are refused with status 429.
 const MAX_WAITING: usize = 512;
 
 /// A model engine's stand-in.
@@ -45,7 +46,7 @@
     /// # Errors
     ///
     /// Returns the error of binding the address.
-    pub async fn start(addr: SocketAddr, cfg: EngineConfig) -> io::Result<Running> {
+    pub async fn start(addr: SocketAddr, cfg: EngineConfig) -> io::Result<ServerHandle> {
         let engine = Arc::new(Self {
             model: Mutex::new(cfg.model.clone()),
             orders: Mutex::default(),
@@ -78,8 +79,8 @@
     }
 
     fn complete(&self, body: &Bytes) -> Response<Body> {
-        let ask = match serde_json::from_slice::<CompletionRequest>(body) {
-            Ok(ask) => ask,
+        let request = match serde_json::from_slice::<CompletionRequest>(body) {
+            Ok(request) => request,
             Err(e) => return text(StatusCode::BAD_REQUEST, &e.to_string()),
         };
         let (tx, rx) = mpsc::unbounded_channel();
@@ -88,7 +89,7 @@
             if batch.waiting.len() >= MAX_WAITING {
                 return not_started(StatusCode::TOO_MANY_REQUESTS);
             }
-            batch.add(&self.cfg, &ask, tx);
+            batch.add(&self.cfg, &request, tx);
         }
         self.work.notify_one();
         event_stream(rx)
@@ -122,8 +123,8 @@
             return text(StatusCode::NOT_FOUND, "no such request\n");
         };
         let all = prompt_tokens(&seq.prompt) + seq.next();
-        let tokens = all - seq.prefill_left.max(0.0) as usize;
-        let exported = Exported {
+        let tokens = all - seq.prefill_remaining.max(0.0) as usize;
+        let exported = KvExport {
             request_id: seq.id,
             tokens,
             bytes: tokens as u64 * self.cfg.kv_bytes_per_token,
@@ -132,25 +133,28 @@
     }
 
     async fn import(&self, body: &Bytes) -> Response<Body> {
-        let Ok(ask) = serde_json::from_slice::<ImportRequest>(body) else {
+        let Ok(request) = serde_json::from_slice::<ImportRequest>(body) else {
             return text(StatusCode::BAD_REQUEST, "expected request_id and from\n");
         };
-        let Some(exported) = self.fetch_export(&ask).await else {
+        let Some(exported) = self.fetch_export(&request).await else {
             return text(StatusCode::BAD_GATEWAY, "the exporter didn't answer\n");
         };
         let ms = exported.bytes as f64 / self.cfg.kv_bytes_per_ms.max(1.0);
         tokio::time::sleep(Duration::from_micros((ms * 1_000.0) as u64)).await;
-        // Still there at the end of the transfer, or it was cut half-way.
-        if self.fetch_export(&ask).await.is_none() {
+        // The transfer counts as interrupted if the exporter is gone at its end.
+        if self.fetch_export(&request).await.is_none() {
             return text(StatusCode::BAD_GATEWAY, "the exporter left\n");
         }
         let mut batch = self.batch.lock();
-        batch.imported.insert(ask.request_id, exported.tokens);
+        batch.imported.insert(request.request_id, exported.tokens);
         json(StatusCode::OK, &exported)
     }
 
-    async fn fetch_export(&self, ask: &ImportRequest) -> Option<Exported> {
-        let uri = format!("http://{}/v1/kv/export/{}", ask.from, ask.request_id);
+    async fn fetch_export(&self, request: &ImportRequest) -> Option<KvExport> {
+        let uri = format!(
+            "http://{}/v1/kv/export/{}",
+            request.from, request.request_id
+        );
         let req = Request::post(uri).body(Full::default()).ok()?;
         let rep = self.client.request(req).await.ok()?;
         let body = rep.into_body().collect().await.ok()?.to_bytes();
@@ -200,6 +204,7 @@
         }
     }
 
+    /// Returns the newest load that is at least `load_lag_ms` old, or the oldest one.
     fn lagging_load(&self) -> Load {
         let now = now_ms();
         let mut reports = self.reports.lock();
@@ -213,7 +218,7 @@
 }
 
 impl Handler for Engine {
-    fn handle(self: Arc<Self>, req: Request<Bytes>) -> Answer {
+    fn handle(self: Arc<Self>, req: Request<Bytes>) -> ResponseFuture {
         Box::pin(async move { self.dispatch(req).await })
     }
 
@@ -222,7 +227,7 @@
     }
 }
 
-/// Steps the batch until the engine is gone.
+/// Steps the batch until the engine is dropped.
 async fn run(engine: Weak<Engine>) {
     let mut due = tokio::time::Instant::now();
     loop {
@@ -253,6 +258,7 @@
     }
 }
 
+/// Sends the frames as server-sent events up to the one with `total`.
 fn event_stream(rx: mpsc::UnboundedReceiver<CompletionFrame>) -> Response<Body> {
     let frames = futures_util::stream::unfold((rx, false), |(mut rx, done)| async move {
         if done {
--- a/standin/src/http/server.rs
+++ b/standin/src/http/server.rs
@@ -14,58 +14,58 @@
     },
 };
 
-/// The answer of a stand-in, some time later.
-pub type Answer = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
+/// The future of a stand-in's response.
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Body>> + Send>>;
 
-/// What a stand-in does with requests.
+/// A stand-in that handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
-    fn handle(self: Arc<Self>, req: Request<Bytes>) -> Answer;
+    /// Handles one request.
+    fn handle(self: Arc<Self>, req: Request<Bytes>) -> ResponseFuture;
 
-    /// Returns the faults in force.
+    /// Returns the faults to inject.
     fn faults(&self) -> &Faults;
 }
 
-/// A stand-in that runs; it stops when dropped.
+/// A running stand-in, which stops when this handle is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct ServerHandle {
     addr: SocketAddr,
     abort: AbortHandle,
 }
 
-impl Running {
-    /// Returns where it listens.
+impl ServerHandle {
+    /// Returns the address on which the stand-in listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Returns whether it was stopped.
+    /// Returns true once the stand-in has stopped.
     pub fn is_stopped(&self) -> bool {
         self.abort.is_finished()
     }
 
-    /// Stops it at once: connections are cut.
+    /// Stops the stand-in at once and closes its connections.
     pub fn stop(&self) {
         self.abort.abort();
     }
 }
 
-impl Drop for Running {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
         self.stop();
     }
 }
 
-/// Serves a handler.
+/// Listens on `addr` and serves requests with `handler`.
 ///
 /// # Errors
 ///
 /// Returns the error of binding the address.
-pub async fn serve(addr: SocketAddr, handler: Arc<impl Handler>) -> io::Result<Running> {
+pub async fn serve(addr: SocketAddr, handler: Arc<impl Handler>) -> io::Result<ServerHandle> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
     let task = tokio::spawn(accept(listener, handler));
-    Ok(Running {
+    Ok(ServerHandle {
         addr,
         abort: task.abort_handle(),
     })
@@ -87,14 +87,15 @@
 
 async fn serve_conn(stream: TcpStream, handler: Arc<impl Handler>) {
     let _ = stream.set_nodelay(true);
-    let service = service_fn(move |req| answer(req, handler.clone()));
+    let service = service_fn(move |req| respond(req, handler.clone()));
     let builder = auto::Builder::new(TokioExecutor::new());
     let _ = builder
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn answer(
+/// Handles one request with the faults applied. Requests under `/control` are exempt.
+async fn respond(
     req: Request<Incoming>,
     handler: Arc<impl Handler>,
 ) -> Result<Response<Body>, io::Error> {
@@ -117,13 +118,13 @@
     if delay > 0 {
         tokio::time::sleep(Duration::from_millis(delay)).await;
     }
-    if faults.refuses() {
+    if faults.take_refusal() {
         return Ok(not_started(StatusCode::SERVICE_UNAVAILABLE));
     }
-    let lost = faults.loses_answer();
+    let lost = faults.take_lost_answer();
     let rep = handler.clone().handle(req).await;
     if lost {
-        return Err(io::Error::other("answer lost"));
+        return Err(io::Error::other("response dropped by an injected fault"));
     }
     Ok(rep)
 }
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,10 +1,10 @@
-//! The stand-ins as processes of their own.
+//! Command line that runs a stand-in or the load generator as a separate process.
 
 use {
     pico_args::Arguments,
     saddlepulley_standin::{
         engine::{Engine, EngineConfig},
-        http::Running,
+        http::ServerHandle,
         load::{LoadReport, Workload, run as run_load},
         plain::{Plain, PlainConfig},
         platform::Platform,
@@ -56,7 +56,7 @@
     args.value_from_str("--listen")
 }
 
-async fn engine(args: &mut Arguments) -> Result<Running, Box<dyn Error>> {
+async fn engine(args: &mut Arguments) -> Result<ServerHandle, Box<dyn Error>> {
     let addr = listen(args)?;
     let default = EngineConfig::default();
     let cfg = EngineConfig {
@@ -79,12 +79,12 @@
     let samples = run_load(&workload, &boxes?).await;
     println!(
         "{}",
-        serde_json::to_string_pretty(&LoadReport::of(&samples))?
+        serde_json::to_string_pretty(&LoadReport::from_samples(&samples))?
     );
     Ok(())
 }
 
-async fn plain(args: &mut Arguments) -> Result<Running, Box<dyn Error>> {
+async fn plain(args: &mut Arguments) -> Result<ServerHandle, Box<dyn Error>> {
     let addr = listen(args)?;
     let cfg = PlainConfig {
         name: args.value_from_str("--name")?,
--- a/standin/src/runner/service.rs
+++ b/standin/src/runner/service.rs
@@ -25,28 +25,27 @@
     },
 };
 
-const EVENT_PAUSE: Duration = Duration::from_millis(15);
-/// What the body of a request begins with that crashes a runner.
-const CRASH_ORDER: &[u8] = b"crash";
-/// How long after it began to run such a request crashes its runner.
-const CRASH_AFTER: Duration = Duration::from_millis(40);
-/// How long a runner is gone that crashed.
-const DOWN: Duration = Duration::from_millis(1_200);
-
-type RunnerBody = UnsyncBoxBody<Bytes, io::Error>;
-
-/// A request that came to a runner.
+/// Time before each event of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
+/// A request whose body begins with these bytes crashes the runner.
+const CRASH_PREFIX: &[u8] = b"crash";
+/// Time from the start of such a request to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(40);
+/// Time from a crash to the restart of the runner.
+const RESTART_DELAY: Duration = Duration::from_millis(1_200);
+
+type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
+
+/// A request received by a runner.
 #[derive(Clone, Debug)]
-pub struct Run {
-    /// The client's attempt.
+pub struct ReceivedRequest {
+    /// Value of the header `saddlepulley-attempt`.
     pub attempt: String,
-    /// Path and query.
+    /// Request target: path and query.
     pub target: String,
-    /// The headers.
     pub headers: HeaderMap,
-    /// The body.
     pub body: Bytes,
-    /// When it came.
+    /// When the request was received.
     pub at: Instant,
 }
 
@@ -55,24 +54,24 @@
     id: String,
     behaviour: Mutex<Behaviour>,
     events: u64,
-    runs: Mutex<Vec<Run>>,
-    /// Answers that were dropped by the other side before their end.
+    runs: Mutex<Vec<ReceivedRequest>>,
+    /// Number of streams dropped before their end, by the client or by a crash.
     abandoned: Mutex<u64>,
-    /// Requests that it did not begin.
+    /// Number of requests that were not started.
     refusals: Mutex<u64>,
-    /// How often it crashed.
+    /// Number of crashes and restarts; a change ends the present connections.
     crashes: watch::Sender<u64>,
-    /// Those among them that it turned away for its own sake.
-    turned_away: Mutex<Vec<Run>>,
-    /// What it names in each answer as the requests a second that it takes.
-    limit: Mutex<Option<HeaderValue>>,
-    /// What it names in each refusal as the seconds of rest that it wants.
-    rest: Mutex<Option<HeaderValue>>,
-    /// What it says in each answer of whether it leaves.
+    /// Requests refused by `Behaviour::Refuse`; misdirected ones are not among them.
+    refused_requests: Mutex<Vec<ReceivedRequest>>,
+    /// Value of `saddlepulley-limit` in each answer: the requests a second that the runner accepts.
+    rate_limit: Mutex<Option<HeaderValue>>,
+    /// Value of `Retry-After` in refusals, in seconds.
+    retry_after: Mutex<Option<HeaderValue>>,
+    /// Value of `saddlepulley-leaving` in each answer.
     leaving: Mutex<Option<HeaderValue>>,
 }
 
-/// A runner; it stops when dropped.
+/// A runner, which stops when dropped.
 #[derive(Debug)]
 pub struct Runner {
     shared: Arc<Shared>,
@@ -87,7 +86,7 @@
 }
 
 impl Runner {
-    /// Starts a runner whose streams hold some events.
+    /// Starts a runner whose streams hold `events` events.
     ///
     /// # Errors
     ///
@@ -103,12 +102,12 @@
             abandoned: Mutex::default(),
             refusals: Mutex::default(),
             crashes: watch::Sender::new(0),
-            turned_away: Mutex::default(),
-            limit: Mutex::default(),
-            rest: Mutex::default(),
+            refused_requests: Mutex::default(),
+            rate_limit: Mutex::default(),
+            retry_after: Mutex::default(),
             leaving: Mutex::default(),
         });
-        let task = tokio::spawn(live_on(listener, address, shared.clone()));
+        let task = tokio::spawn(serve_across_restarts(listener, address, shared.clone()));
         Ok(Self {
             shared,
             address,
@@ -116,89 +115,90 @@
         })
     }
 
-    /// Returns its id.
+    /// Returns the upstream ID of the runner.
     pub fn id(&self) -> &str {
         &self.shared.id
     }
 
-    /// Returns where it listens.
+    /// Returns the address on which the runner listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what it does with requests that come from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    /// Changes how later requests are handled.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.shared.behaviour.lock() = behaviour;
     }
 
-    /// Changes how many requests a second it says that it takes from all together: any
-    /// text, or nothing. It takes all that come all the same.
+    /// Sets the header that names how many requests a second the runner accepts from all
+    /// daemons together; any text is possible, `None` removes the header. The runner does
+    /// not enforce the limit.
     ///
     /// # Panics
     ///
     /// Panics on a text that no header can hold.
-    pub fn name_limit(&self, limit: Option<&str>) {
-        *self.shared.limit.lock() = limit.map(header_value);
+    pub fn set_rate_limit(&self, limit: Option<&str>) {
+        *self.shared.rate_limit.lock() = limit.map(header_value);
     }
 
-    /// Changes for how many seconds it wants rest, as its refusals say: any text, or
-    /// nothing. It keeps no account of who comes sooner.
+    /// Sets the header `Retry-After` of refusals; any text is possible, `None` removes the
+    /// header. The runner does not check whether requests come sooner.
     ///
     /// # Panics
     ///
     /// Panics on a text that no header can hold.
-    pub fn name_rest(&self, seconds: Option<&str>) {
-        *self.shared.rest.lock() = seconds.map(header_value);
+    pub fn set_retry_after(&self, seconds: Option<&str>) {
+        *self.shared.retry_after.lock() = seconds.map(header_value);
     }
 
-    /// Changes what its answers say of whether it leaves: any text, or nothing. It takes
-    /// all that comes all the same.
+    /// Sets the header by which answers announce that the runner leaves; any text is
+    /// possible, `None` removes the header. The runner still accepts requests.
     ///
     /// # Panics
     ///
     /// Panics on a text that no header can hold.
-    pub fn say_leaving(&self, word: Option<&str>) {
+    pub fn set_leaving(&self, word: Option<&str>) {
         *self.shared.leaving.lock() = word.map(header_value);
     }
 
-    /// Ends it; it is back a little later, at the same address and under the same id.
+    /// Stops the runner; it restarts after a delay, with the same address and ID.
     pub fn restart(&self) {
         self.shared.crashes.send_modify(|n| *n += 1);
     }
 
-    /// Returns the requests that it turned away for its own sake.
-    pub fn turned_away(&self) -> Vec<Run> {
-        self.shared.turned_away.lock().clone()
+    /// Returns the requests refused by `Behaviour::Refuse`.
+    pub fn refused_requests(&self) -> Vec<ReceivedRequest> {
+        self.shared.refused_requests.lock().clone()
     }
 
-    /// Returns what it began to run.
-    pub fn runs(&self) -> Vec<Run> {
+    /// Returns the requests that were started.
+    pub fn runs(&self) -> Vec<ReceivedRequest> {
         self.shared.runs.lock().clone()
     }
 
-    /// Returns how many requests it did not begin.
+    /// Returns the number of requests that were not started.
     pub fn refusals(&self) -> u64 {
         *self.shared.refusals.lock()
     }
 
-    /// Returns how often it crashed.
+    /// Returns the number of crashes and restarts.
     pub fn crashes(&self) -> u64 {
         *self.shared.crashes.borrow()
     }
 
-    /// Returns how many answers were dropped before their end.
+    /// Returns the number of streams dropped before their end, by the client or by a crash.
     pub fn abandoned(&self) -> u64 {
         *self.shared.abandoned.lock()
     }
 }
 
-/// Serves one life after the other.
-async fn live_on(first: TcpListener, address: SocketAddr, shared: Arc<Shared>) {
+/// Serves until a crash, then listens again on the same address, and so on.
+async fn serve_across_restarts(first: TcpListener, address: SocketAddr, shared: Arc<Shared>) {
     let mut listener = first;
     loop {
         accept(listener, &shared).await;
         listener = loop {
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(RESTART_DELAY).await;
             if let Ok(listener) = TcpListener::bind(address).await {
                 break listener;
             }
@@ -222,25 +222,25 @@
 
 async fn serve(stream: TcpStream, shared: Arc<Shared>) {
     let mut crashed = shared.crashes.subscribe();
-    let service = service_fn(move |request| answer(request, shared.clone()));
+    let service = service_fn(move |request| respond(request, shared.clone()));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        // An answer that fails closes the connection: that is what is wanted.
+        // A failed answer closes the connection, which is the fault to inject.
         _ = connection => {}
         _ = crashed.changed() => {}
     }
 }
 
-/// Crashes the runner a little later.
-async fn crash_soon(shared: Arc<Shared>) {
-    tokio::time::sleep(CRASH_AFTER).await;
+/// Crashes the runner after `CRASH_DELAY`.
+async fn crash_after_delay(shared: Arc<Shared>) {
+    tokio::time::sleep(CRASH_DELAY).await;
     shared.crashes.send_modify(|n| *n += 1);
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     shared: Arc<Shared>,
-) -> io::Result<Response<RunnerBody>> {
+) -> io::Result<Response<ResponseBody>> {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
     let text = |name: &str| {
@@ -251,10 +251,10 @@
     let expected = text("saddlepulley-expected-upstream");
     if expected != shared.id {
         *shared.refusals.lock() += 1;
-        return Ok(refused(&shared, StatusCode::MISDIRECTED_REQUEST));
+        return Ok(not_started(&shared, StatusCode::MISDIRECTED_REQUEST));
     }
     let behaviour = *shared.behaviour.lock();
-    let run = Run {
+    let run = ReceivedRequest {
         attempt: attempt.clone(),
         target: head.uri.to_string(),
         headers: head.headers.clone(),
@@ -263,34 +263,39 @@
     };
     if behaviour == Behaviour::Refuse {
         *shared.refusals.lock() += 1;
-        shared.turned_away.lock().push(run);
-        return Ok(turned_away(&shared));
+        shared.refused_requests.lock().push(run);
+        return Ok(refusal_with_retry_after(&shared));
     }
     shared.runs.lock().push(run);
     let is_stream = head.uri.path().starts_with("/stream/");
-    if behaviour == Behaviour::CrashOnOrder && body.starts_with(CRASH_ORDER) {
-        tokio::spawn(crash_soon(shared.clone()));
+    if behaviour == Behaviour::CrashOnRequest && body.starts_with(CRASH_PREFIX) {
+        tokio::spawn(crash_after_delay(shared.clone()));
         if !is_stream {
-            // It crashes before it answers.
+            // The runner crashes before it answers.
             std::future::pending::<()>().await;
         }
     }
     match behaviour {
         Behaviour::LoseAnswer => Err(io::ErrorKind::ConnectionReset.into()),
         Behaviour::Hang => std::future::pending().await,
-        Behaviour::Fail => Ok(whole(
+        Behaviour::Fail => Ok(signed_response(
             &shared,
             &attempt,
             StatusCode::INTERNAL_SERVER_ERROR,
             "failed",
         )),
-        Behaviour::BareUnavailable => Ok(whole(
+        Behaviour::BareUnavailable => Ok(signed_response(
             &shared,
             &attempt,
             StatusCode::SERVICE_UNAVAILABLE,
             "busy",
         )),
-        Behaviour::OtherRequest => Ok(whole(&shared, "another", StatusCode::OK, "not yours")),
+        Behaviour::WrongAttempt => Ok(signed_response(
+            &shared,
+            "another",
+            StatusCode::OK,
+            "not yours",
+        )),
         _ if is_stream => {
             let after = text("last-event-id").parse().unwrap_or(0);
             Ok(event_stream(&shared, &attempt, after, behaviour))
@@ -302,24 +307,26 @@
                 head.uri,
                 String::from_utf8_lossy(&body)
             );
-            Ok(whole(&shared, &attempt, StatusCode::OK, &echo))
+            Ok(signed_response(&shared, &attempt, StatusCode::OK, &echo))
         }
     }
 }
 
-fn refused(shared: &Shared, status: StatusCode) -> Response<RunnerBody> {
-    let mut answer = Response::new(full("not started"));
+/// Returns a refusal that states that the request was not started.
+fn not_started(shared: &Shared, status: StatusCode) -> Response<ResponseBody> {
+    let mut answer = Response::new(body_of("not started"));
     *answer.status_mut() = status;
     let yes = HeaderValue::from_static("1");
     answer.headers_mut().insert("x-not-started", yes);
-    tell_state(&mut answer, shared);
+    add_state_headers(&mut answer, shared);
     answer
 }
 
-fn turned_away(shared: &Shared) -> Response<RunnerBody> {
-    let mut answer = refused(shared, StatusCode::SERVICE_UNAVAILABLE);
-    if let Some(rest) = shared.rest.lock().clone() {
-        answer.headers_mut().insert(RETRY_AFTER, rest);
+/// Returns the refusal of an overloaded runner, with `Retry-After` if set.
+fn refusal_with_retry_after(shared: &Shared) -> Response<ResponseBody> {
+    let mut answer = not_started(shared, StatusCode::SERVICE_UNAVAILABLE);
+    if let Some(retry_after) = shared.retry_after.lock().clone() {
+        answer.headers_mut().insert(RETRY_AFTER, retry_after);
     }
     answer
 }
@@ -328,10 +335,10 @@
     HeaderValue::from_str(text).expect("a header's value")
 }
 
-/// Adds what it says of itself in all its answers.
-fn tell_state(answer: &mut Response<RunnerBody>, shared: &Shared) {
+/// Adds the headers about the runner's state that all answers carry.
+fn add_state_headers(answer: &mut Response<ResponseBody>, shared: &Shared) {
     let headers = answer.headers_mut();
-    if let Some(limit) = shared.limit.lock().clone() {
+    if let Some(limit) = shared.rate_limit.lock().clone() {
         headers.insert("saddlepulley-limit", limit);
     }
     if let Some(word) = shared.leaving.lock().clone() {
@@ -339,21 +346,26 @@
     }
 }
 
-fn whole(shared: &Shared, attempt: &str, status: StatusCode, body: &str) -> Response<RunnerBody> {
-    let mut answer = Response::new(full(body));
+fn signed_response(
+    shared: &Shared,
+    attempt: &str,
+    status: StatusCode,
+    body: &str,
+) -> Response<ResponseBody> {
+    let mut answer = Response::new(body_of(body));
     *answer.status_mut() = status;
-    sign(&mut answer, shared, attempt);
+    add_signature(&mut answer, shared, attempt);
     answer
 }
 
-fn full(body: &str) -> RunnerBody {
+fn body_of(body: &str) -> ResponseBody {
     let bytes = Bytes::copy_from_slice(body.as_bytes());
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-fn sign(answer: &mut Response<RunnerBody>, shared: &Shared, attempt: &str) {
+fn add_signature(answer: &mut Response<ResponseBody>, shared: &Shared, attempt: &str) {
     let headers = answer.headers_mut();
     let signature = format!("{}.{attempt}", shared.id);
     if let Ok(value) = HeaderValue::from_str(&signature) {
@@ -362,24 +374,24 @@
     if let Ok(value) = HeaderValue::from_str(attempt) {
         headers.insert("saddlepulley-attempt", value);
     }
-    tell_state(answer, shared);
+    add_state_headers(answer, shared);
 }
 
-/// Counts an answer that is dropped before its end.
-struct Watched {
+/// Counts a stream as abandoned if dropped before its end.
+struct AbandonmentGuard {
     shared: Arc<Shared>,
     next: u64,
     done: bool,
 }
 
-impl Watched {
-    /// Notes that the answer reached its end.
+impl AbandonmentGuard {
+    /// Records that the stream reached its end.
     fn finish(&mut self) {
         self.done = true;
     }
 }
 
-impl Drop for Watched {
+impl Drop for AbandonmentGuard {
     fn drop(&mut self) {
         if !self.done {
             *self.shared.abandoned.lock() += 1;
@@ -392,8 +404,8 @@
     attempt: &str,
     after: u64,
     behaviour: Behaviour,
-) -> Response<RunnerBody> {
-    let state = Watched {
+) -> Response<ResponseBody> {
+    let state = AbandonmentGuard {
         shared: shared.clone(),
         next: after + 1,
         done: false,
@@ -403,7 +415,7 @@
             state.finish();
             return None;
         }
-        tokio::time::sleep(EVENT_PAUSE).await;
+        tokio::time::sleep(EVENT_INTERVAL).await;
         let number = state.next;
         state.next += 1;
         let event = format!("id: {number}\ndata: event {number}\n\n");
@@ -426,6 +438,6 @@
     answer
         .headers_mut()
         .insert(hyper::header::CONTENT_TYPE, kind);
-    sign(&mut answer, shared, attempt);
+    add_signature(&mut answer, shared, attempt);
     answer
 }
--- a/standin/src/store/paced_body.rs
+++ b/standin/src/store/paced_body.rs
@@ -10,47 +10,46 @@
     tokio::time::{Sleep, sleep},
 };
 
-/// The time between two pieces of a paced body.
-const PIECE_EVERY: Duration = Duration::from_millis(50);
+/// Time between two chunks of a body.
+const CHUNK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How answers are delivered.
+/// How the bodies of answers are delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// At once.
+    /// At once, in one chunk.
     #[default]
     AtOnce,
-    /// Steadily, at most so many bytes a second, as over a small link.
-    Steady(usize),
-    /// The first so many bytes, then nothing more.
+    /// At most this many bytes a second, as over a slow link.
+    Throttled(usize),
+    /// This many bytes, then nothing more, with the connection left open.
     Stalled(usize),
 }
 
-/// The body of an answer, delivered as told.
+/// The body of an answer, delivered in chunks according to `Delivery`.
 #[derive(Debug)]
 pub struct PacedBody {
-    rest: Bytes,
+    remaining: Bytes,
     delivery: Delivery,
     pause: Pin<Box<Sleep>>,
 }
 
 impl PacedBody {
-    /// Makes a body.
     pub fn new(bytes: Bytes, delivery: Delivery) -> Self {
         Self {
-            rest: bytes,
+            remaining: bytes,
             delivery,
             pause: Box::pin(sleep(Duration::ZERO)),
         }
     }
 
-    /// Returns how many bytes may go out now; none while it stalls.
-    fn piece(&mut self) -> Option<usize> {
+    /// Returns the size of the next chunk; `None` once the delivery stalls.
+    fn next_chunk_bytes(&mut self) -> Option<usize> {
         match &mut self.delivery {
-            Delivery::AtOnce => Some(self.rest.len()),
-            Delivery::Steady(per_s) => {
-                let pieces_per_s =
-                    (Duration::from_secs(1).as_millis() / PIECE_EVERY.as_millis()) as usize;
-                Some((*per_s / pieces_per_s).max(1))
+            Delivery::AtOnce => Some(self.remaining.len()),
+            Delivery::Throttled(per_s) => {
+                let chunks_per_s =
+                    (Duration::from_secs(1).as_millis() / CHUNK_INTERVAL.as_millis()) as usize;
+                Some((*per_s / chunks_per_s).max(1))
             }
             Delivery::Stalled(0) => None,
             Delivery::Stalled(left) => Some(std::mem::take(left)),
@@ -66,27 +65,27 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return Poll::Ready(None);
         }
         if self.pause.as_mut().poll(cx).is_pending() {
             return Poll::Pending;
         }
-        let Some(piece) = self.piece() else {
-            // Nothing wakes it: its caller has to give up.
+        let Some(next_chunk_bytes) = self.next_chunk_bytes() else {
+            // No waker is registered, so the client has to time out.
             return Poll::Pending;
         };
-        let piece = piece.min(self.rest.len());
-        let bytes = self.rest.split_to(piece);
-        self.pause = Box::pin(sleep(PIECE_EVERY));
+        let next_chunk_bytes = next_chunk_bytes.min(self.remaining.len());
+        let bytes = self.remaining.split_to(next_chunk_bytes);
+        self.pause = Box::pin(sleep(CHUNK_INTERVAL));
         Poll::Ready(Some(Ok(Frame::data(bytes))))
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.rest.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.rest.is_empty()
+        self.remaining.is_empty()
     }
 }
--- a/tests/gateway/soak.rs
+++ b/tests/gateway/soak.rs
@@ -38,7 +38,7 @@
     Behaviour::Hang,
     Behaviour::Fail,
     Behaviour::BareUnavailable,
-    Behaviour::OtherRequest,
+    Behaviour::WrongAttempt,
 ];
 const ROUTES: [&TestRoute; 4] = [&IDEMPOTENT, &ONCE, &STREAM, &STREAM_ONCE];
 
@@ -158,14 +158,14 @@
 /// Makes a randomly chosen runner faulty for a short time.
 async fn inject_runner_fault(runners: &[Runner], rng: &mut ChaCha8Rng) {
     let runner = runners.choose(rng).expect("there is at least one runner");
-    runner.behave(
+    runner.set_behaviour(
         *FAULTY_BEHAVIOURS
             .choose(rng)
             .expect("FAULTY_BEHAVIOURS is not empty"),
     );
     let faulty_ms = rng.random_range(200..800);
     tokio::time::sleep(Duration::from_millis(faulty_ms)).await;
-    runner.behave(Behaviour::Serve);
+    runner.set_behaviour(Behaviour::Serve);
 }
 
 fn events() -> String {
--- a/tests/gateway/upstream_signals_soak.rs
+++ b/tests/gateway/upstream_signals_soak.rs
@@ -19,7 +19,7 @@
     crate::{soak_world::*, support::*},
     rand::{Rng, SeedableRng},
     rand_chacha::ChaCha8Rng,
-    saddlepulley_standin::runner::{Behaviour, Run},
+    saddlepulley_standin::runner::{Behaviour, ReceivedRequest},
     std::{
         collections::HashMap,
         sync::{Arc, Mutex},
@@ -103,21 +103,21 @@
         let from = Instant::now();
         match rng.random_range(0..3) {
             0 => {
-                upstream.say_leaving(Some("1"));
+                upstream.set_leaving(Some("1"));
                 sleep_a_while(&mut rng).await;
                 let until = Instant::now();
-                upstream.say_leaving(None);
+                upstream.set_leaving(None);
                 upstream.restart();
                 all.push(UpstreamSignal::Leaves { from, until });
             }
             1 => {
                 let cooldown_ms = rng.random_range(300..4_000);
                 let cooldown = Duration::from_millis(cooldown_ms);
-                upstream.name_rest(Some(&cooldown.as_secs_f64().to_string()));
-                upstream.behave(Behaviour::Refuse);
+                upstream.set_retry_after(Some(&cooldown.as_secs_f64().to_string()));
+                upstream.set_behaviour(Behaviour::Refuse);
                 sleep_a_while(&mut rng).await;
                 let until = Instant::now();
-                upstream.behave(Behaviour::Serve);
+                upstream.set_behaviour(Behaviour::Serve);
                 all.push(UpstreamSignal::Cooldown {
                     from,
                     until,
@@ -136,13 +136,16 @@
     observed: &'a Observed,
     runner: usize,
     /// All requests that reached the upstream, also those that it refused, with their daemons.
-    arrived: Vec<(Run, usize)>,
+    arrived: Vec<(ReceivedRequest, usize)>,
 }
 
 impl<'a> RunChecker<'a> {
     fn new(world: &'a SoakWorld, observed: &'a Observed, runner: usize) -> Self {
         let upstream = &world.runners[runner];
-        let all = upstream.runs().into_iter().chain(upstream.turned_away());
+        let all = upstream
+            .runs()
+            .into_iter()
+            .chain(upstream.refused_requests());
         let arrived = all.filter_map(|run| Some((run.clone(), daemon_of(&run.attempt)?)));
         Self {
             world,
@@ -173,8 +176,8 @@
 
     /// Returns the most requests that one daemon sent in a cooldown that it was asked for.
     fn most_in_a_cooldown(&self, from: Instant, until: Instant, cooldown: Duration) -> usize {
-        let turned_away = self.world.runners[self.runner].turned_away();
-        let refused = turned_away
+        let refused_requests = self.world.runners[self.runner].refused_requests();
+        let refused = refused_requests
             .iter()
             .filter(|run| run.at >= from && run.at < until);
         let counts = refused.filter_map(|refused| {
--- a/tests/gateway/upstreams_in_cooldown.rs
+++ b/tests/gateway/upstreams_in_cooldown.rs
@@ -4,7 +4,7 @@
 use {
     crate::file_world::*,
     http::StatusCode,
-    saddlepulley_standin::runner::{Behaviour, Run, Runner},
+    saddlepulley_standin::runner::{Behaviour, ReceivedRequest, Runner},
     std::time::{Duration, Instant},
 };
 
@@ -16,16 +16,16 @@
 const ALLOWED: usize = 2;
 
 fn refuse_with_cooldown(runner: &Runner) {
-    runner.name_rest(Some("3"));
-    runner.behave(Behaviour::Refuse);
+    runner.set_retry_after(Some("3"));
+    runner.set_behaviour(Behaviour::Refuse);
 }
 
 /// Returns the maximum number of requests from one daemon during a cooldown that it was sent.
 fn most_in_a_cooldown(runner: &Runner) -> usize {
-    let refused = runner.turned_away();
-    let arrived: Vec<Run> = refused.iter().cloned().chain(runner.runs()).collect();
-    let daemon = |run: &Run| run.attempt.split('-').next().map(str::to_string);
-    let in_cooldown = |refusal: &Run| {
+    let refused = runner.refused_requests();
+    let arrived: Vec<ReceivedRequest> = refused.iter().cloned().chain(runner.runs()).collect();
+    let daemon = |run: &ReceivedRequest| run.attempt.split('-').next().map(str::to_string);
+    let in_cooldown = |refusal: &ReceivedRequest| {
         let same = arrived.iter().filter(|run| daemon(run) == daemon(refusal));
         let (from, until) = (refusal.at + IN_TRANSIT, refusal.at + COOLDOWN);
         same.filter(|run| run.at >= from && run.at < until).count()
@@ -100,7 +100,7 @@
     refuse_with_cooldown(&world.runners[1]);
     world.load(&all, 60.0, COOLDOWN * 2).await;
     for runner in &world.runners {
-        runner.behave(Behaviour::Serve);
+        runner.set_behaviour(Behaviour::Serve);
     }
     // The last cooldown that an upstream named ends.
     world.load(&all, 60.0, COOLDOWN).await;
@@ -126,10 +126,10 @@
         "Thu, 03 Dec 2026 00:00:00 GMT",
         &long,
     ] {
-        world.runners[0].name_rest(Some(invalid));
-        world.runners[0].behave(Behaviour::Refuse);
+        world.runners[0].set_retry_after(Some(invalid));
+        world.runners[0].set_behaviour(Behaviour::Refuse);
         world.load(&[0], 20.0, Duration::from_millis(300)).await;
-        world.runners[0].behave(Behaviour::Serve);
+        world.runners[0].set_behaviour(Behaviour::Serve);
         let answers = world.load(&[0], 20.0, Duration::from_millis(300)).await;
         assert!(
             answers.iter().all(|a| a.status == StatusCode::OK),
