--- a/tests/it/overload.rs
+++ b/tests/it/overload.rs
@@ -31,10 +31,10 @@
         let ends = flood.join_all().await;
         let refused = ends
             .iter()
-            .filter(|t| matches!(&t.end, CallerEnd::Refused(_, o) if o == "not-run"));
+            .filter(|t| matches!(&t.end, CallerOutcome::Refused(_, o) if o == "not-run"));
         assert!(refused.count() > 10, "the flood was not refused");
         tokio::time::sleep(Duration::from_millis(300)).await;
         let t = ask_stream(&boxes, 0, "after the flood", 5).await;
-        assert_eq!(t.end, CallerEnd::Whole, "{t:?}");
+        assert_eq!(t.end, CallerOutcome::Whole, "{t:?}");
     }
 }
--- a/tests/it/promise_stop.rs
+++ b/tests/it/promise_stop.rs
@@ -26,7 +26,7 @@
         }
         let t = ask_stream(boxes, at, prompt, 60).await;
         // It stopped being ready between the check and the call: told so, at once.
-        if t.end != CallerEnd::Refused(503, "not-run".to_string()) {
+        if t.end != CallerOutcome::Refused(503, "not-run".to_string()) {
             return t;
         }
     }
@@ -55,7 +55,7 @@
                 while !stop.load(Ordering::SeqCst) {
                     n += 1;
                     let t = ask_behind_balancer(&boxes, i + n, &format!("load {i} {n}")).await;
-                    assert_eq!(t.end, CallerEnd::Whole, "{t:?}");
+                    assert_eq!(t.end, CallerOutcome::Whole, "{t:?}");
                     cut += usize::from(t.attaches > 0);
                     done.fetch_add(1, Ordering::SeqCst);
                 }
--- a/tests/it/soak.rs
+++ b/tests/it/soak.rs
@@ -56,9 +56,9 @@
             // Nothing was promised: the box went away before it answered.
             None => "stream not accepted".to_string(),
             Some(t) => match t.end {
-                CallerEnd::Whole => "stream whole".to_string(),
-                CallerEnd::Refused(_, outcome) => format!("stream refused {outcome}"),
-                CallerEnd::Failed(outcome) => format!("stream {outcome}"),
+                CallerOutcome::Whole => "stream whole".to_string(),
+                CallerOutcome::Refused(_, outcome) => format!("stream refused {outcome}"),
+                CallerOutcome::Failed(outcome) => format!("stream {outcome}"),
             },
         };
         *counts.entry(end).or_default() += 1;
--- a/tests/it/support/caller.rs
+++ b/tests/it/support/caller.rs
@@ -89,7 +89,7 @@
 
 /// How a streamed answer ended for its caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallerEnd {
+pub enum CallerOutcome {
     /// Whole, checked against length, digest and the words expected.
     Whole,
     /// Given up on, with this outcome.
@@ -106,7 +106,7 @@
     pub tokens: usize,
     pub attaches: usize,
     pub durability: String,
-    pub end: CallerEnd,
+    pub end: CallerOutcome,
 }
 
 /// Asks for a streamed answer and follows it over lost connections and
@@ -164,7 +164,7 @@
         tokens: 0,
         attaches: 0,
         durability: String::new(),
-        end: CallerEnd::Whole,
+        end: CallerOutcome::Whole,
     };
     let rep = client
         .open(
@@ -179,7 +179,7 @@
         let status = rep.status().as_u16();
         let body = rep.into_body().collect().await.unwrap().to_bytes();
         let doc: Value = serde_json::from_slice(&body).unwrap_or_default();
-        t.end = CallerEnd::Refused(status, doc["outcome"].as_str().unwrap_or("").to_string());
+        t.end = CallerOutcome::Refused(status, doc["outcome"].as_str().unwrap_or("").to_string());
         return Ok(t);
     }
     let id = rep.headers()["saddlepulley-request"].to_str();
@@ -211,13 +211,13 @@
             Ok(Ok(rep)) if rep.status() != 404 => {
                 let body = rep.into_body().collect().await.unwrap().to_bytes();
                 let doc: Value = serde_json::from_slice(&body).unwrap_or_default();
-                t.end = CallerEnd::Failed(doc["outcome"].as_str().unwrap_or("").to_string());
+                t.end = CallerOutcome::Failed(doc["outcome"].as_str().unwrap_or("").to_string());
                 return Ok(t);
             }
             _ => tokio::time::sleep(Duration::from_millis(200)).await,
         }
     }
-    t.end = CallerEnd::Failed("no end in 200 attaches".to_string());
+    t.end = CallerOutcome::Failed("no end in 200 attaches".to_string());
     Ok(t)
 }
 
@@ -227,7 +227,7 @@
     t: &mut Transcript,
     prompt: &str,
     max_tokens: usize,
-) -> Option<CallerEnd> {
+) -> Option<CallerOutcome> {
     let mut buf = String::new();
     loop {
         let frame = tokio::time::timeout(Duration::from_secs(30), body.frame()).await;
@@ -250,7 +250,7 @@
     t: &mut Transcript,
     prompt: &str,
     max_tokens: usize,
-) -> Option<Option<CallerEnd>> {
+) -> Option<Option<CallerOutcome>> {
     let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
     let data = field("data: ").unwrap_or("");
     if data == "[DONE]" {
@@ -261,7 +261,7 @@
         Some("reattach") => return Some(None),
         Some("error") => {
             let outcome = doc["outcome"].as_str().unwrap_or("").to_string();
-            return Some(Some(CallerEnd::Failed(outcome)));
+            return Some(Some(CallerOutcome::Failed(outcome)));
         }
         _ => {}
     }
@@ -272,7 +272,7 @@
             assert_eq!(digest, hex::encode(Sha256::digest(&t.text)), "{}", t.id);
         }
         check_words(t, prompt, max_tokens);
-        return Some(Some(CallerEnd::Whole));
+        return Some(Some(CallerOutcome::Whole));
     }
     let text = doc["choices"][0]["text"].as_str().unwrap_or("");
     let offset: usize = field("id: ")
