--- a/tests/it/bad_input.rs
+++ b/tests/it/bad_input.rs
@@ -138,7 +138,7 @@
         "{answer}"
     );
     let t = ask_stream(&boxes, 0, "undisturbed", 10).await;
-    assert_eq!(t.end, CallerOutcome::Whole);
+    assert_eq!(t.end, CallerOutcome::Complete);
 }
 
 /// Sends a peer call's body as it is.
@@ -211,7 +211,7 @@
     let boxes = cluster.caller_addrs();
     assert_eq!(
         ask_stream(&boxes, 0, "undisturbed", 10).await.end,
-        CallerOutcome::Whole
+        CallerOutcome::Complete
     );
     let after = cluster
         .status(&cluster.daemons[0])
--- a/tests/it/overload.rs
+++ b/tests/it/overload.rs
@@ -35,6 +35,6 @@
         assert!(refused.count() > 10, "the flood was not refused");
         tokio::time::sleep(Duration::from_millis(300)).await;
         let t = ask_stream(&boxes, 0, "after the flood", 5).await;
-        assert_eq!(t.end, CallerOutcome::Whole, "{t:?}");
+        assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
     }
 }
--- a/tests/it/promise_leaving.rs
+++ b/tests/it/promise_leaving.rs
@@ -48,7 +48,7 @@
             while !stop.load(Ordering::SeqCst) {
                 n += 1;
                 let t = ask_stream(&boxes, i % boxes.len(), &format!("short {i} {n}"), 3).await;
-                assert_eq!(t.end, CallerOutcome::Whole, "{t:?}");
+                assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
             }
         });
     }
--- a/tests/it/promise_once.rs
+++ b/tests/it/promise_once.rs
@@ -151,7 +151,7 @@
     assert_eq!((status, &doc["outcome"]), (503, &json!("not-run")), "{doc}");
     assert_eq!(executions_of(&cluster, &key).await, 0);
     let t = ask_stream(&boxes, 1, "goes on", 20).await;
-    assert_eq!(t.end, CallerOutcome::Whole);
+    assert_eq!(t.end, CallerOutcome::Complete);
     let up = json!({ "down": false });
     cluster
         .control_at(cluster.platform.addr(), "faults", &up)
--- a/tests/it/promise_stop.rs
+++ b/tests/it/promise_stop.rs
@@ -55,7 +55,7 @@
                 while !stop.load(Ordering::SeqCst) {
                     n += 1;
                     let t = ask_behind_balancer(&boxes, i + n, &format!("load {i} {n}")).await;
-                    assert_eq!(t.end, CallerOutcome::Whole, "{t:?}");
+                    assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
                     cut += usize::from(t.attaches > 0);
                     done.fetch_add(1, Ordering::SeqCst);
                 }
--- a/tests/it/promise_survives.rs
+++ b/tests/it/promise_survives.rs
@@ -29,7 +29,7 @@
 async fn all_whole(streams: JoinSet<Transcript>) -> Vec<Transcript> {
     let transcripts = streams.join_all().await;
     for t in &transcripts {
-        assert_eq!(t.end, CallerOutcome::Whole, "{t:?}");
+        assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
     }
     transcripts
 }
@@ -177,7 +177,7 @@
     let transcripts = streams.join_all().await;
     transcripts
         .iter()
-        .filter(|t| t.end != CallerOutcome::Whole)
+        .filter(|t| t.end != CallerOutcome::Complete)
         .count()
 }
 
--- a/tests/it/promise_whole.rs
+++ b/tests/it/promise_whole.rs
@@ -16,7 +16,7 @@
         });
     }
     for t in streams.join_all().await {
-        assert_eq!(t.end, CallerOutcome::Whole, "{t:?}");
+        assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
     }
 }
 
--- a/tests/it/soak.rs
+++ b/tests/it/soak.rs
@@ -56,7 +56,7 @@
             // Nothing was promised: the box went away before it answered.
             None => "stream not accepted".to_string(),
             Some(t) => match t.end {
-                CallerOutcome::Whole => "stream whole".to_string(),
+                CallerOutcome::Complete => "stream whole".to_string(),
                 CallerOutcome::Refused(_, outcome) => format!("stream refused {outcome}"),
                 CallerOutcome::Failed(outcome) => format!("stream {outcome}"),
             },
--- a/tests/it/support/caller.rs
+++ b/tests/it/support/caller.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerOutcome {
     /// Whole, checked against length, digest and the words expected.
-    Whole,
+    Complete,
     /// Given up on, with this outcome.
     Failed(String),
     /// Refused before it was accepted, with status and outcome.
@@ -164,7 +164,7 @@
         tokens: 0,
         attaches: 0,
         durability: String::new(),
-        end: CallerOutcome::Whole,
+        end: CallerOutcome::Complete,
     };
     let rep = client
         .open(
@@ -272,7 +272,7 @@
             assert_eq!(digest, hex::encode(Sha256::digest(&t.text)), "{}", t.id);
         }
         check_words(t, prompt, max_tokens);
-        return Some(Some(CallerOutcome::Whole));
+        return Some(Some(CallerOutcome::Complete));
     }
     let text = doc["choices"][0]["text"].as_str().unwrap_or("");
     let offset: usize = field("id: ")
--- a/tests/it/tls.rs
+++ b/tests/it/tls.rs
@@ -36,7 +36,7 @@
     let t = ask_stream(&boxes, 0, "over tls", 20).await;
     assert_eq!(
         (t.end, t.durability.as_str()),
-        (CallerOutcome::Whole, "cross-domain")
+        (CallerOutcome::Complete, "cross-domain")
     );
     let at = cluster.peer_proxies[0].addr();
     let member = settings(&cluster, "member", &cluster.authority);
