--- a/benches/leaving.rs
+++ b/benches/leaving.rs
@@ -69,7 +69,7 @@
         let (boxes, stop) = (cluster.caller_addrs(), stop.clone());
         load.spawn(async move {
             while !stop.load(Ordering::SeqCst) {
-                ask_stream(&boxes, i % boxes.len(), &format!("short {i}"), 2).await;
+                stream_completion(&boxes, i % boxes.len(), &format!("short {i}"), 2).await;
             }
         });
     }
--- a/tests/it/bad_input.rs
+++ b/tests/it/bad_input.rs
@@ -137,7 +137,7 @@
         answer.starts_with("HTTP/1.1 431") || answer.is_empty(),
         "{answer}"
     );
-    let t = ask_stream(&boxes, 0, "undisturbed", 10).await;
+    let t = stream_completion(&boxes, 0, "undisturbed", 10).await;
     assert_eq!(t.end, CallerOutcome::Complete);
 }
 
@@ -210,7 +210,7 @@
     raw(at, b"GET / HTTP/1.1\r\n\r\n").await;
     let boxes = cluster.caller_addrs();
     assert_eq!(
-        ask_stream(&boxes, 0, "undisturbed", 10).await.end,
+        stream_completion(&boxes, 0, "undisturbed", 10).await.end,
         CallerOutcome::Complete
     );
     let after = cluster
--- a/tests/it/cli.rs
+++ b/tests/it/cli.rs
@@ -171,7 +171,7 @@
     let mut cluster = Cluster::start(Plan::default()).await;
     let boxes = cluster.caller_addrs();
     for i in 0..3 {
-        ask_stream(&boxes, i, "to be reported", 10).await;
+        stream_completion(&boxes, i, "to be reported", 10).await;
     }
     // A stopping daemon publishes its last page.
     for daemon in &mut cluster.daemons {
--- a/tests/it/overload.rs
+++ b/tests/it/overload.rs
@@ -34,7 +34,7 @@
             .filter(|t| matches!(&t.end, CallerOutcome::Refused(_, o) if o == "not-run"));
         assert!(refused.count() > 10, "the flood was not refused");
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let t = ask_stream(&boxes, 0, "after the flood", 5).await;
+        let t = stream_completion(&boxes, 0, "after the flood", 5).await;
         assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
     }
 }
--- a/tests/it/promise_leaving.rs
+++ b/tests/it/promise_leaving.rs
@@ -47,7 +47,7 @@
             let mut n = 0;
             while !stop.load(Ordering::SeqCst) {
                 n += 1;
-                let t = ask_stream(&boxes, i % boxes.len(), &format!("short {i} {n}"), 3).await;
+                let t = stream_completion(&boxes, i % boxes.len(), &format!("short {i} {n}"), 3).await;
                 assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
             }
         });
--- a/tests/it/promise_once.rs
+++ b/tests/it/promise_once.rs
@@ -150,7 +150,7 @@
     let (status, doc) = call_codes(boxes[0], &key, "umbrella").await.unwrap();
     assert_eq!((status, &doc["outcome"]), (503, &json!("not-run")), "{doc}");
     assert_eq!(executions_of(&cluster, &key).await, 0);
-    let t = ask_stream(&boxes, 1, "goes on", 20).await;
+    let t = stream_completion(&boxes, 1, "goes on", 20).await;
     assert_eq!(t.end, CallerOutcome::Complete);
     let up = json!({ "down": false });
     cluster
--- a/tests/it/promise_stop.rs
+++ b/tests/it/promise_stop.rs
@@ -24,7 +24,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         }
-        let t = ask_stream(boxes, at, prompt, 60).await;
+        let t = stream_completion(boxes, at, prompt, 60).await;
         // It stopped being ready between the check and the call: told so, at once.
         if t.end != CallerOutcome::Refused(503, "not-run".to_string()) {
             return t;
--- a/tests/it/promise_survives.rs
+++ b/tests/it/promise_survives.rs
@@ -14,7 +14,7 @@
         let boxes = boxes.to_vec();
         streams.spawn(async move {
             let first = i % boxes.len();
-            ask_stream(
+            stream_completion(
                 &boxes,
                 first,
                 &format!("prompt number {i} with some words"),
--- a/tests/it/promise_table.rs
+++ b/tests/it/promise_table.rs
@@ -90,7 +90,7 @@
         .await
         .unwrap();
     wait_version(&cluster, version, &[1, 2]).await;
-    let t = ask_stream(&cluster.caller_addrs()[..1], 0, "serves what it can", 10).await;
+    let t = stream_completion(&cluster.caller_addrs()[..1], 0, "serves what it can", 10).await;
     assert_eq!((t.end, t.durability.as_str()), (CallerOutcome::Complete, "none"));
     cluster.platform_proxies[0].heal();
     cluster.peer_proxies.iter().for_each(FaultProxy::heal);
--- a/tests/it/promise_whole.rs
+++ b/tests/it/promise_whole.rs
@@ -12,7 +12,7 @@
         streams.spawn(async move {
             // Each its own prompt: a token of another's answer would show.
             let prompt = format!("question {i} about thing {}", i * 7919);
-            ask_stream(&boxes, i % boxes.len(), &prompt, TOKENS).await
+            stream_completion(&boxes, i % boxes.len(), &prompt, TOKENS).await
         });
     }
     for t in streams.join_all().await {
@@ -78,7 +78,7 @@
 async fn another_account_cannot_attach() {
     let cluster = Cluster::start(Plan::default()).await;
     let boxes = cluster.caller_addrs();
-    let t = ask_stream(&boxes, 0, "mine alone", 10).await;
+    let t = stream_completion(&boxes, 0, "mine alone", 10).await;
     for at in boxes {
         let path = format!("/v1/requests/{}", t.id);
         let auth = bearer(OTHER_TOKEN);
--- a/tests/it/support/caller.rs
+++ b/tests/it/support/caller.rs
@@ -111,7 +111,7 @@
 
 /// Asks for a streamed answer and follows it over lost connections and
 /// `reattach` events, at one box after another, as a good caller would.
-pub async fn ask_stream(
+pub async fn stream_completion(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
@@ -120,7 +120,7 @@
     ask_stream_with(boxes, first, prompt, max_tokens, &[]).await
 }
 
-/// Like `ask_stream`; none if the first box went away before it answered.
+/// Like `stream_completion`; none if the first box went away before it answered.
 pub async fn try_ask_stream(
     boxes: &[SocketAddr],
     first: usize,
--- a/tests/it/tls.rs
+++ b/tests/it/tls.rs
@@ -33,7 +33,7 @@
     };
     let cluster = Cluster::start(plan).await;
     let boxes = cluster.caller_addrs();
-    let t = ask_stream(&boxes, 0, "over tls", 20).await;
+    let t = stream_completion(&boxes, 0, "over tls", 20).await;
     assert_eq!(
         (t.end, t.durability.as_str()),
         (CallerOutcome::Complete, "cross-domain")
