--- a/tests/it/cli.rs
+++ b/tests/it/cli.rs
@@ -178,7 +178,7 @@
         daemon.terminate();
     }
     for daemon in &mut cluster.daemons {
-        assert!(daemon.wait_left(std::time::Duration::from_secs(30)).await);
+        assert!(daemon.wait_exit(std::time::Duration::from_secs(30)).await);
     }
     let platform = cluster.platform.addr().to_string();
     let out = run(&["report", "--platform", &platform, "--json"]);
--- a/tests/it/promise_stop.rs
+++ b/tests/it/promise_stop.rs
@@ -80,7 +80,7 @@
     for n in 0..cluster.daemons.len() {
         tokio::time::sleep(Duration::from_millis(300)).await;
         cluster.daemons[n].terminate();
-        assert!(cluster.daemons[n].wait_left(Duration::from_secs(30)).await);
+        assert!(cluster.daemons[n].wait_exit(Duration::from_secs(30)).await);
         cluster.daemons[n].start();
         cluster.wait_ready().await;
     }
@@ -120,7 +120,7 @@
     let load = Load::start(&cluster.caller_addrs(), 9);
     tokio::time::sleep(Duration::from_millis(300)).await;
     cluster.daemons[0].terminate();
-    assert!(cluster.daemons[0].wait_left(Duration::from_secs(30)).await);
+    assert!(cluster.daemons[0].wait_exit(Duration::from_secs(30)).await);
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert!(load.stop().await > 0);
 }
--- a/tests/it/support/daemon_process.rs
+++ b/tests/it/support/daemon_process.rs
@@ -83,7 +83,7 @@
     }
 
     /// Waits until the process has left by itself.
-    pub async fn wait_left(&mut self, within: Duration) -> bool {
+    pub async fn wait_exit(&mut self, within: Duration) -> bool {
         let end = tokio::time::Instant::now() + within;
         while tokio::time::Instant::now() < end {
             let Some(child) = &mut self.child else {
