--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -103,7 +103,7 @@
     let mut set = JoinSet::new();
     for _ in 0..CONCURRENCY {
         set.spawn(async move {
-            let client = reqwestless::Client::pooled();
+            let client = test_client::Client::pooled();
             let auth = bearer(TOKEN);
             let mut h = Histogram::<u64>::new(3).unwrap();
             for _ in 0..CALLS_PER_WORKER {
--- a/tests/it/promise_stop.rs
+++ b/tests/it/promise_stop.rs
@@ -16,7 +16,7 @@
 /// Asks like a caller behind a balancer: a box that is not ready or gone is
 /// passed by, nothing else is.
 async fn ask_behind_balancer(boxes: &[SocketAddr], first: usize, prompt: &str) -> Transcript {
-    let client = reqwestless::Client::default();
+    let client = test_client::Client::default();
     for i in 0..100 {
         let at = (first + i) % boxes.len();
         let ready = client.send("GET", boxes[at], "/readyz", &[], "").await;
--- a/tests/it/soak.rs
+++ b/tests/it/soak.rs
@@ -43,7 +43,7 @@
     while !stop.load(Ordering::SeqCst) {
         n += 1;
         let first = (worker + n) % boxes.len();
-        let client = reqwestless::Client::default();
+        let client = test_client::Client::default();
         let ready = client.send("GET", boxes[first], "/readyz", &[], "");
         let ready = tokio::time::timeout(Duration::from_millis(500), ready).await;
         if !matches!(ready, Ok(Ok(r)) if r.status == 200) {
@@ -108,7 +108,7 @@
 }
 
 async fn executions_of(at: &[SocketAddr], key: &str) -> u64 {
-    let client = reqwestless::Client::default();
+    let client = test_client::Client::default();
     let mut sum = 0;
     for addr in at {
         let rep = client
--- a/tests/it/stop_arrivals.rs
+++ b/tests/it/stop_arrivals.rs
@@ -39,7 +39,7 @@
         kept.push(TcpStream::connect(at).await.unwrap());
     }
     daemon.terminate();
-    let client = reqwestless::Client::default();
+    let client = test_client::Client::default();
     for _ in 0..200 {
         let ready = client.send("GET", at, "/readyz", &[], "").await;
         if ready.is_ok_and(|r| r.status == 503) {
--- a/tests/it/support/caller.rs
+++ b/tests/it/support/caller.rs
@@ -15,7 +15,7 @@
 };
 
 /// A plain HTTP client, with one connection a request.
-pub mod reqwestless {
+pub mod test_client {
     use super::*;
 
     #[derive(Clone)]
@@ -152,7 +152,7 @@
     max_tokens: usize,
     headers: &[(&str, &str)],
 ) -> Result<Transcript, String> {
-    let client = reqwestless::Client::default();
+    let client = test_client::Client::default();
     let ask =
         json!({ "model": "assistant", "prompt": prompt, "max_tokens": max_tokens, "stream": true });
     let bearer = super::bearer(TOKEN);
@@ -302,7 +302,7 @@
 
 /// Calls a plain service once.
 pub async fn call_codes(at: SocketAddr, key: &str, body: &str) -> Result<(u16, Value), String> {
-    let client = reqwestless::Client::default();
+    let client = test_client::Client::default();
     let bearer = super::bearer(TOKEN);
     let headers = [
         ("authorization", bearer.as_str()),
--- a/tests/it/support/cluster.rs
+++ b/tests/it/support/cluster.rs
@@ -86,7 +86,7 @@
     /// One proxy in front of each daemon's peer address.
     pub peer_proxies: Vec<FaultProxy>,
     pub upstreams: Vec<UpstreamStandin>,
-    pub client: reqwestless::Client,
+    pub client: test_client::Client,
     pub dir: TempDir,
     pub authority: Authority,
 }
@@ -125,7 +125,7 @@
             daemons: Vec::new(),
             peer_proxies: Vec::new(),
             upstreams: Vec::new(),
-            client: reqwestless::Client::default(),
+            client: test_client::Client::default(),
             dir: TempDir::new().unwrap(),
             authority: Authority::default(),
         };
