--- a/tests/it/promise_table.rs
+++ b/tests/it/promise_table.rs
@@ -21,7 +21,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_get_one_winner_a_row() {
     let cluster = Cluster::start(Plan::default()).await;
-    let watch = VersionWatch::start(&cluster);
+    let watch = VersionMonitor::start(&cluster);
     for round in 0..5 {
         let text = shown(&cluster).await;
         let same = [
@@ -48,7 +48,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_domain_cut_off_from_the_platform_follows_its_peers() {
     let cluster = Cluster::start(Plan::default()).await;
-    let watch = VersionWatch::start(&cluster);
+    let watch = VersionMonitor::start(&cluster);
     cluster.platform_proxies[0].cut();
     let version = cluster
         .publish(&with_weight(&shown(&cluster).await, 0, 77))
@@ -79,7 +79,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_domain_cut_off_from_all_goes_on_and_catches_up() {
     let cluster = Cluster::start(Plan::default()).await;
-    let watch = VersionWatch::start(&cluster);
+    let watch = VersionMonitor::start(&cluster);
     cluster.platform_proxies[0].cut();
     cluster.peer_proxies[0].cut();
     for p in &cluster.peer_proxies[1..] {
@@ -101,7 +101,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn restarts_outages_and_lost_answers_never_revert_it() {
     let mut cluster = Cluster::start(Plan::default()).await;
-    let watch = VersionWatch::start(&cluster);
+    let watch = VersionMonitor::start(&cluster);
     let platform = cluster.platform.addr();
     let mut last = 0;
     for round in 0..6 {
@@ -142,7 +142,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn retention_that_passes_the_first_edit_loses_nothing() {
     let mut cluster = Cluster::start(Plan::default()).await;
-    let watch = VersionWatch::start(&cluster);
+    let watch = VersionMonitor::start(&cluster);
     let mut version = 0;
     // More edits than pass between two snapshots.
     for n in 0..60 {
--- a/tests/it/soak.rs
+++ b/tests/it/soak.rs
@@ -219,7 +219,7 @@
     println!("soak: seed {seed}, {seconds} s");
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cluster = Cluster::start(Plan::default()).await;
-    let watch = VersionWatch::start(&cluster);
+    let watch = VersionMonitor::start(&cluster);
     let stop = Arc::new(AtomicBool::new(false));
     let boxes = cluster.caller_addrs();
     let codes = cluster.upstreams.iter().filter(|u| u.service == "codes");
--- a/tests/it/support/table_watch.rs
+++ b/tests/it/support/table_watch.rs
@@ -6,12 +6,12 @@
 };
 
 /// Watches every daemon's version, over its restarts, and panics if one goes back.
-pub struct VersionWatch {
+pub struct VersionMonitor {
     task: JoinHandle<()>,
     fault: Arc<Mutex<Option<String>>>,
 }
 
-impl VersionWatch {
+impl VersionMonitor {
     pub fn start(cluster: &Cluster) -> Self {
         let fault = Arc::new(Mutex::new(None));
         let at: Vec<SocketAddr> = cluster.daemons.iter().map(|d| d.operators).collect();
