--- a/tests/it/support/mod.rs
+++ b/tests/it/support/mod.rs
@@ -5,6 +5,6 @@
 mod cluster;
 mod daemon_process;
 mod fault_proxy;
-mod table_watch;
+mod version_monitor;
 
-pub use {authority::*, caller::*, cluster::*, daemon_process::*, fault_proxy::*, table_watch::*};
+pub use {authority::*, caller::*, cluster::*, daemon_process::*, fault_proxy::*, version_monitor::*};
