--- a/benches/control.rs
+++ b/benches/control.rs
@@ -94,7 +94,7 @@
 async fn changes(cluster: &Cluster) -> (u128, u128) {
     let mut times = Vec::new();
     for n in 0..CHANGES {
-        let file = with_weight(&shown(cluster).await, 0, n + 2);
+        let file = with_weight(&published_table(cluster).await, 0, n + 2);
         let started = Instant::now();
         let version = cluster.publish(&file).await.unwrap();
         for daemon in &cluster.daemons {
--- a/tests/it/support/version_monitor.rs
+++ b/tests/it/support/version_monitor.rs
@@ -52,7 +52,7 @@
 }
 
 /// The table as the log has it, as a file's text.
-pub async fn shown(cluster: &Cluster) -> String {
+pub async fn published_table(cluster: &Cluster) -> String {
     let log = PlatformHttp::new(cluster.platform.addr());
     for _ in 0..50 {
         if let Ok((table, _)) = saddlepulley::cli::read_table(&log).await {
