--- a/tests/it/main.rs
+++ b/tests/it/main.rs
@@ -1,5 +1,5 @@
-//! Integration tests: real daemons as processes, stand-ins behind a proxy that
-//! injects faults.
+//! Integration tests: the daemons run as separate processes, and the stand-ins for the
+//! platform and the upstreams run behind proxies that inject faults.
 
 mod bad_input;
 mod cli;
@@ -15,7 +15,7 @@
 mod refused_early;
 mod soak;
 mod stop_arrivals;
-// The benches use parts of it that the tests don't.
+// The benchmarks include this module too and use items that the tests don't.
 #[allow(dead_code, unused_imports)]
 mod support;
 mod tls;
--- a/tests/it/overload.rs
+++ b/tests/it/overload.rs
@@ -1,4 +1,5 @@
-//! A box that had to refuse serves again as soon as it can.
+//! A box that refused requests under overload serves the next request once the overload
+//! is over.
 
 use {
     crate::support::*, saddlepulley_standin::engine::EngineConfig, std::time::Duration,
@@ -6,7 +7,7 @@
 };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_box_that_refused_many_takes_the_next() {
+async fn a_box_that_refused_requests_under_overload_serves_the_next() {
     let plan = Plan {
         domains: 1,
         engines_per_domain: 1,
@@ -28,8 +29,8 @@
                 ask_stream_with(&boxes, 0, &format!("flood {round} {i}"), 20, &headers).await
             });
         }
-        let ends = flood.join_all().await;
-        let refused = ends
+        let transcripts = flood.join_all().await;
+        let refused = transcripts
             .iter()
             .filter(|t| matches!(&t.end, CallerOutcome::Refused(_, o) if o == "not-run"));
         assert!(refused.count() > 10, "the flood was not refused");
--- a/tests/it/promise_leaving.rs
+++ b/tests/it/promise_leaving.rs
@@ -1,4 +1,4 @@
-//! Promise 5: an upstream that is leaving gets no new work.
+//! Promise 5: an upstream that is leaving gets no new requests.
 
 use {
     crate::support::*,
@@ -16,7 +16,7 @@
 
 const LEAVING: &str = "zone-a-engine-0";
 
-/// Random placement, so that every upstream gets work.
+/// Random placement (`naive`), so that every upstream gets requests.
 fn plan(trial: &str) -> Plan {
     Plan {
         row: "rate = 1000\nconcurrency = 1000\npolicies = { naive = 1 }\n".to_string(),
@@ -25,6 +25,7 @@
     }
 }
 
+/// Returns how many requests the leaving engine has started.
 async fn started(cluster: &Cluster) -> u64 {
     let u = cluster
         .upstreams
@@ -37,8 +38,8 @@
     counts["started"].as_u64().unwrap()
 }
 
-/// Short requests at every box until told to stop.
-fn load(cluster: &Cluster, stop: &Arc<AtomicBool>) -> JoinSet<()> {
+/// Sends short requests to every box until `stop` is set; each must be answered in full.
+fn start_load(cluster: &Cluster, stop: &Arc<AtomicBool>) -> JoinSet<()> {
     let boxes = cluster.caller_addrs();
     let mut set = JoinSet::new();
     for i in 0..6 {
@@ -47,7 +48,8 @@
             let mut n = 0;
             while !stop.load(Ordering::SeqCst) {
                 n += 1;
-                let t = stream_completion(&boxes, i % boxes.len(), &format!("short {i} {n}"), 3).await;
+                let t =
+                    stream_completion(&boxes, i % boxes.len(), &format!("short {i} {n}"), 3).await;
                 assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
             }
         });
@@ -55,10 +57,12 @@
     set
 }
 
-/// Returns the dispatches to the leaving engine after every daemon knew.
-async fn dispatches_after_all_know(cluster: &Cluster, wait_all: bool) -> u64 {
+/// Reclaims the engine under load and returns how many requests it started in 2.5 s after
+/// the daemons knew of the reclaim. With `wait_all`, waits until every daemon shows the engine
+/// as leaving; otherwise waits 500 ms.
+async fn dispatches_after_notice(cluster: &Cluster, wait_all: bool) -> u64 {
     let stop = Arc::new(AtomicBool::new(false));
-    let load = load(cluster, &stop);
+    let load = start_load(cluster, &stop);
     while started(cluster).await == 0 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -70,7 +74,7 @@
     if wait_all {
         for daemon in &cluster.daemons {
             cluster
-                .wait_status(daemon, "told of the reclaim", leaving)
+                .wait_status(daemon, "informed of the reclaim", leaving)
                 .await;
         }
     } else {
@@ -85,25 +89,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lagging_box_list_brings_no_work_back() {
+async fn a_stale_box_list_brings_no_requests_back_to_a_leaving_upstream() {
     let cluster = Cluster::start(plan("")).await;
     cluster
         .control("settings", &json!({ "list_lag_ms": 8_000 }))
         .await;
-    assert_eq!(dispatches_after_all_know(&cluster, true).await, 0);
+    assert_eq!(dispatches_after_notice(&cluster, true).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_monotone_states_a_lagging_list_brings_work_back() {
+async fn without_monotone_states_a_stale_box_list_brings_requests_back() {
     let cluster = Cluster::start(plan("leaving = false")).await;
     cluster
         .control("settings", &json!({ "list_lag_ms": 8_000 }))
         .await;
-    assert!(dispatches_after_all_know(&cluster, false).await > 0);
+    assert!(dispatches_after_notice(&cluster, false).await > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_notice_is_made_up_by_the_box_list() {
+async fn a_lost_reclaim_notice_is_learned_from_the_box_list() {
     let cluster = Cluster::start(plan("")).await;
     cluster
         .control(
@@ -111,12 +115,12 @@
             &json!({ "mute_notices": true, "list_lag_ms": 500 }),
         )
         .await;
-    assert_eq!(dispatches_after_all_know(&cluster, true).await, 0);
+    assert_eq!(dispatches_after_notice(&cluster, true).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_domain_cut_off_from_the_platform_hears_it_from_its_peers() {
+async fn a_domain_cut_off_from_the_platform_learns_of_a_reclaim_from_its_peers() {
     let cluster = Cluster::start(plan("")).await;
     cluster.platform_proxies[0].cut();
-    assert_eq!(dispatches_after_all_know(&cluster, true).await, 0);
+    assert_eq!(dispatches_after_notice(&cluster, true).await, 0);
 }
--- a/tests/it/promise_once.rs
+++ b/tests/it/promise_once.rs
@@ -1,4 +1,4 @@
-//! Promise 4: a call that may not be repeated runs at most once.
+//! Promise 4: a call that must not be repeated runs at most once.
 
 use {
     crate::support::*,
@@ -8,7 +8,11 @@
     tokio::task::JoinSet,
 };
 
-async fn same_key_everywhere(boxes: &[SocketAddr], key: &str) -> Vec<Result<(u16, Value), String>> {
+/// Sends calls with the same key concurrently, two to each box.
+async fn send_key_to_all_boxes(
+    boxes: &[SocketAddr],
+    key: &str,
+) -> Vec<Result<(u16, Value), String>> {
     let mut set = JoinSet::new();
     for at in boxes.iter().copied().chain(boxes.iter().copied()) {
         let key = key.to_string();
@@ -30,37 +34,37 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_at_the_same_moment_everywhere_runs_once() {
+async fn concurrent_calls_with_one_key_at_all_boxes_run_once() {
     for checks_fence in [false, true] {
         let cluster = Cluster::start(plan(checks_fence)).await;
         for _ in 0..10 {
             let key = RequestId::fresh().to_string();
-            let answers = same_key_everywhere(&cluster.caller_addrs(), &key).await;
+            let answers = send_key_to_all_boxes(&cluster.caller_addrs(), &key).await;
             assert_eq!(executions_of(&cluster, &key).await, 1);
             let first = answers[0].as_ref().unwrap();
             for a in &answers {
                 let a = a.as_ref().unwrap();
                 assert_eq!(a.0, 200, "{a:?}");
-                assert_eq!(a.1, first.1, "two answers to one key");
+                assert_eq!(a.1, first.1, "different answers to the same key");
             }
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_claims_and_copies_the_same_key_runs_twice() {
+async fn without_claims_and_copies_concurrent_calls_with_one_key_run_twice() {
     let plan = Plan {
         trial: "claims = false\ncopies = false".to_string(),
         ..plan(false)
     };
     let cluster = Cluster::start(plan).await;
     let key = RequestId::fresh().to_string();
-    same_key_everywhere(&cluster.caller_addrs(), &key).await;
+    send_key_to_all_boxes(&cluster.caller_addrs(), &key).await;
     assert!(executions_of(&cluster, &key).await > 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_after_a_cut_runs_once() {
+async fn a_key_sent_again_after_a_broken_connection_runs_once() {
     let mut plan = plan(false);
     plan.plain_work_ms = 500;
     let cluster = Cluster::start(plan).await;
@@ -83,9 +87,10 @@
     assert_eq!(executions_of(&cluster, &key).await, 1);
 }
 
-/// Kills the box that took the call after some time, and sends the key again elsewhere.
+/// Kills the daemon that accepted the call after different times, before and after it sent the
+/// call to an upstream, and sends the same key to the other boxes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_kill_before_or_after_dispatch_never_runs_it_twice() {
+async fn a_kill_before_or_after_dispatch_never_runs_a_call_twice() {
     let mut cluster = Cluster::start(plan(false)).await;
     let boxes = cluster.caller_addrs();
     for after_ms in [0, 3, 8, 20, 45, 70, 100] {
@@ -112,8 +117,10 @@
     }
 }
 
+/// Freezes the daemon that accepted the call and sends the same key to another box, which may
+/// take over. The first daemon must not run the call again when it resumes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_holder_that_wakes_never_runs_it_twice() {
+async fn a_frozen_daemon_that_resumes_never_runs_a_call_twice() {
     let cluster = Cluster::start(plan(false)).await;
     let boxes = cluster.caller_addrs();
     for after_ms in [2, 20, 50] {
@@ -139,7 +146,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_log_outage_refuses_not_run_and_all_other_work_goes_on() {
+async fn a_log_outage_refuses_unrepeatable_calls_as_not_run_and_serves_streams() {
     let cluster = Cluster::start(plan(false)).await;
     let boxes = cluster.caller_addrs();
     let down = json!({ "down": true });
@@ -150,13 +157,13 @@
     let (status, doc) = call_codes(boxes[0], &key, "umbrella").await.unwrap();
     assert_eq!((status, &doc["outcome"]), (503, &json!("not-run")), "{doc}");
     assert_eq!(executions_of(&cluster, &key).await, 0);
-    let t = stream_completion(&boxes, 1, "goes on", 20).await;
+    let t = stream_completion(&boxes, 1, "served during the outage", 20).await;
     assert_eq!(t.end, CallerOutcome::Complete);
     let up = json!({ "down": false });
     cluster
         .control_at(cluster.platform.addr(), "faults", &up)
         .await;
-    // The same key may be sent again, to any box, and runs.
+    // After the outage the same key may be sent again to any box, and the call runs.
     for i in 0..20 {
         let at = boxes[1 + i % 2];
         let (status, _) = call_codes(at, &key, "umbrella").await.unwrap();
@@ -169,7 +176,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_append_answers_never_run_it_twice() {
+async fn lost_append_answers_never_run_a_call_twice() {
     let cluster = Cluster::start(plan(false)).await;
     let boxes = cluster.caller_addrs();
     let mut answered = 0;
@@ -179,7 +186,7 @@
             .control_at(cluster.platform.addr(), "faults", &faults)
             .await;
         let key = RequestId::fresh().to_string();
-        let answers = same_key_everywhere(&boxes, &key).await;
+        let answers = send_key_to_all_boxes(&boxes, &key).await;
         let n = executions_of(&cluster, &key).await;
         assert!(n <= 1, "{key} ran {n} times: {answers:?}");
         for a in answers.into_iter().flatten() {
@@ -195,7 +202,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_old_key_or_none_is_refused() {
+async fn an_old_or_malformed_key_is_refused() {
     let cluster = Cluster::start(plan(false)).await;
     let at = cluster.caller_addrs()[0];
     let old = "018bcfe5-6800-7000-8000-000000000001";
--- a/tests/it/promise_orders.rs
+++ b/tests/it/promise_orders.rs
@@ -1,4 +1,5 @@
-//! What must not be doubled: ordering boxes and loading models.
+//! Orders of replacement boxes and of model loads are carried out once, although answers are
+//! lost or the daemon that holds the lease is frozen.
 
 use {
     crate::support::*,
@@ -7,8 +8,9 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
+/// Returns the box orders that the platform has accepted.
 async fn orders(cluster: &Cluster) -> Vec<Value> {
-    // This answer may be lost too.
+    // The platform may drop this answer too (`lose_answers`).
     let rep = loop {
         let at = cluster.platform.addr();
         if let Ok(rep) = cluster.client.send("GET", at, "/orders", &[], "").await {
@@ -27,10 +29,10 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("{n} orders never came: {:?}", orders(cluster).await);
+    panic!("fewer than {n} orders in 30 s: {:?}", orders(cluster).await);
 }
 
-fn two_a_domain() -> Plan {
+fn two_daemons_in_one_domain() -> Plan {
     Plan {
         domains: 1,
         daemons_per_domain: 2,
@@ -39,8 +41,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replacement_is_ordered_once_though_answers_are_lost() {
-    let cluster = Cluster::start(two_a_domain()).await;
+async fn a_replacement_is_ordered_once_when_answers_are_lost() {
+    let cluster = Cluster::start(two_daemons_in_one_domain()).await;
     cluster
         .reclaim(&["zone-a-engine-0", "zone-a-engine-1"], 60_000)
         .await;
@@ -59,8 +61,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn on_demand_is_ordered_where_reclaimable_is_refused() {
-    let cluster = Cluster::start(two_a_domain()).await;
+async fn an_on_demand_box_is_ordered_when_reclaimable_is_refused() {
+    let cluster = Cluster::start(two_daemons_in_one_domain()).await;
     let refuse = json!({ "refused_classes": ["reclaimable"] });
     cluster.control("settings", &refuse).await;
     cluster.reclaim(&["zone-a-engine-0"], 60_000).await;
@@ -69,8 +71,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_holder_that_wakes_orders_nothing() {
-    let cluster = Cluster::start(two_a_domain()).await;
+async fn a_frozen_lease_holder_that_resumes_orders_nothing() {
+    let cluster = Cluster::start(two_daemons_in_one_domain()).await;
     cluster.reclaim(&["zone-a-engine-0"], 60_000).await;
     wait_orders(&cluster, 1).await;
     let holder = cluster
@@ -79,7 +81,7 @@
         .find(|d| d.log().contains("ordered a box"))
         .unwrap();
     holder.freeze();
-    // The other one takes the lease when the holder's is over, and orders the next.
+    // The other daemon takes the lease when the holder's has expired, and orders the next box.
     cluster.reclaim(&["zone-a-engine-1"], 60_000).await;
     let orders = wait_orders(&cluster, 2).await;
     let fence = |o: &Value| o["fence"].as_u64().unwrap();
@@ -98,9 +100,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_new_engine_gets_its_model_once_and_work_after_that() {
-    let plan = two_a_domain();
-    let mut cluster = Cluster::start(two_a_domain()).await;
+async fn a_new_engine_gets_one_order_to_load_its_model() {
+    let plan = two_daemons_in_one_domain();
+    let mut cluster = Cluster::start(two_daemons_in_one_domain()).await;
     let fresh = Plan {
         engine: EngineConfig {
             model: String::new(),
--- a/tests/it/promise_stop.rs
+++ b/tests/it/promise_stop.rs
@@ -1,4 +1,4 @@
-//! Promise 6: a planned stop cuts off no request in flight.
+//! Promise 6: a planned stop interrupts no request in flight.
 
 use {
     crate::support::*,
@@ -13,9 +13,9 @@
     tokio::task::JoinSet,
 };
 
-/// Asks like a caller behind a balancer: a box that is not ready or gone is
-/// passed by, nothing else is.
-async fn ask_behind_balancer(boxes: &[SocketAddr], first: usize, prompt: &str) -> Transcript {
+/// Sends a request as through a load balancer: a box that is not ready or cannot be reached is
+/// skipped, and so is one that refuses the request as `not-run`. Every other outcome is returned.
+async fn stream_behind_balancer(boxes: &[SocketAddr], first: usize, prompt: &str) -> Transcript {
     let client = test_client::Client::default();
     for i in 0..100 {
         let at = (first + i) % boxes.len();
@@ -25,7 +25,7 @@
             continue;
         }
         let t = stream_completion(boxes, at, prompt, 60).await;
-        // It stopped being ready between the check and the call: told so, at once.
+        // The box began its stop between the readiness check and the request, and refused at once.
         if t.end != CallerOutcome::Refused(503, "not-run".to_string()) {
             return t;
         }
@@ -33,6 +33,7 @@
     panic!("no box was ready");
 }
 
+/// Callers that send streamed requests, one after another, until they are stopped.
 struct Load {
     set: JoinSet<usize>,
     stop: Arc<AtomicBool>,
@@ -50,22 +51,22 @@
             let boxes = boxes.to_vec();
             let (stop, done) = (load.stop.clone(), load.done.clone());
             load.set.spawn(async move {
-                let mut cut = 0;
+                let mut interrupted = 0;
                 let mut n = 0;
                 while !stop.load(Ordering::SeqCst) {
                     n += 1;
-                    let t = ask_behind_balancer(&boxes, i + n, &format!("load {i} {n}")).await;
+                    let t = stream_behind_balancer(&boxes, i + n, &format!("load {i} {n}")).await;
                     assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
-                    cut += usize::from(t.attaches > 0);
+                    interrupted += usize::from(t.reattaches > 0);
                     done.fetch_add(1, Ordering::SeqCst);
                 }
-                cut
+                interrupted
             });
         }
         load
     }
 
-    /// Stops and returns how many streams were cut.
+    /// Stops the callers and returns how many streams had to be re-attached.
     async fn stop(self) -> usize {
         self.stop.store(true, Ordering::SeqCst);
         assert!(self.done.load(Ordering::SeqCst) > 0);
@@ -74,7 +75,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rolling_replacement_cuts_no_stream() {
+async fn a_rolling_restart_interrupts_no_stream() {
     let mut cluster = Cluster::start(Plan::default()).await;
     let load = Load::start(&cluster.caller_addrs(), 9);
     for n in 0..cluster.daemons.len() {
@@ -88,7 +89,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn drain_finishes_what_is_in_flight() {
+async fn drain_lets_requests_in_flight_finish() {
     let cluster = Cluster::start(Plan::default()).await;
     let boxes = cluster.caller_addrs();
     let load = Load::start(&boxes, 6);
@@ -111,7 +112,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_drain_a_stop_cuts_streams() {
+async fn without_drain_a_stop_interrupts_streams() {
     let plan = Plan {
         trial: "drain = false".to_string(),
         ..Plan::default()
--- a/tests/it/promise_survives.rs
+++ b/tests/it/promise_survives.rs
@@ -26,7 +26,7 @@
     streams
 }
 
-async fn all_whole(streams: JoinSet<Transcript>) -> Vec<Transcript> {
+async fn assert_all_complete(streams: JoinSet<Transcript>) -> Vec<Transcript> {
     let transcripts = streams.join_all().await;
     for t in &transcripts {
         assert_eq!(t.end, CallerOutcome::Complete, "{t:?}");
@@ -42,7 +42,7 @@
     cluster.reclaim(&["zone-a-engine-0"], 800).await;
     tokio::time::sleep(Duration::from_millis(800)).await;
     cluster.upstreams[0].running.stop();
-    all_whole(streams).await;
+    assert_all_complete(streams).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -55,9 +55,9 @@
     cluster.reclaim(&[&name], 1_000).await;
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     cluster.daemons[0].kill();
-    let transcripts = all_whole(streams).await;
+    let transcripts = assert_all_complete(streams).await;
     assert!(
-        transcripts.iter().any(|t| t.attaches > 0),
+        transcripts.iter().any(|t| t.reattaches > 0),
         "no caller had to re-attach"
     );
 }
@@ -81,11 +81,11 @@
     for u in cluster.upstreams.iter().filter(|u| u.domain == 0) {
         u.running.stop();
     }
-    all_whole(streams).await;
+    assert_all_complete(streams).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_survive_a_daemon_killed_half_way_through_the_notice() {
+async fn streams_survive_a_daemon_killed_during_the_notice_period() {
     let mut cluster = Cluster::start(Plan::default()).await;
     cluster.list_entry_boxes().await;
     let streams = start_streams(&cluster.caller_addrs(), 12);
@@ -94,24 +94,24 @@
     cluster.reclaim(&[&name, "zone-a-engine-0"], 2_000).await;
     tokio::time::sleep(Duration::from_millis(30)).await;
     cluster.daemons[0].kill();
-    all_whole(streams).await;
+    assert_all_complete(streams).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_survive_a_frozen_owner() {
     let cluster = Cluster::start(Plan::default()).await;
-    // Callers of the frozen box can't know; they ask at the other boxes.
+    // A caller can't detect that its box is frozen, so the requests go to the other boxes only.
     let boxes = cluster.caller_addrs();
     let streams = start_streams(&boxes[1..], 8);
     tokio::time::sleep(Duration::from_millis(500)).await;
     cluster.daemons[0].freeze();
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     cluster.daemons[0].thaw();
-    all_whole(streams).await;
+    assert_all_complete(streams).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_survive_a_second_wave_on_the_targets_of_the_first() {
+async fn streams_survive_a_reclaim_of_the_upstreams_that_they_moved_to() {
     let plan = Plan {
         engines_per_domain: 3,
         ..Plan::default()
@@ -124,7 +124,7 @@
             .map(|d| format!("zone-{d}-engine-{wave}"))
             .into();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        // Doubled and late: the second copy comes when the first is being handled.
+        // Each notice is sent twice; the second arrives while the first is being handled.
         cluster.reclaim(&names, 600).await;
         cluster.reclaim(&names, 400).await;
         tokio::time::sleep(Duration::from_millis(600)).await;
@@ -136,7 +136,7 @@
             u.running.stop();
         }
     }
-    all_whole(streams).await;
+    assert_all_complete(streams).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -156,11 +156,12 @@
     for u in cluster.upstreams.iter().filter(|u| u.domain == 0) {
         u.running.stop();
     }
-    all_whole(streams).await;
+    assert_all_complete(streams).await;
 }
 
-/// Counts streams that are not whole when one mechanism is off.
-async fn losses_with(trial: &str, take_engine: bool) -> usize {
+/// Returns how many streams are incomplete when `trial` turns a mechanism off, after two
+/// upstreams were stopped (`stop_engines`) or one daemon was killed.
+async fn incomplete_streams_with(trial: &str, stop_engines: bool) -> usize {
     let plan = Plan {
         trial: trial.to_string(),
         ..Plan::default()
@@ -168,7 +169,7 @@
     let mut cluster = Cluster::start(plan).await;
     let streams = start_streams(&cluster.caller_addrs(), 12);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    if take_engine {
+    if stop_engines {
         cluster.upstreams[0].running.stop();
         cluster.upstreams[1].running.stop();
     } else {
@@ -183,24 +184,24 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_copies_a_killed_box_loses_streams() {
-    assert!(losses_with("copies = false", false).await > 0);
-    assert_eq!(losses_with("", false).await, 0);
+    assert!(incomplete_streams_with("copies = false", false).await > 0);
+    assert_eq!(incomplete_streams_with("", false).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_resume_a_lost_upstream_loses_streams() {
-    assert!(losses_with("resume = false", true).await > 0);
-    assert_eq!(losses_with("", true).await, 0);
+    assert!(incomplete_streams_with("resume = false", true).await > 0);
+    assert_eq!(incomplete_streams_with("", true).await, 0);
 }
 
-/// An owner that starts anew answers at once, and knows nothing of its requests.
+/// An owner that restarts at once answers its peers again, but has lost the state of its requests.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_survive_an_owner_that_starts_anew_at_once() {
+async fn streams_survive_an_immediate_restart_of_their_owner() {
     let mut cluster = Cluster::start(Plan::default()).await;
     let boxes = cluster.caller_addrs();
     let streams = start_streams(&boxes, 12);
     tokio::time::sleep(Duration::from_millis(500)).await;
     cluster.daemons[0].kill();
     cluster.daemons[0].start();
-    all_whole(streams).await;
+    assert_all_complete(streams).await;
 }
--- a/tests/it/promise_table.rs
+++ b/tests/it/promise_table.rs
@@ -1,4 +1,4 @@
-//! Promise 7: an accepted table is in force in every failure domain, and never reverts.
+//! Promise 7: an accepted table becomes active in every failure domain and is never reverted.
 
 use {
     crate::support::*,
@@ -19,26 +19,29 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_operators_get_one_winner_a_row() {
+async fn of_concurrent_edits_of_one_row_one_is_accepted() {
     let cluster = Cluster::start(Plan::default()).await;
     let watch = VersionMonitor::start(&cluster);
     for round in 0..5 {
-        let text = shown(&cluster).await;
-        let same = [
+        let text = published_table(&cluster).await;
+        let same_row = [
             with_weight(&text, 0, 10 + round),
             with_weight(&text, 0, 50 + round),
         ];
-        let (a, b) = tokio::join!(cluster.publish(&same[0]), cluster.publish(&same[1]));
+        let (a, b) = tokio::join!(cluster.publish(&same_row[0]), cluster.publish(&same_row[1]));
         let won = [&a, &b].iter().filter(|r| r.is_ok()).count();
         assert_eq!(won, 1, "{a:?} {b:?}");
         let lost = if a.is_ok() { b } else { a };
         assert!(matches!(lost, Err(CliError::Conflict(_))), "{lost:?}");
-        let text = shown(&cluster).await;
-        let apart = [
+        let text = published_table(&cluster).await;
+        let different_rows = [
             with_weight(&text, 1, 10 + round),
             with_weight(&text, 2, 50 + round),
         ];
-        let (a, b) = tokio::join!(cluster.publish(&apart[0]), cluster.publish(&apart[1]));
+        let (a, b) = tokio::join!(
+            cluster.publish(&different_rows[0]),
+            cluster.publish(&different_rows[1])
+        );
         let last = a.unwrap().max(b.unwrap());
         wait_version(&cluster, last, &[0, 1, 2]).await;
     }
@@ -46,12 +49,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_domain_cut_off_from_the_platform_follows_its_peers() {
+async fn a_domain_cut_off_from_the_platform_gets_the_table_from_its_peers() {
     let cluster = Cluster::start(Plan::default()).await;
     let watch = VersionMonitor::start(&cluster);
     cluster.platform_proxies[0].cut();
     let version = cluster
-        .publish(&with_weight(&shown(&cluster).await, 0, 77))
+        .publish(&with_weight(&published_table(&cluster).await, 0, 77))
         .await
         .unwrap();
     wait_version(&cluster, version, &[0, 1, 2]).await;
@@ -67,7 +70,7 @@
     let cluster = Cluster::start(plan).await;
     cluster.platform_proxies[0].cut();
     let version = cluster
-        .publish(&with_weight(&shown(&cluster).await, 0, 77))
+        .publish(&with_weight(&published_table(&cluster).await, 0, 77))
         .await
         .unwrap();
     wait_version(&cluster, version, &[1, 2]).await;
@@ -77,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_domain_cut_off_from_all_goes_on_and_catches_up() {
+async fn an_isolated_domain_keeps_serving_and_catches_up() {
     let cluster = Cluster::start(Plan::default()).await;
     let watch = VersionMonitor::start(&cluster);
     cluster.platform_proxies[0].cut();
@@ -86,12 +89,15 @@
         p.cut_from(domain_ip(0));
     }
     let version = cluster
-        .publish(&with_weight(&shown(&cluster).await, 0, 78))
+        .publish(&with_weight(&published_table(&cluster).await, 0, 78))
         .await
         .unwrap();
     wait_version(&cluster, version, &[1, 2]).await;
-    let t = stream_completion(&cluster.caller_addrs()[..1], 0, "serves what it can", 10).await;
-    assert_eq!((t.end, t.durability.as_str()), (CallerOutcome::Complete, "none"));
+    let t = stream_completion(&cluster.caller_addrs()[..1], 0, "served in isolation", 10).await;
+    assert_eq!(
+        (t.end, t.durability.as_str()),
+        (CallerOutcome::Complete, "none")
+    );
     cluster.platform_proxies[0].heal();
     cluster.peer_proxies.iter().for_each(FaultProxy::heal);
     wait_version(&cluster, version, &[0]).await;
@@ -99,18 +105,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn restarts_outages_and_lost_answers_never_revert_it() {
+async fn restarts_outages_and_lost_answers_never_revert_the_table() {
     let mut cluster = Cluster::start(Plan::default()).await;
     let watch = VersionMonitor::start(&cluster);
     let platform = cluster.platform.addr();
     let mut last = 0;
     for round in 0..6 {
-        let text = with_weight(&shown(&cluster).await, round % 3, 100 + round);
+        let text = with_weight(&published_table(&cluster).await, round % 3, 100 + round);
         let n = round % 3;
         cluster
             .control_at(platform, "faults", &json!({ "lose_answers": 2 }))
             .await;
-        // Published while a daemon is gone and answers are lost.
+        // The table is published while one daemon is down and answers of the platform are lost.
         cluster.daemons[n].kill();
         let version = loop {
             match cluster.publish(&text).await {
@@ -140,14 +146,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn retention_that_passes_the_first_edit_loses_nothing() {
+async fn log_retention_past_the_first_edit_loses_no_edit() {
     let mut cluster = Cluster::start(Plan::default()).await;
     let watch = VersionMonitor::start(&cluster);
     let mut version = 0;
-    // More edits than pass between two snapshots.
+    // More edits than there are between two snapshots of the log.
     for n in 0..60 {
         version = cluster
-            .publish(&with_weight(&shown(&cluster).await, n % 6, 200 + n))
+            .publish(&with_weight(
+                &published_table(&cluster).await,
+                n % 6,
+                200 + n,
+            ))
             .await
             .unwrap();
     }
@@ -163,8 +173,8 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let before = shown(&cluster).await;
-    // From here on only the last records are left in the log.
+    let before = published_table(&cluster).await;
+    // From here on the log keeps only the last 15 records.
     cluster
         .control("settings", &json!({ "keep_records": 15 }))
         .await;
@@ -179,6 +189,6 @@
         cluster.daemons[n].start();
     }
     wait_version(&cluster, version, &[0, 1, 2]).await;
-    assert!(shown(&cluster).await.contains("weight = 999"));
+    assert!(published_table(&cluster).await.contains("weight = 999"));
     watch.stop().await;
 }
--- a/tests/it/promise_whole.rs
+++ b/tests/it/promise_whole.rs
@@ -1,16 +1,17 @@
-//! Promise 2: each caller gets its whole own answer.
+//! Promise 2: each caller gets the complete answer to its own request.
 
 use {crate::support::*, std::time::Duration, tokio::task::JoinSet};
 
 const TOKENS: usize = 120;
 
-async fn concurrent_answers(cluster: &Cluster, n: usize) {
+/// Streams `n` answers concurrently and checks that each is complete.
+async fn check_concurrent_answers(cluster: &Cluster, n: usize) {
     let boxes = cluster.caller_addrs();
     let mut streams = JoinSet::new();
     for i in 0..n {
         let boxes = boxes.clone();
         streams.spawn(async move {
-            // Each its own prompt: a token of another's answer would show.
+            // Each caller has its own prompt, so that a token of another answer is detected.
             let prompt = format!("question {i} about thing {}", i * 7919);
             stream_completion(&boxes, i % boxes.len(), &prompt, TOKENS).await
         });
@@ -21,7 +22,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_are_whole_over_connections_cut_at_any_byte() {
+async fn answers_are_complete_when_connections_break_at_any_byte() {
     let cluster = Cluster::start(Plan::default()).await;
     for u in &cluster.upstreams {
         u.proxy.slice(37);
@@ -31,19 +32,19 @@
         p.slice(53);
         p.break_chance(0.001);
     }
-    concurrent_answers(&cluster, 40).await;
+    check_concurrent_answers(&cluster, 40).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_are_whole_when_frames_come_late() {
+async fn answers_are_complete_when_frames_are_delayed() {
     let cluster = Cluster::start(Plan::default()).await;
-    let streams = concurrent_answers(&cluster, 24);
+    let streams = check_concurrent_answers(&cluster, 24);
     let faults = async {
         for round in 0..6 {
             for (i, u) in cluster.upstreams.iter().enumerate() {
-                let late = (i + round) % 2 == 0;
+                let delayed = (i + round) % 2 == 0;
                 u.proxy
-                    .delay(Duration::from_millis(if late { 120 } else { 0 }));
+                    .delay(Duration::from_millis(if delayed { 120 } else { 0 }));
             }
             for p in &cluster.peer_proxies {
                 p.delay(Duration::from_millis(20 * (round as u64 % 3)));
@@ -58,12 +59,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_answer_mixes_two_engines_wordings_of_one_token() {
-    // Salted engines never word a token alike: text told twice would differ.
+async fn no_token_is_sent_twice_by_different_engines() {
+    // A salted engine adds its name to each token, so that tokens which two engines send for
+    // the same position differ in text and length.
     let mut plan = Plan::default();
     plan.engine.salted = true;
     let cluster = Cluster::start(plan).await;
-    let streams = concurrent_answers(&cluster, 24);
+    let streams = check_concurrent_answers(&cluster, 24);
     let faults = async {
         for round in 0..5 {
             tokio::time::sleep(Duration::from_millis(200)).await;
@@ -75,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn another_account_cannot_attach() {
+async fn another_account_cannot_attach_to_a_request() {
     let cluster = Cluster::start(Plan::default()).await;
     let boxes = cluster.caller_addrs();
     let t = stream_completion(&boxes, 0, "mine alone", 10).await;
--- a/tests/it/refused_early.rs
+++ b/tests/it/refused_early.rs
@@ -1,6 +1,6 @@
-//! A caller that is refused before its body is read gets the refusal, and its
-//! connection serves on. Left unread, the body resets the connection, and the reset
-//! takes the answer away that stands before it.
+//! A caller that is refused before its body is read gets the refusal, and its connection stays
+//! usable. If the daemon closed the connection with the body unread, TCP would reset it, and the
+//! reset would discard the refusal before the caller has read it.
 
 use {
     crate::support::*,
@@ -11,16 +11,18 @@
     },
 };
 
-const TRIES: usize = 12;
+const CONNECTIONS_PER_SIZE: usize = 12;
 const BODY_BYTES: [usize; 3] = [40, 3_000, 400_000];
 
-/// Sends a call whose token nobody has, and reads the status of its answer.
+/// Sends a call with an unknown token and a body of `bytes` bytes, and reads the status of its
+/// answer.
 async fn refused(stream: &mut TcpStream, bytes: usize) -> Result<u16, String> {
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: box\r\nauthorization: Bearer nobody\r\n\
          content-type: application/json\r\ncontent-length: {bytes}\r\n\r\n"
     );
-    // An answer may be there although the call could not be sent whole.
+    // Write errors are ignored: the answer may have arrived although the body could not be sent
+    // in full.
     let _ = stream.write_all(head.as_bytes()).await;
     tokio::task::yield_now().await;
     let _ = stream.write_all(&vec![b'x'; bytes]).await;
@@ -46,17 +48,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_before_the_body_arrives_and_its_connection_serves_on() {
+async fn a_refusal_sent_before_the_body_is_read_arrives_and_the_connection_stays_usable() {
     let cluster = Cluster::start(Plan::default()).await;
     let at: SocketAddr = cluster.caller_addrs()[0];
     let mut faults = Vec::new();
     for bytes in BODY_BYTES {
-        for _ in 0..TRIES {
+        for _ in 0..CONNECTIONS_PER_SIZE {
             let mut stream = TcpStream::connect(at).await.unwrap();
-            for turn in ["first", "second"] {
+            for attempt in ["first", "second"] {
                 let status = refused(&mut stream, bytes).await;
                 if status != Ok(401) {
-                    faults.push(format!("{turn} of {bytes} B: {status:?}"));
+                    faults.push(format!("{attempt} of {bytes} B: {status:?}"));
                     break;
                 }
             }
--- a/tests/it/support/caller.rs
+++ b/tests/it/support/caller.rs
@@ -104,7 +104,7 @@
     pub id: String,
     pub text: String,
     pub tokens: usize,
-    pub attaches: usize,
+    pub reattaches: usize,
     pub durability: String,
     pub end: CallerOutcome,
 }
@@ -162,7 +162,7 @@
         id: String::new(),
         text: String::new(),
         tokens: 0,
-        attaches: 0,
+        reattaches: 0,
         durability: String::new(),
         end: CallerOutcome::Complete,
     };
@@ -198,7 +198,7 @@
             return Ok(t);
         }
         at = (at + 1) % boxes.len();
-        t.attaches += 1;
+        t.reattaches += 1;
         let last = format!("{}:{}", t.id, t.tokens);
         let path = format!("/v1/requests/{}", t.id);
         let headers = [
@@ -217,7 +217,7 @@
             _ => tokio::time::sleep(Duration::from_millis(200)).await,
         }
     }
-    t.end = CallerOutcome::Failed("no end in 200 attaches".to_string());
+    t.end = CallerOutcome::Failed("no end in 200 reattaches".to_string());
     Ok(t)
 }
 
--- a/tests/it/support/mod.rs
+++ b/tests/it/support/mod.rs
@@ -7,4 +7,6 @@
 mod fault_proxy;
 mod version_monitor;
 
-pub use {authority::*, caller::*, cluster::*, daemon_process::*, fault_proxy::*, version_monitor::*};
+pub use {
+    authority::*, caller::*, cluster::*, daemon_process::*, fault_proxy::*, version_monitor::*,
+};
