--- a/tests/it/overload.rs
+++ b/tests/it/overload.rs
@@ -26,7 +26,7 @@
             let boxes = boxes.clone();
             flood.spawn(async move {
                 let headers = [("saddlepulley-deadline-ms", "800")];
-                ask_stream_with(&boxes, 0, &format!("flood {round} {i}"), 20, &headers).await
+                stream_completion_with(&boxes, 0, &format!("flood {round} {i}"), 20, &headers).await
             });
         }
         let transcripts = flood.join_all().await;
--- a/tests/it/promise_not_run.rs
+++ b/tests/it/promise_not_run.rs
@@ -35,7 +35,7 @@
             (200, _) => assert_eq!(n, 1, "{key}"),
             (_, "not-run") => assert_eq!(n, 0, "{key} ran, but its caller got `not-run`"),
             (_, "may-have-run" | "expired") => {}
-            // The caller's own connection broke, so it got no outcome.
+            // The caller's own connection failed, so the caller got no outcome.
             (0, _) => {}
             other => panic!("{key}: {other:?}"),
         }
@@ -47,7 +47,7 @@
     let cluster = Cluster::start(Plan::default()).await;
     for u in cluster.upstreams.iter().filter(|u| u.service == "codes") {
         u.proxy.slice(11);
-        u.proxy.break_chance(0.01);
+        u.proxy.break_probability(0.01);
     }
     let outcomes = calls(&cluster, 150).await;
     check(&cluster, &outcomes).await;
@@ -97,8 +97,8 @@
         u.running.stop();
     }
     // The proxy accepts the connection and then closes it. A daemon can't distinguish that
-    // from a connection that broke after the call had been sent, so `may-have-run` is
-    // allowed beside `not-run`.
+    // from a connection that broke after the call had been sent. It must report `not-run`
+    // only when it is certain, so `may-have-run` is allowed too.
     let outcomes = calls(&cluster, 9).await;
     assert!(
         outcomes
--- a/tests/it/promise_once.rs
+++ b/tests/it/promise_once.rs
@@ -157,7 +157,7 @@
     let (status, doc) = call_codes(boxes[0], &key, "umbrella").await.unwrap();
     assert_eq!((status, &doc["outcome"]), (503, &json!("not-run")), "{doc}");
     assert_eq!(executions_of(&cluster, &key).await, 0);
-    let t = stream_completion(&boxes, 1, "served during the outage", 20).await;
+    let t = stream_completion(&boxes, 1, "goes on", 20).await;
     assert_eq!(t.end, CallerOutcome::Complete);
     let up = json!({ "down": false });
     cluster
--- a/tests/it/promise_stop.rs
+++ b/tests/it/promise_stop.rs
@@ -14,7 +14,8 @@
 };
 
 /// Sends a request as through a load balancer: a box that is not ready or cannot be reached is
-/// skipped, and so is one that refuses the request as `not-run`. Every other outcome is returned.
+/// skipped, and so is a box that refuses the request as `not-run` with status 503. Every other
+/// outcome is returned.
 async fn stream_behind_balancer(boxes: &[SocketAddr], first: usize, prompt: &str) -> Transcript {
     let client = test_client::Client::default();
     for i in 0..100 {
@@ -25,7 +26,8 @@
             continue;
         }
         let t = stream_completion(boxes, at, prompt, 60).await;
-        // The box began its stop between the readiness check and the request, and refused at once.
+        // The box began to stop between the readiness check and the request, and refused the
+        // request at once.
         if t.end != CallerOutcome::Refused(503, "not-run".to_string()) {
             return t;
         }
--- a/tests/it/promise_survives.rs
+++ b/tests/it/promise_survives.rs
@@ -100,7 +100,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_survive_a_frozen_owner() {
     let cluster = Cluster::start(Plan::default()).await;
-    // A caller can't detect that its box is frozen, so the requests go to the other boxes only.
+    // A caller can't detect that its box is frozen, so the callers send their requests to the
+    // other boxes.
     let boxes = cluster.caller_addrs();
     let streams = start_streams(&boxes[1..], 8);
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -194,7 +195,8 @@
     assert_eq!(incomplete_streams_with("", true).await, 0);
 }
 
-/// An owner that restarts at once answers its peers again, but has lost the state of its requests.
+/// An owner that restarts at once answers its peers again, but has lost the state of its
+/// requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_survive_an_immediate_restart_of_their_owner() {
     let mut cluster = Cluster::start(Plan::default()).await;
--- a/tests/it/promise_table.rs
+++ b/tests/it/promise_table.rs
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_concurrent_edits_of_one_row_one_is_accepted() {
+async fn concurrent_edits_of_one_row_have_one_winner() {
     let cluster = Cluster::start(Plan::default()).await;
     let watch = VersionMonitor::start(&cluster);
     for round in 0..5 {
@@ -93,7 +93,7 @@
         .await
         .unwrap();
     wait_version(&cluster, version, &[1, 2]).await;
-    let t = stream_completion(&cluster.caller_addrs()[..1], 0, "served in isolation", 10).await;
+    let t = stream_completion(&cluster.caller_addrs()[..1], 0, "serves what it can", 10).await;
     assert_eq!(
         (t.end, t.durability.as_str()),
         (CallerOutcome::Complete, "none")
--- a/tests/it/promise_whole.rs
+++ b/tests/it/promise_whole.rs
@@ -26,11 +26,11 @@
     let cluster = Cluster::start(Plan::default()).await;
     for u in &cluster.upstreams {
         u.proxy.slice(37);
-        u.proxy.break_chance(0.002);
+        u.proxy.break_probability(0.002);
     }
     for p in &cluster.peer_proxies {
         p.slice(53);
-        p.break_chance(0.001);
+        p.break_probability(0.001);
     }
     check_concurrent_answers(&cluster, 40).await;
 }
@@ -59,9 +59,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_token_is_sent_twice_by_different_engines() {
-    // A salted engine adds its name to each token, so that tokens which two engines send for
-    // the same position differ in text and length.
+async fn no_answer_mixes_two_engines_texts_of_one_token() {
+    // A salted engine adds its name to each token, so that two engines never send the same text
+    // for one token, and a token that both have sent is detected.
     let mut plan = Plan::default();
     plan.engine.salted = true;
     let cluster = Cluster::start(plan).await;
--- a/tests/it/soak.rs
+++ b/tests/it/soak.rs
@@ -1,6 +1,7 @@
-//! Everything at once: load over several daemons while a seeded schedule mixes
-//! kills, freezes, cuts, platform outages, reclaims and publishing races; then
-//! all promises are checked from the stand-ins' and the callers' records.
+//! Soak test: callers load several daemons while a seeded random schedule injects kills,
+//! freezes, network partitions, platform outages, lost answers, reclaims and concurrent edits of
+//! the table. The promises are checked during the run, and at its end from the records of the
+//! stand-ins and of the callers.
 //!
 //! `SADDLEPULLEY_SOAK_S=300 SADDLEPULLEY_SOAK_SEED=7 cargo test --test it soak`
 
@@ -23,7 +24,8 @@
     tokio::task::JoinSet,
 };
 
-const SHORT_S: u64 = 15;
+/// Length of the run in seconds, if `SADDLEPULLEY_SOAK_S` is not set.
+const DEFAULT_SOAK_S: u64 = 15;
 const STREAM_TOKENS: usize = 80;
 
 fn from_env(name: &str, default: u64) -> u64 {
@@ -33,10 +35,11 @@
         .unwrap_or(default)
 }
 
-/// How the answers of all callers ended.
+/// Number of requests by their outcome.
 type Counts = BTreeMap<String, usize>;
 
-/// Streams, each checked as a whole answer to its own prompt.
+/// Sends streamed requests until `stop` is set; each answer that ends as complete is checked
+/// against its own prompt.
 async fn stream_load(boxes: Vec<SocketAddr>, worker: usize, stop: Arc<AtomicBool>) -> Counts {
     let mut counts = Counts::new();
     let mut n = 0;
@@ -51,12 +54,12 @@
             continue;
         }
         let prompt = format!("soak {worker} {n}");
-        let asked = try_ask_stream(&boxes, first, &prompt, STREAM_TOKENS).await;
-        let end = match asked {
-            // Nothing was promised: the box went away before it answered.
+        let transcript = try_stream_completion(&boxes, first, &prompt, STREAM_TOKENS).await;
+        let end = match transcript {
+            // The box failed before it answered, so the request had not been accepted.
             None => "stream not accepted".to_string(),
             Some(t) => match t.end {
-                CallerOutcome::Complete => "stream whole".to_string(),
+                CallerOutcome::Complete => "stream complete".to_string(),
                 CallerOutcome::Refused(_, outcome) => format!("stream refused {outcome}"),
                 CallerOutcome::Failed(outcome) => format!("stream {outcome}"),
             },
@@ -66,8 +69,9 @@
     counts
 }
 
-/// Calls that may run once; each key is sent to up to three boxes.
-async fn code_load(
+/// Sends calls that must run at most once until `stop` is set, and checks the number of
+/// executions after each. Each key is sent up to three times, each time to another box.
+async fn call_load(
     boxes: Vec<SocketAddr>,
     at: Vec<SocketAddr>,
     worker: usize,
@@ -83,7 +87,7 @@
             let end = match call_codes(to, &key, "soak").await {
                 Err(_) => "call without answer".to_string(),
                 Ok((200, doc)) => {
-                    assert_eq!(doc["key"], json!(key), "another call's answer");
+                    assert_eq!(doc["key"], json!(key), "answer of another call");
                     "call answered".to_string()
                 }
                 Ok((_, doc)) => format!("call {}", doc["outcome"].as_str().unwrap_or("?")),
@@ -91,14 +95,11 @@
             let executions = executions_of(&at, &key).await;
             assert!(executions <= 1, "{key} ran {executions} times");
             if end == "call not-run" {
-                assert_eq!(
-                    executions, 0,
-                    "{key} ran, and its caller was told `not-run`"
-                );
+                assert_eq!(executions, 0, "{key} ran, but its caller got `not-run`");
             }
             *counts.entry(end.clone()).or_default() += 1;
             if end == "call answered" {
-                assert_eq!(executions, 1, "{key} was answered and never ran");
+                assert_eq!(executions, 1, "{key} was answered but never ran");
                 break;
             }
         }
@@ -107,6 +108,7 @@
     counts
 }
 
+/// Returns how often the call with this key ran, over all plain services.
 async fn executions_of(at: &[SocketAddr], key: &str) -> u64 {
     let client = test_client::Client::default();
     let mut sum = 0;
@@ -121,9 +123,10 @@
     sum
 }
 
-/// One fault, its time, and its healing. At most one box is down at once, so
-/// that an owner and its copy never die together unannounced.
-async fn fault(cluster: &mut Cluster, rng: &mut ChaCha8Rng, n: usize) -> &'static str {
+/// Injects one random fault, removes it after a random time, and returns its name. At most one
+/// box is down at a time, so that the owner of a request and the box that holds its copy never
+/// fail together unannounced.
+async fn inject_fault(cluster: &mut Cluster, rng: &mut ChaCha8Rng, n: usize) -> &'static str {
     let which = rng.random_range(0..3);
     let ms = rng.random_range(300..1_500);
     let pause = tokio::time::sleep(Duration::from_millis(ms));
@@ -134,14 +137,14 @@
             pause.await;
             cluster.daemons[which].start();
             cluster.wait_ready().await;
-            settle().await;
+            wait_for_takeover().await;
             "kill"
         }
         1 => {
             cluster.daemons[which].freeze();
             pause.await;
             cluster.daemons[which].thaw();
-            settle().await;
+            wait_for_takeover().await;
             "freeze"
         }
         2 => {
@@ -175,11 +178,11 @@
             "lost answers"
         }
         6 => {
-            reclaim_one(cluster, which, n).await;
+            replace_one_engine(cluster, which, n).await;
             "reclaim"
         }
         _ => {
-            let text = shown(cluster).await;
+            let text = published_table(cluster).await;
             let (a, b) = (
                 with_weight(&text, which, 10 + n % 900),
                 with_weight(&text, which, 11 + n % 900),
@@ -190,14 +193,15 @@
     }
 }
 
-/// Time in which the holders take over and copy again. A second box that dies
-/// within it takes an owner and its copy: the stated limit of promise 1.
-async fn settle() {
+/// Waits until the boxes that hold copies have taken over the requests and copied them again.
+/// A second box that fails within this time takes both the owner of a request and its copy with
+/// it; this is the stated limit of promise 1.
+async fn wait_for_takeover() {
     tokio::time::sleep(Duration::from_millis(2_500)).await;
 }
 
-/// Reclaims one engine of a domain and puts another in its place.
-async fn reclaim_one(cluster: &mut Cluster, domain: usize, n: usize) {
+/// Adds a spare engine to a domain and reclaims one of its older engines.
+async fn replace_one_engine(cluster: &mut Cluster, domain: usize, n: usize) {
     let plan = Plan::default();
     let name = format!("zone-{}-spare-{n}", (b'a' + domain as u8) as char);
     cluster
@@ -214,7 +218,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_all_promises_under_mixed_faults() {
-    let seconds = from_env("SADDLEPULLEY_SOAK_S", SHORT_S);
+    let seconds = from_env("SADDLEPULLEY_SOAK_S", DEFAULT_SOAK_S);
     let seed = from_env("SADDLEPULLEY_SOAK_SEED", 1);
     println!("soak: seed {seed}, {seconds} s");
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -227,7 +231,7 @@
     let mut load = JoinSet::new();
     for worker in 0..6 {
         load.spawn(stream_load(boxes.clone(), worker, stop.clone()));
-        load.spawn(code_load(
+        load.spawn(call_load(
             boxes.clone(),
             codes.clone(),
             worker,
@@ -240,7 +244,7 @@
     while tokio::time::Instant::now() < end {
         n += 1;
         *faults
-            .entry(fault(&mut cluster, &mut rng, n).await)
+            .entry(inject_fault(&mut cluster, &mut rng, n).await)
             .or_default() += 1;
     }
     stop.store(true, Ordering::SeqCst);
@@ -260,15 +264,15 @@
     println!("faults: {faults:?}\nanswers: {counts:?}\nexecutions over one: {over_one}");
     assert_eq!(over_one, 0);
     let count = |what: &str| counts.get(what).copied().unwrap_or(0);
-    assert!(count("stream whole") > 0 && count("call answered") > 0);
-    // One fault at a time never loses an accepted stream: whatever isn't whole
+    assert!(count("stream complete") > 0 && count("call answered") > 0);
+    // With one fault at a time no accepted stream is lost: every stream that is not complete
     // was refused before it was accepted.
-    let good = [
-        "stream whole",
+    let allowed = [
+        "stream complete",
         "stream not accepted",
         "stream refused not-run",
     ];
-    let lost = |end: &&String| end.starts_with("stream") && !good.contains(&end.as_str());
+    let lost = |end: &&String| end.starts_with("stream") && !allowed.contains(&end.as_str());
     let lost: Vec<&String> = counts.keys().filter(lost).collect();
     assert!(lost.is_empty(), "{counts:?}");
 }
--- a/tests/it/stop_arrivals.rs
+++ b/tests/it/stop_arrivals.rs
@@ -1,5 +1,5 @@
-//! Calls that have arrived when a stopping daemon ends are answered: served or told
-//! that they did not run.
+//! Calls that have arrived by the time that a stopping daemon exits are answered: they are
+//! served, or refused as not run.
 
 use {
     crate::support::*,
@@ -12,6 +12,7 @@
 
 const CALLS: usize = 12;
 
+/// Reads the status of the answer.
 async fn status(stream: &mut TcpStream) -> Result<u16, String> {
     let mut read = Vec::new();
     while read.len() < 12 {
@@ -27,16 +28,16 @@
     text[9..12].parse().map_err(|_| text.to_string())
 }
 
-/// The daemon gets no processor time while its stop would have ended, and calls come
-/// meanwhile.
+/// The daemon gets no processor time (it is frozen) until after the time at which its stop would
+/// have ended, and calls arrive meanwhile on open and on new connections.
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_that_arrived_before_the_end_of_a_stop_are_answered() {
+async fn calls_that_arrive_before_a_stopping_daemon_exits_are_answered() {
     let cluster = Cluster::start(Plan::default()).await;
     let daemon = &cluster.daemons[0];
     let at = cluster.caller_addrs()[0];
-    let mut kept = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..CALLS {
-        kept.push(TcpStream::connect(at).await.unwrap());
+        connections.push(TcpStream::connect(at).await.unwrap());
     }
     daemon.terminate();
     let client = test_client::Client::default();
@@ -48,7 +49,7 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     daemon.freeze();
-    let mut calls = kept;
+    let mut calls = connections;
     for _ in 0..CALLS {
         calls.push(TcpStream::connect(at).await.unwrap());
     }
--- a/tests/it/support/authority.rs
+++ b/tests/it/support/authority.rs
@@ -3,7 +3,7 @@
     std::{fs, path::Path},
 };
 
-/// A certificate authority of one test's own.
+/// A certificate authority that is created for a single test.
 pub struct Authority {
     pem: String,
     issuer: Issuer<'static, KeyPair>,
--- a/tests/it/support/caller.rs
+++ b/tests/it/support/caller.rs
@@ -14,7 +14,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// A plain HTTP client, with one connection a request.
+/// A plain HTTP client that by default opens a new connection for each request.
 pub mod test_client {
     use super::*;
 
@@ -38,7 +38,7 @@
     }
 
     impl Client {
-        /// A client that keeps its connections.
+        /// Returns a client that reuses its connections.
         pub fn pooled() -> Self {
             let mut connector = HttpConnector::new();
             connector.set_nodelay(true);
@@ -46,6 +46,7 @@
             Self { client }
         }
 
+        /// Sends a request and returns the response without reading its body.
         pub async fn open(
             &self,
             method: &str,
@@ -66,6 +67,7 @@
             self.client.request(req).await.map_err(|e| format!("{e:?}"))
         }
 
+        /// Sends a request and reads the full response.
         pub async fn send(
             &self,
             method: &str,
@@ -90,15 +92,15 @@
 /// How a streamed answer ended for its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerOutcome {
-    /// Whole, checked against length, digest and the words expected.
+    /// The answer is complete: its length, digest and words are as expected.
     Complete,
-    /// Given up on, with this outcome.
+    /// The daemon ended the accepted request with this outcome, or the caller gave up.
     Failed(String),
-    /// Refused before it was accepted, with status and outcome.
+    /// The request was refused before it was accepted, with this status and outcome.
     Refused(u16, String),
 }
 
-/// What a caller saw of one streamed answer, over as many connections as it took.
+/// What a caller received of one streamed answer, over all its connections.
 #[derive(Clone, Debug)]
 pub struct Transcript {
     pub id: String,
@@ -109,43 +111,50 @@
     pub end: CallerOutcome,
 }
 
-/// Asks for a streamed answer and follows it over lost connections and
-/// `reattach` events, at one box after another, as a good caller would.
+/// Sends a streamed completion request to the box `first` and reads the answer to its end. After
+/// a lost connection or a `reattach` event it re-attaches at one box after another, as a
+/// well-behaved caller does.
 pub async fn stream_completion(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
     max_tokens: usize,
 ) -> Transcript {
-    ask_stream_with(boxes, first, prompt, max_tokens, &[]).await
+    stream_completion_with(boxes, first, prompt, max_tokens, &[]).await
 }
 
-/// Like `stream_completion`; none if the first box went away before it answered.
-pub async fn try_ask_stream(
+/// Like `stream_completion`, but returns `None` if the first box failed before it answered.
+pub async fn try_stream_completion(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
     max_tokens: usize,
 ) -> Option<Transcript> {
-    let ask = ask_stream_or_refusal(boxes, first, prompt, max_tokens, &[]);
-    tokio::time::timeout(Duration::from_secs(90), ask)
+    let stream = try_stream_completion_with(boxes, first, prompt, max_tokens, &[]);
+    tokio::time::timeout(Duration::from_secs(90), stream)
         .await
-        .expect("an end in 90 s")
+        .expect("the stream ends within 90 s")
         .ok()
 }
 
-pub async fn ask_stream_with(
+/// Like `stream_completion`, with further request headers.
+pub async fn stream_completion_with(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
     max_tokens: usize,
     headers: &[(&str, &str)],
 ) -> Transcript {
-    let asked = ask_stream_or_refusal(boxes, first, prompt, max_tokens, headers).await;
-    asked.expect("the first box answers")
+    let transcript = try_stream_completion_with(boxes, first, prompt, max_tokens, headers).await;
+    transcript.expect("the first box answers")
 }
 
-async fn ask_stream_or_refusal(
+/// Implements `stream_completion`.
+///
+/// # Errors
+///
+/// Fails if the first box did not answer the request.
+async fn try_stream_completion_with(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
@@ -153,11 +162,11 @@
     headers: &[(&str, &str)],
 ) -> Result<Transcript, String> {
     let client = test_client::Client::default();
-    let ask =
+    let request =
         json!({ "model": "assistant", "prompt": prompt, "max_tokens": max_tokens, "stream": true });
     let bearer = super::bearer(TOKEN);
-    let mut all = vec![("authorization", bearer.as_str())];
-    all.extend(headers);
+    let mut all_headers = vec![("authorization", bearer.as_str())];
+    all_headers.extend(headers);
     let mut t = Transcript {
         id: String::new(),
         text: String::new(),
@@ -171,8 +180,8 @@
             "POST",
             boxes[first],
             "/v1/completions",
-            &all,
-            &ask.to_string(),
+            &all_headers,
+            &request.to_string(),
         )
         .await?;
     if rep.status() != 200 {
@@ -217,11 +226,12 @@
             _ => tokio::time::sleep(Duration::from_millis(200)).await,
         }
     }
-    t.end = CallerOutcome::Failed("no end in 200 reattaches".to_string());
+    t.end = CallerOutcome::Failed("stream not complete after 200 re-attaches".to_string());
     Ok(t)
 }
 
-/// Reads events until the stream ends; returns the end if it was an end.
+/// Reads events until the connection ends. Returns the outcome of the answer, or `None` if the
+/// caller has to re-attach.
 async fn read_events(
     mut body: Incoming,
     t: &mut Transcript,
@@ -237,15 +247,16 @@
         buf += std::str::from_utf8(&frame.into_data().unwrap_or_default()).unwrap();
         while let Some(end) = buf.find("\n\n") {
             let event: String = buf.drain(..end + 2).collect();
-            if let Some(end) = take_event(&event, t, prompt, max_tokens) {
+            if let Some(end) = apply_event(&event, t, prompt, max_tokens) {
                 return end;
             }
         }
     }
 }
 
-/// Returns whether reading is over, and with which end.
-fn take_event(
+/// Applies one event to the transcript. Returns `None` if more events follow, `Some(None)` if the
+/// caller has to re-attach, and otherwise the outcome of the answer.
+fn apply_event(
     event: &str,
     t: &mut Transcript,
     prompt: &str,
@@ -289,8 +300,8 @@
     None
 }
 
-/// Compares the answer with the one expected for its own prompt. The engine's
-/// name behind an `@` is not compared: it changes where the answer moved.
+/// Compares the answer with the one expected for its prompt. The engine's name, which a salted
+/// engine appends after `@`, is not compared: it changes when the answer moves to another engine.
 fn check_words(t: &Transcript, prompt: &str, max_tokens: usize) {
     let words: Vec<&str> = t.text.split_whitespace().collect();
     assert_eq!(words.len(), max_tokens);
@@ -300,7 +311,7 @@
     }
 }
 
-/// Calls a plain service once.
+/// Sends a call that must not be repeated to the plain service `codes`; returns status and body.
 pub async fn call_codes(at: SocketAddr, key: &str, body: &str) -> Result<(u16, Value), String> {
     let client = test_client::Client::default();
     let bearer = super::bearer(TOKEN);
--- a/tests/it/support/cluster.rs
+++ b/tests/it/support/cluster.rs
@@ -22,7 +22,7 @@
 pub const OTHER_TOKEN: &str = "other-token";
 pub const OPERATOR_TOKEN: &str = "operator-token";
 
-/// What a cluster shall look like.
+/// The size and the settings of a test cluster.
 pub struct Plan {
     pub domains: usize,
     pub daemons_per_domain: usize,
@@ -30,15 +30,15 @@
     pub engine: EngineConfig,
     pub plain_work_ms: u64,
     pub checks_fence: bool,
-    /// Fields of every row, as TOML.
+    /// Fields of every row of the table, as TOML.
     pub row: String,
-    /// Lines for every daemon's `[peers]`.
+    /// Lines for the `[peers]` section of every daemon's settings.
     pub peers: String,
-    /// Lines for every daemon's `[trial]`.
+    /// Lines for the `[trial]` section of every daemon's settings, which turn mechanisms off.
     pub trial: String,
-    /// Whether links between daemons have TLS.
+    /// Connections between daemons use TLS.
     pub tls: bool,
-    /// Class and price of the engines of a domain, in turn.
+    /// Class and price of a domain's engines, assigned in turn.
     pub classes: Vec<(&'static str, u64)>,
 }
 
@@ -73,17 +73,18 @@
     pub price_micros: u64,
     pub proxy: FaultProxy,
     pub running: Running,
-    /// Its counts, read before it was stopped.
+    /// The stand-in's counts, read by the benchmarks before they stop it.
     pub last: Value,
 }
 
-/// Stand-ins in this process, daemons as processes, proxies between all.
+/// A test cluster: stand-ins in this process, daemons as processes of their own, and fault
+/// proxies in front of the platform, the upstreams and the peer addresses of the daemons.
 pub struct Cluster {
     pub platform: Running,
-    /// One proxy for each domain's way to the platform.
+    /// The proxy through which each domain's daemons reach the platform, by domain.
     pub platform_proxies: Vec<FaultProxy>,
     pub daemons: Vec<DaemonProcess>,
-    /// One proxy in front of each daemon's peer address.
+    /// The proxy in front of each daemon's peer address, in the order of `daemons`.
     pub peer_proxies: Vec<FaultProxy>,
     pub upstreams: Vec<UpstreamStandin>,
     pub client: test_client::Client,
@@ -95,7 +96,7 @@
     format!("zone-{}", (b'a' + n as u8) as char)
 }
 
-/// The address from which a domain's daemons call.
+/// The source address of the connections that a domain's daemons open.
 pub fn domain_ip(n: usize) -> IpAddr {
     IpAddr::from([127, 0, 1, 1 + n as u8])
 }
@@ -129,16 +130,16 @@
             dir: TempDir::new().unwrap(),
             authority: Authority::default(),
         };
-        let mut places = Vec::new();
+        let mut peer_addrs = Vec::new();
         for n in 0..plan.domains * plan.daemons_per_domain {
             let domain = n % plan.domains;
             let peers = free_addr(domain_ip(domain));
             let proxy = FaultProxy::start(peers).await;
-            places.push((domain, peers, proxy.addr()));
+            peer_addrs.push((domain, peers, proxy.addr()));
             cluster.peer_proxies.push(proxy);
         }
-        let seeds: Vec<String> = places.iter().map(|p| format!("\"{}\"", p.2)).collect();
-        for (n, (domain, peers, advertised)) in places.iter().enumerate() {
+        let seeds: Vec<String> = peer_addrs.iter().map(|p| format!("\"{}\"", p.2)).collect();
+        for (n, (domain, peers, advertised)) in peer_addrs.iter().enumerate() {
             let id = format!("{}-entry-{n}", domain_name(*domain));
             let callers = free_addr(domain_ip(*domain));
             let operators = free_addr(domain_ip(*domain));
@@ -165,7 +166,8 @@
         cluster
     }
 
-    /// Plain links, or a certificate of this cluster's own authority.
+    /// Returns the `[peers]` lines for plain connections, or for TLS with a new certificate of
+    /// this cluster's authority.
     fn link_settings(&self, plan: &Plan, id: &str) -> String {
         if !plan.tls {
             return "plain = true".to_string();
@@ -239,7 +241,7 @@
         });
     }
 
-    /// Waits until each daemon is ready and knows all others.
+    /// Waits until each daemon is ready and lists all daemons and upstreams.
     pub async fn wait_ready(&self) {
         let running = self.daemons.len();
         let upstreams = self.upstreams.len();
@@ -257,6 +259,11 @@
         }
     }
 
+    /// Waits up to 30 s until the status of a daemon satisfies `good`.
+    ///
+    /// # Panics
+    ///
+    /// Panics with the last status and the log if it does not.
     pub async fn wait_status(
         &self,
         daemon: &DaemonProcess,
@@ -272,9 +279,14 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("{} never was {what}: {last:?}\n{}", daemon.id, daemon.log());
+        panic!(
+            "{} was not {what} within 30 s: {last:?}\n{}",
+            daemon.id,
+            daemon.log()
+        );
     }
 
+    /// Returns the status of a daemon, or `None` if it did not answer.
     pub async fn status(&self, daemon: &DaemonProcess) -> Option<Status> {
         let rep = self
             .client
@@ -290,17 +302,19 @@
         serde_json::from_slice(&rep.body).ok()
     }
 
-    /// Appends a table file's edit to the log.
+    /// Publishes a table file and returns the new version.
     pub async fn publish(&self, table: &str) -> Result<u64, saddlepulley::cli::CliError> {
         let file = saddlepulley::contracts::TableFile::parse("test", table).unwrap();
         let log = saddlepulley::provider::PlatformHttp::new(self.platform.addr());
         saddlepulley::cli::publish(&log, &file).await
     }
 
+    /// Sends a control order to the platform stand-in; a null order reads instead.
     pub async fn control(&self, what: &str, order: &Value) -> Value {
         self.control_at(self.platform.addr(), what, order).await
     }
 
+    /// Sends a control order to the stand-in at `at`; a null order reads instead.
     pub async fn control_at(&self, at: SocketAddr, what: &str, order: &Value) -> Value {
         let path = format!("/control/{what}");
         let (method, body) = if order.is_null() {
@@ -317,13 +331,13 @@
         serde_json::from_slice(&rep.body).unwrap_or(Value::Null)
     }
 
-    /// Announces a reclaim of boxes by name.
+    /// Makes the platform announce the reclaim of these boxes, with the given notice period.
     pub async fn reclaim(&self, names: &[&str], notice_ms: u64) {
         let order = json!({ "boxes": names, "notice_ms": notice_ms });
         self.control("reclaim", &order).await;
     }
 
-    /// Executions by key, over all plain services.
+    /// Returns the number of executions by key, over all plain services.
     pub async fn executions(&self) -> BTreeMap<String, u64> {
         let mut all = BTreeMap::new();
         for u in self.upstreams.iter().filter(|u| u.service == "codes") {
@@ -341,7 +355,7 @@
         self.daemons.iter().map(|d| d.callers).collect()
     }
 
-    /// Lists the entry boxes in the platform, so that they can be reclaimed.
+    /// Adds the daemons' boxes to the platform's box list, so that they can be reclaimed.
     pub async fn list_entry_boxes(&self) {
         let mut boxes = Vec::new();
         for (daemon, proxy) in self.daemons.iter().zip(&self.peer_proxies) {
@@ -380,8 +394,8 @@
     text
 }
 
-/// An address below the range from which the system gives ports to connections,
-/// so that none takes it before the daemon does.
+/// Returns a free address whose port is below the range of ephemeral ports, so that no outgoing
+/// connection takes the port before the daemon binds it.
 fn free_addr(ip: IpAddr) -> SocketAddr {
     const FIRST: u32 = 10_000;
     const PORTS: u32 = 20_000;
--- a/tests/it/support/daemon_process.rs
+++ b/tests/it/support/daemon_process.rs
@@ -12,7 +12,7 @@
     },
 };
 
-/// A daemon that runs as a process of its own.
+/// A daemon that runs as a separate process.
 pub struct DaemonProcess {
     pub id: String,
     pub domain: usize,
@@ -60,7 +60,7 @@
         self.child = Some(child);
     }
 
-    /// SIGKILL, as when a box dies unannounced.
+    /// Sends SIGKILL, as when a box fails unannounced, and waits for the exit.
     pub fn kill(&mut self) {
         self.signal(Signal::SIGKILL);
         if let Some(mut child) = self.child.take() {
@@ -68,24 +68,26 @@
         }
     }
 
-    /// SIGTERM: a planned stop.
+    /// Sends SIGTERM, which starts a planned stop.
     pub fn terminate(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// SIGSTOP: the process is frozen and doesn't know it.
+    /// Sends SIGSTOP: the process stands still and cannot detect it.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
+    /// Sends SIGCONT, which ends a freeze.
     pub fn thaw(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Waits until the process has left by itself.
+    /// Waits until the process has exited by itself. Returns `false` if it still runs after
+    /// `within`.
     pub async fn wait_exit(&mut self, within: Duration) -> bool {
-        let end = tokio::time::Instant::now() + within;
-        while tokio::time::Instant::now() < end {
+        let deadline = tokio::time::Instant::now() + within;
+        while tokio::time::Instant::now() < deadline {
             let Some(child) = &mut self.child else {
                 return true;
             };
--- a/tests/it/support/fault_proxy.rs
+++ b/tests/it/support/fault_proxy.rs
@@ -21,18 +21,19 @@
     tokio_util::io::InspectReader,
 };
 
-/// A proxy in front of one address, with faults that can be changed while it runs.
+/// A TCP proxy in front of one address that injects faults, which can be changed while it runs.
 pub struct FaultProxy {
     addr: SocketAddr,
-    knobs: Arc<Knobs>,
+    faults: Arc<FaultState>,
     task: JoinHandle<()>,
 }
 
-struct Knobs {
+/// The faults to inject and the count of forwarded bytes, shared with the connection tasks.
+struct FaultState {
     target: Mutex<SocketAddr>,
     delay: Arc<DynamicDuration>,
     slice: Arc<DynamicSize>,
-    break_chance: Arc<DynamicProbability>,
+    break_probability: Arc<DynamicProbability>,
     cut: Mutex<HashSet<IpAddr>>,
     cut_all: watch::Sender<bool>,
     cuts: watch::Sender<u64>,
@@ -44,64 +45,66 @@
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
-        let knobs = Arc::new(Knobs {
+        let faults = Arc::new(FaultState {
             target: Mutex::new(target),
             delay: DynamicDuration::new(Duration::ZERO),
             slice: DynamicSize::new(usize::MAX / 2),
-            break_chance: DynamicProbability::new(0.0).unwrap(),
+            break_probability: DynamicProbability::new(0.0).unwrap(),
             cut: Mutex::default(),
             cut_all: watch::Sender::new(false),
             cuts: watch::Sender::new(0),
             drops: watch::Sender::new(0),
             bytes: AtomicU64::new(0),
         });
-        let task = tokio::spawn(accept(listener, knobs.clone()));
-        Self { addr, knobs, task }
+        let task = tokio::spawn(accept(listener, faults.clone()));
+        Self { addr, faults, task }
     }
 
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Bytes that passed, both ways together.
+    /// Returns the number of forwarded bytes, both directions together.
     pub fn bytes(&self) -> u64 {
-        self.knobs.bytes.load(Ordering::Relaxed)
+        self.faults.bytes.load(Ordering::Relaxed)
     }
 
-    /// Cuts every connection and refuses new ones.
+    /// Closes every connection, and closes new ones when they are accepted.
     pub fn cut(&self) {
-        self.knobs.cut_all.send_replace(true);
-        self.knobs.cuts.send_modify(|n| *n += 1);
+        self.faults.cut_all.send_replace(true);
+        self.faults.cuts.send_modify(|n| *n += 1);
     }
 
-    /// Cuts the connections from one address.
+    /// Closes the connections from one source address, present and new ones.
     pub fn cut_from(&self, ip: IpAddr) {
-        self.knobs.cut.lock().insert(ip);
-        self.knobs.cuts.send_modify(|n| *n += 1);
+        self.faults.cut.lock().insert(ip);
+        self.faults.cuts.send_modify(|n| *n += 1);
     }
 
-    /// Cuts every connection once; new ones pass.
+    /// Closes every present connection; new ones are forwarded.
     pub fn drop_connections(&self) {
-        self.knobs.drops.send_modify(|n| *n += 1);
+        self.faults.drops.send_modify(|n| *n += 1);
     }
 
+    /// Ends `cut` and `cut_from`.
     pub fn heal(&self) {
-        self.knobs.cut_all.send_replace(false);
-        self.knobs.cut.lock().clear();
+        self.faults.cut_all.send_replace(false);
+        self.faults.cut.lock().clear();
     }
 
+    /// Delays each write by this time.
     pub fn delay(&self, delay: Duration) {
-        self.knobs.delay.set(delay);
+        self.faults.delay.set(delay);
     }
 
-    /// Sends in slices of this many bytes.
+    /// Splits writes into slices of this many bytes.
     pub fn slice(&self, bytes: usize) {
-        self.knobs.slice.set(bytes);
+        self.faults.slice.set(bytes);
     }
 
-    /// Each read or write breaks the connection with this chance.
-    pub fn break_chance(&self, chance: f64) {
-        self.knobs.break_chance.set(chance).unwrap();
+    /// Makes each read or write break the connection with this probability.
+    pub fn break_probability(&self, probability: f64) {
+        self.faults.break_probability.set(probability).unwrap();
     }
 }
 
@@ -111,49 +114,49 @@
     }
 }
 
-impl Knobs {
+impl FaultState {
     fn is_cut(&self, from: IpAddr) -> bool {
         *self.cut_all.borrow() || self.cut.lock().contains(&from)
     }
 }
 
-async fn accept(listener: TcpListener, knobs: Arc<Knobs>) {
+async fn accept(listener: TcpListener, faults: Arc<FaultState>) {
     loop {
         let Ok((inbound, from)) = listener.accept().await else {
             continue;
         };
-        if !knobs.is_cut(from.ip()) {
-            tokio::spawn(forward(inbound, from.ip(), knobs.clone()));
+        if !faults.is_cut(from.ip()) {
+            tokio::spawn(forward(inbound, from.ip(), faults.clone()));
         }
     }
 }
 
-async fn forward(inbound: TcpStream, from: IpAddr, knobs: Arc<Knobs>) {
-    let mut cuts = knobs.cuts.subscribe();
-    let mut drops = knobs.drops.subscribe();
-    let target = *knobs.target.lock();
+async fn forward(inbound: TcpStream, from: IpAddr, faults: Arc<FaultState>) {
+    let mut cuts = faults.cuts.subscribe();
+    let mut drops = faults.drops.subscribe();
+    let target = *faults.target.lock();
     let Ok(outbound) = TcpStream::connect(target).await else {
         return;
     };
     let _ = inbound.set_nodelay(true);
     let _ = outbound.set_nodelay(true);
-    let count = |b: &[u8]| {
-        knobs.bytes.fetch_add(b.len() as u64, Ordering::Relaxed);
+    let count_bytes = |b: &[u8]| {
+        faults.bytes.fetch_add(b.len() as u64, Ordering::Relaxed);
     };
-    let inbound = InspectReader::new(inbound, count);
-    let outbound = InspectReader::new(outbound, count);
-    let inbound = Terminator::new(inbound, knobs.break_chance.clone());
-    let outbound = Terminator::new(outbound, knobs.break_chance.clone());
+    let inbound = InspectReader::new(inbound, count_bytes);
+    let outbound = InspectReader::new(outbound, count_bytes);
+    let inbound = Terminator::new(inbound, faults.break_probability.clone());
+    let outbound = Terminator::new(outbound, faults.break_probability.clone());
     let mut inbound = inbound
-        .delay_writes_dyn(knobs.delay.clone())
-        .slice_writes_dyn(knobs.slice.clone());
+        .delay_writes_dyn(faults.delay.clone())
+        .slice_writes_dyn(faults.slice.clone());
     let mut outbound = outbound
-        .delay_writes_dyn(knobs.delay.clone())
-        .slice_writes_dyn(knobs.slice.clone());
+        .delay_writes_dyn(faults.delay.clone())
+        .slice_writes_dyn(faults.slice.clone());
     let copy = tokio::io::copy_bidirectional(&mut inbound, &mut outbound);
     let cut = async {
         while cuts.changed().await.is_ok() {
-            if knobs.is_cut(from) {
+            if faults.is_cut(from) {
                 return;
             }
         }
--- a/tests/it/support/mod.rs
+++ b/tests/it/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the integration tests share.
+//! Helpers shared by the integration tests and the benchmarks: test cluster, caller, fault
+//! proxy.
 
 mod authority;
 mod caller;
--- a/tests/it/support/version_monitor.rs
+++ b/tests/it/support/version_monitor.rs
@@ -5,7 +5,8 @@
     tokio::{sync::Mutex, task::JoinHandle},
 };
 
-/// Watches every daemon's version, over its restarts, and panics if one goes back.
+/// Polls the table version of every daemon, across restarts, and records a daemon whose version
+/// goes back.
 pub struct VersionMonitor {
     task: JoinHandle<()>,
     fault: Arc<Mutex<Option<String>>>,
@@ -15,7 +16,7 @@
     pub fn start(cluster: &Cluster) -> Self {
         let fault = Arc::new(Mutex::new(None));
         let at: Vec<SocketAddr> = cluster.daemons.iter().map(|d| d.operators).collect();
-        let (client, seen_fault) = (cluster.client.clone(), fault.clone());
+        let (client, recorded_fault) = (cluster.client.clone(), fault.clone());
         let task = tokio::spawn(async move {
             let mut last: BTreeMap<SocketAddr, u64> = BTreeMap::new();
             let auth = bearer(OPERATOR_TOKEN);
@@ -28,7 +29,7 @@
                     let Ok(s) = serde_json::from_slice::<Status>(&rep.body) else {
                         continue;
                     };
-                    // A daemon that isn't ready serves nobody by its table.
+                    // A daemon that is not ready serves no requests by its table.
                     if s.phase != "Ready" {
                         continue;
                     }
@@ -36,7 +37,7 @@
                     if s.table_version < before {
                         let text =
                             format!("{} went from {before} back to {}", s.id, s.table_version);
-                        *seen_fault.lock().await = Some(text);
+                        *recorded_fault.lock().await = Some(text);
                     }
                 }
                 tokio::time::sleep(Duration::from_millis(10)).await;
@@ -45,13 +46,18 @@
         Self { task, fault }
     }
 
+    /// Stops polling.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the version of a daemon went back.
     pub async fn stop(self) {
         self.task.abort();
         assert_eq!(*self.fault.lock().await, None);
     }
 }
 
-/// The table as the log has it, as a file's text.
+/// Reads the table from the log and returns it in the text form of a table file.
 pub async fn published_table(cluster: &Cluster) -> String {
     let log = PlatformHttp::new(cluster.platform.addr());
     for _ in 0..50 {
@@ -60,10 +66,10 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("the log never answered");
+    panic!("the platform's log did not answer in 50 attempts");
 }
 
-/// Changes the weight of one row.
+/// Returns the table file with the weight of one row, counted from 0, changed.
 pub fn with_weight(text: &str, row: usize, weight: usize) -> String {
     let mut n = 0;
     let lines = text.lines().map(|l| {
--- a/tests/it/tls.rs
+++ b/tests/it/tls.rs
@@ -1,4 +1,4 @@
-//! Links between daemons are mutually authenticated.
+//! Connections between daemons are mutually authenticated.
 
 use {
     crate::support::*,
@@ -6,10 +6,12 @@
     std::{net::SocketAddr, time::Duration},
 };
 
+/// Returns peer settings with a new certificate that `authority` has signed.
 fn settings(cluster: &Cluster, name: &str, authority: &Authority) -> PeerSettings {
     let file = |end: &str| cluster.dir.path().join(format!("{name}.{end}"));
     authority.write_cert(&file("pem"), &file("key"));
-    // The stranger trusts the cluster's authority; the cluster doesn't trust its.
+    // Every certificate holder trusts the cluster's authority, but the cluster trusts only
+    // certificates that its own authority has signed.
     let text = format!(
         "tls_cert = {:?}\ntls_key = {:?}\ntls_ca = {:?}",
         file("pem"),
@@ -26,7 +28,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn links_are_mutually_authenticated() {
+async fn peer_connections_are_mutually_authenticated() {
     let plan = Plan {
         tls: true,
         ..Plan::default()
