--- a/tests/it/bad_input.rs
+++ b/tests/it/bad_input.rs
@@ -137,8 +137,8 @@
         answer.starts_with("HTTP/1.1 431") || answer.is_empty(),
         "{answer}"
     );
-    let t = ask_stream(&boxes, 0, "undisturbed", 10).await;
-    assert_eq!(t.end, CallerEnd::Whole);
+    let t = stream_completion(&boxes, 0, "undisturbed", 10).await;
+    assert_eq!(t.end, CallerOutcome::Complete);
 }
 
 /// Sends the bytes of `body` as the body of a peer call, without encoding them.
@@ -210,8 +210,8 @@
     raw(at, b"GET / HTTP/1.1\r\n\r\n").await;
     let boxes = cluster.caller_addrs();
     assert_eq!(
-        ask_stream(&boxes, 0, "undisturbed", 10).await.end,
-        CallerEnd::Whole
+        stream_completion(&boxes, 0, "undisturbed", 10).await.end,
+        CallerOutcome::Complete
     );
     let after = cluster
         .status(&cluster.daemons[0])
--- a/tests/it/cli.rs
+++ b/tests/it/cli.rs
@@ -174,14 +174,14 @@
     let mut cluster = Cluster::start(Plan::default()).await;
     let boxes = cluster.caller_addrs();
     for i in 0..3 {
-        ask_stream(&boxes, i, "to be reported", 10).await;
+        stream_completion(&boxes, i, "to be reported", 10).await;
     }
     // A daemon publishes its last page of scores when it stops.
     for daemon in &mut cluster.daemons {
         daemon.terminate();
     }
     for daemon in &mut cluster.daemons {
-        assert!(daemon.wait_left(std::time::Duration::from_secs(30)).await);
+        assert!(daemon.wait_exit(std::time::Duration::from_secs(30)).await);
     }
     let platform = cluster.platform.addr().to_string();
     let out = run(&["report", "--platform", &platform, "--json"]);
--- a/tests/it/support/caller.rs
+++ b/tests/it/support/caller.rs
@@ -14,8 +14,8 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// A plain HTTP client, with one connection a request.
-pub mod reqwestless {
+/// A plain HTTP client that by default opens a new connection for each request.
+pub mod test_client {
     use super::*;
 
     #[derive(Clone)]
@@ -38,7 +38,7 @@
     }
 
     impl Client {
-        /// A client that keeps its connections.
+        /// Returns a client that reuses its connections.
         pub fn pooled() -> Self {
             let mut connector = HttpConnector::new();
             connector.set_nodelay(true);
@@ -46,6 +46,7 @@
             Self { client }
         }
 
+        /// Sends a request and returns the response without reading its body.
         pub async fn open(
             &self,
             method: &str,
@@ -66,6 +67,7 @@
             self.client.request(req).await.map_err(|e| format!("{e:?}"))
         }
 
+        /// Sends a request and reads the full response.
         pub async fn send(
             &self,
             method: &str,
@@ -89,97 +91,104 @@
 
 /// How a streamed answer ended for its caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallerEnd {
-    /// Whole, checked against length, digest and the words expected.
-    Whole,
-    /// Given up on, with this outcome.
+pub enum CallerOutcome {
+    /// The answer is complete: its length, digest and words are as expected.
+    Complete,
+    /// The daemon ended the accepted request with this outcome, or the caller gave up.
     Failed(String),
-    /// Refused before it was accepted, with status and outcome.
+    /// The request was refused before it was accepted, with this status and outcome.
     Refused(u16, String),
 }
 
-/// What a caller saw of one streamed answer, over as many connections as it took.
+/// What a caller received of one streamed answer, over all its connections.
 #[derive(Clone, Debug)]
 pub struct Transcript {
     pub id: String,
     pub text: String,
     pub tokens: usize,
-    pub attaches: usize,
+    pub reattaches: usize,
     pub durability: String,
-    pub end: CallerEnd,
+    pub end: CallerOutcome,
 }
 
-/// Asks for a streamed answer and follows it over lost connections and
-/// `reattach` events, at one box after another, as a good caller would.
-pub async fn ask_stream(
+/// Sends a streamed completion request to the box `first` and reads the answer to its end. After
+/// a lost connection or a `reattach` event it re-attaches at one box after another, as a
+/// well-behaved caller does.
+pub async fn stream_completion(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
     max_tokens: usize,
 ) -> Transcript {
-    ask_stream_with(boxes, first, prompt, max_tokens, &[]).await
+    stream_completion_with(boxes, first, prompt, max_tokens, &[]).await
 }
 
-/// Like `ask_stream`; none if the first box went away before it answered.
-pub async fn try_ask_stream(
+/// Like `stream_completion`, but returns `None` if the first box failed before it answered.
+pub async fn try_stream_completion(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
     max_tokens: usize,
 ) -> Option<Transcript> {
-    let ask = ask_stream_or_refusal(boxes, first, prompt, max_tokens, &[]);
-    tokio::time::timeout(Duration::from_secs(90), ask)
+    let stream = try_stream_completion_with(boxes, first, prompt, max_tokens, &[]);
+    tokio::time::timeout(Duration::from_secs(90), stream)
         .await
-        .expect("an end in 90 s")
+        .expect("the stream ends within 90 s")
         .ok()
 }
 
-pub async fn ask_stream_with(
+/// Like `stream_completion`, with further request headers.
+pub async fn stream_completion_with(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
     max_tokens: usize,
     headers: &[(&str, &str)],
 ) -> Transcript {
-    let asked = ask_stream_or_refusal(boxes, first, prompt, max_tokens, headers).await;
-    asked.expect("the first box answers")
+    let transcript = try_stream_completion_with(boxes, first, prompt, max_tokens, headers).await;
+    transcript.expect("the first box answers")
 }
 
-async fn ask_stream_or_refusal(
+/// Implements `stream_completion`.
+///
+/// # Errors
+///
+/// Fails if the first box did not answer the request.
+async fn try_stream_completion_with(
     boxes: &[SocketAddr],
     first: usize,
     prompt: &str,
     max_tokens: usize,
     headers: &[(&str, &str)],
 ) -> Result<Transcript, String> {
-    let client = reqwestless::Client::default();
-    let ask =
+    let client = test_client::Client::default();
+    let request =
         json!({ "model": "assistant", "prompt": prompt, "max_tokens": max_tokens, "stream": true });
     let bearer = super::bearer(TOKEN);
-    let mut all = vec![("authorization", bearer.as_str())];
-    all.extend(headers);
+    let mut all_headers = vec![("authorization", bearer.as_str())];
+    all_headers.extend(headers);
     let mut t = Transcript {
         id: String::new(),
         text: String::new(),
         tokens: 0,
-        attaches: 0,
+        reattaches: 0,
         durability: String::new(),
-        end: CallerEnd::Whole,
+        end: CallerOutcome::Complete,
     };
     let rep = client
         .open(
             "POST",
             boxes[first],
             "/v1/completions",
-            &all,
-            &ask.to_string(),
+            &all_headers,
+            &request.to_string(),
         )
         .await?;
     if rep.status() != 200 {
         let status = rep.status().as_u16();
         let body = rep.into_body().collect().await.unwrap().to_bytes();
         let doc: Value = serde_json::from_slice(&body).unwrap_or_default();
-        t.end = CallerEnd::Refused(status, doc["outcome"].as_str().unwrap_or("").to_string());
+        t.end = CallerOutcome::Refused(status, doc["outcome"].as_str().unwrap_or("").to_string());
         return Ok(t);
     }
     let id = rep.headers()["saddlepulley-request"].to_str();
@@ -198,7 +207,7 @@
             return Ok(t);
         }
         at = (at + 1) % boxes.len();
-        t.attaches += 1;
+        t.reattaches += 1;
         let last = format!("{}:{}", t.id, t.tokens);
         let path = format!("/v1/requests/{}", t.id);
         let headers = [
@@ -211,23 +220,24 @@
             Ok(Ok(rep)) if rep.status() != 404 => {
                 let body = rep.into_body().collect().await.unwrap().to_bytes();
                 let doc: Value = serde_json::from_slice(&body).unwrap_or_default();
-                t.end = CallerEnd::Failed(doc["outcome"].as_str().unwrap_or("").to_string());
+                t.end = CallerOutcome::Failed(doc["outcome"].as_str().unwrap_or("").to_string());
                 return Ok(t);
             }
             _ => tokio::time::sleep(Duration::from_millis(200)).await,
         }
     }
-    t.end = CallerEnd::Failed("no end in 200 attaches".to_string());
+    t.end = CallerOutcome::Failed("stream not complete after 200 re-attaches".to_string());
     Ok(t)
 }
 
-/// Reads events until the stream ends; returns the end if it was an end.
+/// Reads events until the connection ends. Returns the outcome of the answer, or `None` if the
+/// caller has to re-attach.
 async fn read_events(
     mut body: Incoming,
     t: &mut Transcript,
     prompt: &str,
     max_tokens: usize,
-) -> Option<CallerEnd> {
+) -> Option<CallerOutcome> {
     let mut buf = String::new();
     loop {
         let frame = tokio::time::timeout(Duration::from_secs(30), body.frame()).await;
@@ -237,20 +247,21 @@
         buf += std::str::from_utf8(&frame.into_data().unwrap_or_default()).unwrap();
         while let Some(end) = buf.find("\n\n") {
             let event: String = buf.drain(..end + 2).collect();
-            if let Some(end) = take_event(&event, t, prompt, max_tokens) {
+            if let Some(end) = apply_event(&event, t, prompt, max_tokens) {
                 return end;
             }
         }
     }
 }
 
-/// Returns whether reading is over, and with which end.
-fn take_event(
+/// Applies one event to the transcript. Returns `None` if more events follow, `Some(None)` if the
+/// caller has to re-attach, and otherwise the outcome of the answer.
+fn apply_event(
     event: &str,
     t: &mut Transcript,
     prompt: &str,
     max_tokens: usize,
-) -> Option<Option<CallerEnd>> {
+) -> Option<Option<CallerOutcome>> {
     let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
     let data = field("data: ").unwrap_or("");
     if data == "[DONE]" {
@@ -261,7 +272,7 @@
         Some("reattach") => return Some(None),
         Some("error") => {
             let outcome = doc["outcome"].as_str().unwrap_or("").to_string();
-            return Some(Some(CallerEnd::Failed(outcome)));
+            return Some(Some(CallerOutcome::Failed(outcome)));
         }
         _ => {}
     }
@@ -272,7 +283,7 @@
             assert_eq!(digest, hex::encode(Sha256::digest(&t.text)), "{}", t.id);
         }
         check_words(t, prompt, max_tokens);
-        return Some(Some(CallerEnd::Whole));
+        return Some(Some(CallerOutcome::Complete));
     }
     let text = doc["choices"][0]["text"].as_str().unwrap_or("");
     let offset: usize = field("id: ")
@@ -289,8 +300,8 @@
     None
 }
 
-/// Compares the answer with the one expected for its own prompt. The engine's
-/// name behind an `@` is not compared: it changes where the answer moved.
+/// Compares the answer with the one expected for its prompt. The engine's name, which a salted
+/// engine appends after `@`, is not compared: it changes when the answer moves to another engine.
 fn check_words(t: &Transcript, prompt: &str, max_tokens: usize) {
     let words: Vec<&str> = t.text.split_whitespace().collect();
     assert_eq!(words.len(), max_tokens);
@@ -300,9 +311,9 @@
     }
 }
 
-/// Calls a plain service once.
+/// Sends a call that must not be repeated to the plain service `codes`; returns status and body.
 pub async fn call_codes(at: SocketAddr, key: &str, body: &str) -> Result<(u16, Value), String> {
-    let client = reqwestless::Client::default();
+    let client = test_client::Client::default();
     let bearer = super::bearer(TOKEN);
     let headers = [
         ("authorization", bearer.as_str()),
--- a/tests/it/support/mod.rs
+++ b/tests/it/support/mod.rs
@@ -1,10 +1,13 @@
-//! What the integration tests share.
+//! Helpers shared by the integration tests and the benchmarks: test cluster, caller, fault
+//! proxy.
 
 mod authority;
 mod caller;
 mod cluster;
 mod daemon_process;
 mod fault_proxy;
-mod table_watch;
+mod version_monitor;
 
-pub use {authority::*, caller::*, cluster::*, daemon_process::*, fault_proxy::*, table_watch::*};
+pub use {
+    authority::*, caller::*, cluster::*, daemon_process::*, fault_proxy::*, version_monitor::*,
+};
--- a/tests/it/tls.rs
+++ b/tests/it/tls.rs
@@ -1,4 +1,4 @@
-//! Links between daemons are mutually authenticated.
+//! Connections between daemons are mutually authenticated.
 
 use {
     crate::support::*,
@@ -6,10 +6,12 @@
     std::{net::SocketAddr, time::Duration},
 };
 
+/// Returns peer settings with a new certificate that `authority` has signed.
 fn settings(cluster: &Cluster, name: &str, authority: &Authority) -> PeerSettings {
     let file = |end: &str| cluster.dir.path().join(format!("{name}.{end}"));
     authority.write_cert(&file("pem"), &file("key"));
-    // The stranger trusts the cluster's authority; the cluster doesn't trust its.
+    // Every certificate holder trusts the cluster's authority, but the cluster trusts only
+    // certificates that its own authority has signed.
     let text = format!(
         "tls_cert = {:?}\ntls_key = {:?}\ntls_ca = {:?}",
         file("pem"),
@@ -26,17 +28,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn links_are_mutually_authenticated() {
+async fn peer_connections_are_mutually_authenticated() {
     let plan = Plan {
         tls: true,
         ..Plan::default()
     };
     let cluster = Cluster::start(plan).await;
     let boxes = cluster.caller_addrs();
-    let t = ask_stream(&boxes, 0, "over tls", 20).await;
+    let t = stream_completion(&boxes, 0, "over tls", 20).await;
     assert_eq!(
         (t.end, t.durability.as_str()),
-        (CallerEnd::Whole, "cross-domain")
+        (CallerOutcome::Complete, "cross-domain")
     );
     let at = cluster.peer_proxies[0].addr();
     let member = settings(&cluster, "member", &cluster.authority);
