--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -1,7 +1,7 @@
 //! The placement policies, also compared with the naive baseline.
 
 use {
-    crate::support::{ask, upstream},
+    crate::support::{request_needs, upstream},
     rand::SeedableRng,
     rand_chacha::ChaCha8Rng,
     saddlepulley::{names::*, policy::*},
@@ -19,7 +19,7 @@
     dear.price_micros = 900;
     let cheap = upstream("cheap");
     let all = [dear, cheap];
-    assert_eq!(CheapestOnTarget.choose(&ask(), &all, &mut rng()), Some(1));
+    assert_eq!(CheapestOnTarget.choose(&request_needs(), &all, &mut rng()), Some(1));
 }
 
 #[test]
@@ -30,7 +30,7 @@
     cheap.running = 16;
     cheap.waiting = 20;
     let all = [dear, cheap];
-    assert_eq!(CheapestOnTarget.choose(&ask(), &all, &mut rng()), Some(0));
+    assert_eq!(CheapestOnTarget.choose(&request_needs(), &all, &mut rng()), Some(0));
 }
 
 #[test]
@@ -40,7 +40,7 @@
     cached.cached_tokens = 992;
     cached.price_micros = 900;
     let all = [plain, cached];
-    assert_eq!(KeepWork.choose(&ask(), &all, &mut rng()), Some(1));
+    assert_eq!(KeepWork.choose(&request_needs(), &all, &mut rng()), Some(1));
 }
 
 #[test]
@@ -51,7 +51,7 @@
     safe.hazard_per_s = 0.0;
     safe.price_micros = 900;
     let all = [risky, safe];
-    assert_eq!(KeepWork.choose(&ask(), &all, &mut rng()), Some(1));
+    assert_eq!(KeepWork.choose(&request_needs(), &all, &mut rng()), Some(1));
 }
 
 #[test]
@@ -62,7 +62,7 @@
     let all = [a, b];
     for policy in [&CheapestOnTarget as &dyn Placement, &KeepWork] {
         assert_eq!(
-            policy.choose(&ask(), &all, &mut rng()),
+            policy.choose(&request_needs(), &all, &mut rng()),
             Some(1),
             "{}",
             policy.name()
@@ -75,10 +75,10 @@
     let mut a = upstream("a");
     a.in_flight = a.limit;
     assert_eq!(
-        CheapestOnTarget.choose(&ask(), &[a.clone()], &mut rng()),
+        CheapestOnTarget.choose(&request_needs(), &[a.clone()], &mut rng()),
         None
     );
-    assert_eq!(NaivePlacement.choose(&ask(), &[a], &mut rng()), Some(0));
+    assert_eq!(NaivePlacement.choose(&request_needs(), &[a], &mut rng()), Some(0));
 }
 
 /// Differential test over random sets of upstreams: on average, each policy's choice is
@@ -101,14 +101,14 @@
             })
             .collect();
         let lost = |i: usize| {
-            Estimate::of(&ask(), &all[i]).expected_recompute + uncached_tokens(&ask(), &all[i])
+            Estimate::of(&request_needs(), &all[i]).expected_recompute + uncached_tokens(&request_needs(), &all[i])
         };
-        let cost = |i: usize| Estimate::of(&ask(), &all[i]).cost_micros;
-        let n = NaivePlacement.choose(&ask(), &all, &mut rng).unwrap();
+        let cost = |i: usize| Estimate::of(&request_needs(), &all[i]).cost_micros;
+        let n = NaivePlacement.choose(&request_needs(), &all, &mut rng).unwrap();
         naive.0 += cost(n);
         naive.1 += lost(n);
-        ours.0 += cost(CheapestOnTarget.choose(&ask(), &all, &mut rng).unwrap());
-        ours.1 += lost(KeepWork.choose(&ask(), &all, &mut rng).unwrap());
+        ours.0 += cost(CheapestOnTarget.choose(&request_needs(), &all, &mut rng).unwrap());
+        ours.1 += lost(KeepWork.choose(&request_needs(), &all, &mut rng).unwrap());
     }
     assert!(ours.0 < naive.0 && ours.1 < naive.1, "{ours:?} {naive:?}");
 }
--- a/tests/decisions/reclaim.rs
+++ b/tests/decisions/reclaim.rs
@@ -1,7 +1,7 @@
 //! How streams move away from an upstream that is about to be reclaimed.
 
 use {
-    crate::support::{ask, upstream},
+    crate::support::{request_needs, upstream},
     proptest::prelude::*,
     saddlepulley::{names::*, policy::*},
     std::collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
         needs: RequestNeeds {
             prompt_tokens: tokens,
             expected_tokens: 50,
-            ..ask()
+            ..request_needs()
         },
         kv_bytes,
     }
--- a/tests/decisions/spill.rs
+++ b/tests/decisions/spill.rs
@@ -1,7 +1,7 @@
 //! When a request is sent to another failure domain.
 
 use {
-    crate::support::{ask, upstream},
+    crate::support::{request_needs, upstream},
     rand::SeedableRng,
     rand_chacha::ChaCha8Rng,
     saddlepulley::{names::*, policy::*},
@@ -19,7 +19,7 @@
 
 fn chosen(here: &DomainUpstreams, waiting: u32, others: &[DomainUpstreams]) -> Option<String> {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    spill(&ask(), here, waiting, others, &mut rng).map(|d| d.to_string())
+    spill(&request_needs(), here, waiting, others, &mut rng).map(|d| d.to_string())
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let here = domain("a", 16, 20);
     let mut to_c = 0;
     for _ in 0..900 {
-        let to = spill(&ask(), &here, 0, &others, &mut rng).unwrap();
+        let to = spill(&request_needs(), &here, 0, &others, &mut rng).unwrap();
         to_c += usize::from(to.as_str() == "c");
     }
     assert!((540..660).contains(&to_c), "{to_c}");
--- a/tests/decisions/support.rs
+++ b/tests/decisions/support.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns the needs of a request with 1,000 prompt tokens and 100 expected answer tokens.
-pub fn ask() -> RequestNeeds {
+pub fn request_needs() -> RequestNeeds {
     RequestNeeds {
         prompt_tokens: 1_000,
         generated_tokens: 0,
