--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -132,7 +132,7 @@
         world.journal.lock().push(&fact.id);
     }
     drop(boxes);
-    world.news.notify_waiters();
+    world.state_changed.notify_waiters();
 }
 
 async fn listen(addr: SocketAddr) -> Result<TcpListener, AppError> {
--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -55,7 +55,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
-            () = world.news.notified() => tokio::time::sleep(BATCH_DELAY).await,
+            () = world.state_changed.notified() => tokio::time::sleep(BATCH_DELAY).await,
         }
     }
 }
--- a/src/app/reclaim_watch.rs
+++ b/src/app/reclaim_watch.rs
@@ -40,7 +40,7 @@
         }
         tokio::select! {
             () = tokio::time::sleep(POLL_INTERVAL) => {}
-            () = world.news.notified() => {}
+            () = world.state_changed.notified() => {}
         }
     }
 }
--- a/src/app/sweep.rs
+++ b/src/app/sweep.rs
@@ -24,7 +24,7 @@
         // requests that the box owned don't wait for the next interval.
         tokio::select! {
             () = tokio::time::sleep(SWEEP_INTERVAL) => {}
-            () = world.news.notified() => tokio::time::sleep(MIN_SWEEP_INTERVAL).await,
+            () = world.state_changed.notified() => tokio::time::sleep(MIN_SWEEP_INTERVAL).await,
         }
         let cells = world.requests.all();
         check_owners(&world, &cells, &mut owner_states).await;
--- a/src/app/table_watch.rs
+++ b/src/app/table_watch.rs
@@ -168,7 +168,7 @@
 fn announce_active(world: &World, version: u64) {
     log::info!(target: "table", "table activated. version={version}");
     metrics::gauge!("saddlepulley_table_version").set(version as f64);
-    world.news.notify_waiters();
+    world.state_changed.notify_waiters();
 }
 
 /// Makes the daemon ready once it has folded all records that the log or a peer has.
--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -62,7 +62,7 @@
     /// Upstreams whose load changed, for the heartbeats to peers.
     pub load_journal: Mutex<Journal>,
     /// Wakes the tasks that send or process state changes.
-    pub news: Notify,
+    pub state_changed: Notify,
     /// Links to peers.
     pub links: LinkTable,
     /// Measurements of upstreams.
@@ -109,7 +109,7 @@
             boxes: RwLock::default(),
             journal: Mutex::default(),
             load_journal: Mutex::default(),
-            news: Notify::new(),
+            state_changed: Notify::new(),
             links: LinkTable::new(tls, local_ip, silence_ms),
             stats: Mutex::default(),
             hints: Mutex::default(),
@@ -157,7 +157,7 @@
         }
         drop((boxes, journal));
         if !changed.is_empty() {
-            self.news.notify_waiters();
+            self.state_changed.notify_waiters();
             self.on_changed(&changed);
         }
         changed
@@ -181,7 +181,7 @@
         };
         if let Some(fact) = fact {
             self.journal.lock().push(id);
-            self.news.notify_waiters();
+            self.state_changed.notify_waiters();
             self.on_changed(&[fact]);
         }
     }
