--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -86,7 +86,7 @@
     /// the query has passed.
     async fn wait_for_changes(&self, query: FeedQuery) {
         let gateway = &self.gateway;
-        let mut changes = gateway.news.subscribe();
+        let mut changes = gateway.changes.subscribe();
         let has_changes = |_: &u64| {
             let same_incarnation = query.incarnation == gateway.incarnation;
             let same_directory =
--- a/src/gateway/config_state.rs
+++ b/src/gateway/config_state.rs
@@ -47,7 +47,7 @@
         );
         *table = Some(Arc::new(next));
         drop(table);
-        self.news.send_modify(|n| *n += 1);
+        self.changes.send_modify(|n| *n += 1);
         true
     }
 
--- a/src/gateway/gateway_state.rs
+++ b/src/gateway/gateway_state.rs
@@ -126,7 +126,7 @@
     pub reads_source: watch::Sender<bool>,
     /// Counter that rises with each change of the configuration, the upstreams or a rollout.
     /// It wakes the tasks that wait for changes.
-    pub news: watch::Sender<u64>,
+    pub changes: watch::Sender<u64>,
     /// The newest version of the configuration known to be in force at any daemon.
     pub newest_config: watch::Sender<u64>,
     /// True while this daemon reads the configuration from the source although it follows
@@ -206,7 +206,7 @@
             holds_duties: AtomicBool::new(false),
             source: Mutex::default(),
             reads_source: watch::Sender::new(false),
-            news: watch::Sender::new(0),
+            changes: watch::Sender::new(0),
             newest_config: watch::Sender::new(0),
             reads_config: watch::Sender::new(false),
             config_position: Mutex::default(),
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -210,7 +210,7 @@
     if !gateway.settings.mechanisms.held_requests {
         return None;
     }
-    let mut changes = gateway.news.subscribe();
+    let mut changes = gateway.changes.subscribe();
     let arrival = changes.wait_for(|_| gateway.table().is_some());
     // On a timeout, the caller refuses the request for lack of a configuration.
     let _ = timeout(CONFIG_MAX_WAIT, arrival).await;
--- a/src/gateway/rollout_state.rs
+++ b/src/gateway/rollout_state.rs
@@ -36,7 +36,7 @@
                     rollout.step
                 );
                 self.announce_early.notify_one();
-                self.news.send_modify(|n| *n += 1);
+                self.changes.send_modify(|n| *n += 1);
             }
         }
     }
--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -16,7 +16,7 @@
         drop(directory);
         notes.log(revision);
         if changed {
-            self.news.send_modify(|n| *n += 1);
+            self.changes.send_modify(|n| *n += 1);
         }
     }
 
