--- a/src/app/answer_reader.rs
+++ b/src/app/answer_reader.rs
@@ -180,7 +180,7 @@
         };
         let opened = client.attach(&attach, ATTACH_TIMEOUT).await;
         let Ok(mut stream) = opened else {
-            self.world.links.failed(to);
+            self.world.links.record_failure(to);
             return ReadFrom::Locate;
         };
         loop {
--- a/src/app/heartbeat.rs
+++ b/src/app/heartbeat.rs
@@ -66,7 +66,7 @@
 /// on the links that each box opens itself, so that none is sent twice. A peer that is new
 /// to this box is also sent the known facts and loads, within the limits of one message.
 pub fn apply_heartbeat(world: &Arc<World>, payload: HeartbeatPayload) -> HeartbeatPayload {
-    world.links.heard(&payload.from.id);
+    world.links.record_contact(&payload.from.id);
     let is_new = !is_known(world, &payload.from);
     apply_facts(world, &payload);
     fetch_newer_table(world, &payload);
@@ -96,14 +96,14 @@
     let client = world.links.client(addr);
     match client.call(&call, HEARTBEAT_TIMEOUT).await {
         Ok(PeerReply::Heartbeat(payload)) => {
-            world.links.heard(&payload.from.id);
+            world.links.record_contact(&payload.from.id);
             apply_facts(world, &payload);
             fetch_newer_table(world, &payload);
             (addr, Some(new_cursor))
         }
         _ => {
             if let Some(id) = id {
-                world.links.failed(&id);
+                world.links.record_failure(&id);
             }
             (addr, None)
         }
--- a/src/app/peer_service.rs
+++ b/src/app/peer_service.rs
@@ -72,7 +72,7 @@
     }
 
     fn replicate(&self, owner: &BoxId, appends: Vec<CopyAppend>) -> PeerReply {
-        self.world.links.heard(owner);
+        self.world.links.record_contact(owner);
         let acks = appends.into_iter().map(|a| Ack {
             request: a.request,
             state: self.append(owner, a),
--- a/src/app/world.rs
+++ b/src/app/world.rs
@@ -226,8 +226,8 @@
         };
         let outcome = client.call(call, timeout).await;
         match &outcome {
-            Ok(_) => self.links.heard(id),
-            Err(_) => self.links.failed(id),
+            Ok(_) => self.links.record_contact(id),
+            Err(_) => self.links.record_failure(id),
         }
         outcome
     }
--- a/src/links/link_table.rs
+++ b/src/links/link_table.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records a contact with a peer, now, and resets its failures.
-    pub fn heard(&self, id: &BoxId) {
+    pub fn record_contact(&self, id: &BoxId) {
         let contact = Contact {
             last_seen_ms: now_ms(),
             failures: 0,
@@ -62,7 +62,7 @@
     }
 
     /// Records a failed call to a peer.
-    pub fn failed(&self, id: &BoxId) {
+    pub fn record_failure(&self, id: &BoxId) {
         self.contacts.lock().entry(id.clone()).or_default().failures += 1;
     }
 
