--- a/src/policy/admission/admission_queue.rs
+++ b/src/policy/admission/admission_queue.rs
@@ -199,9 +199,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueueOutcome {
     /// Tickets of the requests that start now.
-    pub go: Vec<u64>,
+    pub started: Vec<u64>,
     /// Tickets of the requests that can't be finished before their deadlines.
-    pub over: Vec<u64>,
+    pub expired: Vec<u64>,
 }
 
 /// The outcome of `FairQueue::join`.
@@ -272,8 +272,8 @@
     /// deadlines if they started now.
     pub fn next(&mut self, capacity: u32, stay_ms: f64, now_ms: u64) -> QueueOutcome {
         let mut outcome = QueueOutcome {
-            over: self.take_expired(now_ms + stay_ms as u64),
-            go: Vec::new(),
+            expired: self.take_expired(now_ms + stay_ms as u64),
+            started: Vec::new(),
         };
         while self.running < capacity {
             let Some(account) = self.next_account() else {
@@ -284,7 +284,7 @@
             };
             let weight = state.weight;
             if let Some(w) = state.queue.pop_front() {
-                outcome.go.push(w.ticket);
+                outcome.started.push(w.ticket);
             }
             self.start(&account, weight);
         }
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -59,7 +59,7 @@
     let mut served = (0, 0);
     for _ in 0..n {
         q.end();
-        for t in q.next(1, 1.0, 1).go {
+        for t in q.next(1, 1.0, 1).started {
             if owner[&t] == a {
                 served.0 += 1;
             } else {
@@ -90,7 +90,7 @@
     };
     q.end();
     q.end();
-    let go = q.next(4, 100.0, 1).go;
+    let started = q.next(4, 100.0, 1).started;
     assert!(
         go.contains(&ticket),
         "the small account waits behind the flood"
@@ -135,5 +135,5 @@
     // The requests before it ran longer than expected: it is dropped.
     q.end();
     let outcome = q.next(1, 1_000.0, 6_000);
-    assert!(outcome.over.contains(&ticket) && !outcome.go.contains(&ticket));
+    assert!(outcome.expired.contains(&ticket) && !outcome.started.contains(&ticket));
 }
