--- a/src/app/duties.rs
+++ b/src/app/duties.rs
@@ -80,10 +80,10 @@
                     next = next.min(offset);
                 }
             }
-            LeaseStep::Act { settled, .. } => {
+            LeaseStep::Act { unfenced_allowed, .. } => {
                 let may_act = || view.may_act(clock.now_ms());
                 replacements.step(&world, &may_act).await;
-                model_loads.step(&world, &may_act, settled).await;
+                model_loads.step(&world, &may_act, unfenced_allowed).await;
             }
             LeaseStep::Append(_) | LeaseStep::Wait => {}
         }
--- a/src/app/model_loads.rs
+++ b/src/app/model_loads.rs
@@ -28,14 +28,14 @@
     ///
     /// `may_act` returns the fencing token while this daemon holds the duty's
     /// lease. An engine that doesn't check fencing tokens gets an order only
-    /// once the lease is `settled`, that is, when an earlier lease holder that
+    /// once the lease is `unfenced_allowed`, that is, when an earlier lease holder that
     /// was paused can't send orders any more.
-    pub async fn step(&mut self, world: &World, may_act: &impl Fn() -> Option<u64>, settled: bool) {
+    pub async fn step(&mut self, world: &World, may_act: &impl Fn() -> Option<u64>, unfenced_allowed: bool) {
         for engine in unloaded_engines(world) {
             let key = (engine.id.clone(), engine.incarnation);
             let ordered_ms = self.ordered.get(&key).copied().unwrap_or(0);
             let waits = now_ms() < ordered_ms + ORDER_RETRY_MS;
-            if waits || !(settled || engine.checks_fence) {
+            if waits || !(unfenced_allowed || engine.checks_fence) {
                 continue;
             }
             let model = engine.service.as_str();
--- a/src/policy/duties/lease.rs
+++ b/src/policy/duties/lease.rs
@@ -67,7 +67,7 @@
     held_fence: u64,
     /// From when this box, as a new holder, may send orders to upstreams that don't check
     /// fencing tokens: an earlier holder that was paused can then no longer send any.
-    settled_at_ms: u64,
+    unfenced_from_ms: u64,
 }
 
 /// The action that a box may take now.
@@ -78,7 +78,7 @@
         /// The fencing token that orders carry.
         fence: u64,
         /// Orders may also go to upstreams that don't check fencing tokens.
-        settled: bool,
+        unfenced_allowed: bool,
     },
     /// Append this record to take or renew the lease.
     Append(LeaseRecord),
@@ -119,7 +119,7 @@
                     } else {
                         old_term_ms + pause_allowance_ms
                     };
-                    self.settled_at_ms = now_ms + wait_ms;
+                    self.unfenced_from_ms = now_ms + wait_ms;
                 }
             }
             _ => self.held_until_ms = 0,
@@ -166,7 +166,7 @@
     fn act(&self, now_ms: u64) -> LeaseStep {
         LeaseStep::Act {
             fence: self.held_fence,
-            settled: now_ms >= self.settled_at_ms,
+            unfenced_allowed: now_ms >= self.unfenced_from_ms,
         }
     }
 }
