--- a/src/app/admission_control.rs
+++ b/src/app/admission_control.rs
@@ -191,11 +191,11 @@
 impl ServiceQueue {
     fn wake(&mut self, capacity: u32) {
         let turns = self.fair.next(capacity, self.run_time_ms, now_ms());
-        for ticket in turns.over {
+        for ticket in turns.expired {
             // Dropping the sender closes the channel, which rejects the waiting request at once.
             self.waiters.remove(&ticket);
         }
-        for ticket in turns.go {
+        for ticket in turns.started {
             let woken = self
                 .waiters
                 .remove(&ticket)
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -92,7 +92,7 @@
     q.end();
     let started = q.next(4, 100.0, 1).started;
     assert!(
-        go.contains(&ticket),
+        started.contains(&ticket),
         "the small account waits behind the flood"
     );
 }
