--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -286,7 +286,7 @@
             .gateway
             .usage
             .lock()
-            .usage_complete_from(window, since_ms);
+            .usage_completeness(window, since_ms);
         all_complete && announced + 1 >= self.gateway.daemons()
     }
 
--- a/src/policy/duties/usage_windows.rs
+++ b/src/policy/duties/usage_windows.rs
@@ -102,7 +102,7 @@
 
     /// Returns the number of daemons that announced counts at `since_ms` or later, and
     /// whether all of them have announced their complete counts of a window.
-    pub fn usage_complete_from(&self, window: u64, since_ms: u64) -> (usize, bool) {
+    pub fn usage_completeness(&self, window: u64, since_ms: u64) -> (usize, bool) {
         let recent = self
             .announcers
             .values()
--- a/tests/decisions/usage.rs
+++ b/tests/decisions/usage.rs
@@ -48,9 +48,9 @@
     }
     let total: u64 = holder.total(7).values().sum();
     assert_eq!(total, true_total);
-    assert_eq!(holder.usage_complete_from(8, 0), (300, true));
+    assert_eq!(holder.usage_completeness(8, 0), (300, true));
     assert_eq!(
-        holder.usage_complete_from(9, 0),
+        holder.usage_completeness(9, 0),
         (300, false),
         "window 9 is not over"
     );
