--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -225,9 +225,9 @@
             return Ok(());
         };
         let gateway = self.gateway.clone();
-        let turn = self.rollouts.turn(&gateway, claim.fence);
-        if let Err(e) = turn.await {
-            // Not propagated, so that it does not hold up the other duties. The next turn
+        let steps = self.rollouts.run_due_steps(&gateway, claim.fence);
+        if let Err(e) = steps.await {
+            // Not propagated, so that it does not hold up the other duties. The next run
             // tries again.
             log::info!(target: "rollout", "rollout status could not be written. error=\"{e}\"");
         }
--- a/tests/decisions/rollout_duty.rs
+++ b/tests/decisions/rollout_duty.rs
@@ -81,11 +81,11 @@
 async fn the_status_store_is_taken_over_before_it_is_read_and_once_per_fence() {
     let (store, gateway) = (Arc::new(TestStore::default()), gateway());
     let mut duty = RolloutDuty::new(store.clone());
-    duty.turn(&gateway, 7).await.unwrap();
-    duty.turn(&gateway, 7).await.unwrap();
+    duty.run_due_steps(&gateway, 7).await.unwrap();
+    duty.run_due_steps(&gateway, 7).await.unwrap();
     let calls = store.calls.lock().clone();
     assert_eq!(calls, ["take over 7", "read", "write 1"]);
-    duty.turn(&gateway, 9).await.unwrap();
+    duty.run_due_steps(&gateway, 9).await.unwrap();
     let calls = store.calls.lock()[3..].to_vec();
     assert_eq!(calls, ["take over 9", "read", "write 1"]);
 }
@@ -95,9 +95,9 @@
     let (store, gateway) = (Arc::new(TestStore::default()), gateway());
     *store.expected.lock() = Some(0);
     let mut duty = RolloutDuty::new(store.clone());
-    duty.turn(&gateway, 7).await.unwrap();
+    duty.run_due_steps(&gateway, 7).await.unwrap();
     assert!(store.written.lock().is_empty());
-    duty.turn(&gateway, 7).await.unwrap();
+    duty.run_due_steps(&gateway, 7).await.unwrap();
     let written = store.written.lock().clone();
     assert_eq!(written, [(7, 0, RolloutState::InProgress)]);
 }
@@ -107,6 +107,6 @@
     let (store, gateway) = (Arc::new(TestStore::default()), gateway());
     *gateway.rollouts.lock() = RolloutTable::default();
     let mut duty = RolloutDuty::new(store.clone());
-    duty.turn(&gateway, 7).await.unwrap();
+    duty.run_due_steps(&gateway, 7).await.unwrap();
     assert!(store.calls.lock().is_empty());
 }
