--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -100,7 +100,7 @@
                 self.watch_holder().await;
                 continue;
             }
-            match self.turn(holds).await {
+            match self.run_once(holds).await {
                 Ok(now_holds) => {
                     holds = now_holds;
                     self.set_holds(holds);
@@ -143,9 +143,9 @@
         }
     }
 
-    /// Performs one turn of the lease and of the duties. Returns whether this daemon holds
+    /// Takes or renews the lease, or performs the duties once. Returns whether this daemon holds
     /// the lease afterwards.
-    async fn turn(&mut self, holds: bool) -> Result<bool, BackendError> {
+    async fn run_once(&mut self, holds: bool) -> Result<bool, BackendError> {
         if !holds {
             self.read_new_records().await?;
         }
--- a/src/cluster/feed/follower.rs
+++ b/src/cluster/feed/follower.rs
@@ -35,7 +35,7 @@
         gateway,
     };
     loop {
-        follower.turn().await;
+        follower.run_once().await;
     }
 }
 
@@ -115,7 +115,7 @@
 }
 
 impl Follower {
-    async fn turn(&mut self) {
+    async fn run_once(&mut self) {
         let current = self.followed.map(|followed| followed.daemon);
         let source = StateSource::choose(&self.gateway, current, self.tries);
         self.gateway.set_reads_source(source.reads_shared_source());
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -34,7 +34,7 @@
     };
     let mut is_woken = false;
     loop {
-        let pause_ms = match reporter.turn(is_woken).await {
+        let pause_ms = match reporter.run_once(is_woken).await {
             true => 0,
             false => REPORT_INTERVAL_MS,
         };
@@ -59,7 +59,7 @@
 
 impl Reporter {
     /// Sends the reports that are due. Returns true if this daemon still queries its seeds.
-    async fn turn(&mut self, is_woken: bool) -> bool {
+    async fn run_once(&mut self, is_woken: bool) -> bool {
         let now_ms = self.gateway.steady_ms();
         let is_starting = self.is_starting(now_ms);
         let is_seed_queried = is_starting && self.query_seed(now_ms).await;
