--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -7,9 +7,9 @@
 pub(in crate::cluster) fn apply_limits(gateway: &Gateway, part: &LimitsPart) {
     // A hub forwards what it receives from hubs to the daemons that report to it, and what it
     // receives from other daemons to all.
-    let passes_on = gateway.is_hub().then_some(!part.among_hubs);
+    let relay_to_hubs = gateway.is_hub().then_some(!part.among_hubs);
     for limit in part.limits.iter().filter_map(AnnouncedLimit::known) {
-        gateway.apply_limit(&limit, passes_on);
+        gateway.apply_limit(&limit, relay_to_hubs);
     }
 }
 
