--- a/src/app/hold.rs
+++ b/src/app/hold.rs
@@ -101,7 +101,7 @@
     }
     cell.change(|r| {
         r.holder = Holder::At(id.clone());
-        r.copied(tokens, ending);
+        r.record_copied(tokens, ending);
     });
     HoldOutcome::Held
 }
--- a/src/app/replicate.rs
+++ b/src/app/replicate.rs
@@ -134,7 +134,7 @@
         match ack.state {
             AckState::Holds(tokens, ending) => {
                 let more = cell.change(|r| {
-                    r.copied(tokens, ending);
+                    r.record_copied(tokens, ending);
                     r.durable < r.tokens.len() || r.ending_durable != r.ending.is_some()
                 });
                 if more {
--- a/src/requests/record.rs
+++ b/src/requests/record.rs
@@ -136,7 +136,7 @@
     }
 
     /// Records how many tokens the copy holds now, and whether it holds the ending.
-    pub fn copied(&mut self, tokens: usize, ending: bool) {
+    pub fn record_copied(&mut self, tokens: usize, ending: bool) {
         self.durable = self.durable.max(tokens.min(self.tokens.len()));
         self.ending_durable |= ending && self.ending.is_some();
     }
