--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -167,7 +167,7 @@
     /// Returns the time after which to query again, in milliseconds.
     pub fn issue_permit(&self, id: &UpstreamId) -> Result<(), u64> {
         let share = PermitShare {
-            unaware_per_s: self.unaware_per_s(id),
+            per_s_without_permits: self.per_s_without_permits(id),
             ..PermitShare::ALL
         };
         self.take_share(id, share)
@@ -181,7 +181,7 @@
     /// Estimates how many requests per second an upstream gets from daemons that do not
     /// support limits: from the number of their requests there and the time that a request
     /// stays at an upstream.
-    fn unaware_per_s(&self, id: &UpstreamId) -> f64 {
+    fn per_s_without_permits(&self, id: &UpstreamId) -> f64 {
         let active = self.peers.lock().active_without_permits(id);
         if active == 0 {
             return 0.0;
--- a/tests/decisions/limits.rs
+++ b/tests/decisions/limits.rs
@@ -335,7 +335,7 @@
         let mut limit_table = table_with_limit(5.0);
         let share = PermitShare {
             part: 1.0,
-            unaware_per_s: others,
+            per_s_without_permits: others,
         };
         let times = (0..60_000).step_by(5);
         let taken = times.filter(|at| limit_table.take(&u("u"), share, *at).is_ok());
