--- a/src/policy/hubs/rank.rs
+++ b/src/policy/hubs/rank.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DaemonRank {
     capacity: u32,
-    drawn: u64,
+    name_hash: u64,
 }
 
 impl DaemonRank {
@@ -23,12 +23,12 @@
     pub fn new(name: &str, capacity: f32) -> Self {
         Self {
             capacity: (capacity.max(0.0) / CAPACITY_UNIT).round() as u32,
-            drawn: rapidhash_v3(&[&RANK_SALT.to_le_bytes(), name.as_bytes()].concat()),
+            name_hash: rapidhash_v3(&[&RANK_SALT.to_le_bytes(), name.as_bytes()].concat()),
         }
     }
 
     /// Returns the hash of the name, which distributes daemons evenly.
-    pub fn drawn(&self) -> u64 {
-        self.drawn
+    pub fn name_hash(&self) -> u64 {
+        self.name_hash
     }
 }
--- a/src/policy/sources/role.rs
+++ b/src/policy/sources/role.rs
@@ -92,7 +92,7 @@
     higher_ranked.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
     higher_ranked.truncate(FOLLOWED_DAEMONS.max(readers));
     // Followers are distributed evenly over the readers.
-    let offset = own.drawn() as usize % readers.max(1);
+    let offset = own.name_hash() as usize % readers.max(1);
     higher_ranked[..readers].rotate_left(offset);
     SourceRole::Follows {
         daemons: higher_ranked
