--- a/src/gateway/source_state.rs
+++ b/src/gateway/source_state.rs
@@ -40,7 +40,7 @@
     /// Returns whether calls to the source have been failing long enough for this daemon to
     /// count as cut off from it.
     pub fn is_cut_from_source(&self) -> bool {
-        self.source.lock().is_cut(self.steady_ms())
+        self.source.lock().is_unavailable(self.steady_ms())
     }
 
     /// Returns the age of the newest answer of the source in milliseconds, or `None` if there
--- a/src/policy/sources/contact.rs
+++ b/src/policy/sources/contact.rs
@@ -32,7 +32,7 @@
         let before_ms = self.last_seen_ms;
         let was_unavailable =
             before_ms.is_none_or(|before_ms| last_seen_ms >= before_ms + MIN_LAPSE_OUTAGE_MS);
-        if was_unavailable && self.is_cut(now_ms) {
+        if was_unavailable && self.is_unavailable(now_ms) {
             self.returned_ms = Some(last_seen_ms);
         }
         self.last_seen_ms = before_ms.max(Some(last_seen_ms));
@@ -62,7 +62,7 @@
 
     /// Returns true if calls have failed for long enough that the source counts as
     /// unavailable.
-    pub fn is_cut(&self, now_ms: u64) -> bool {
+    pub fn is_unavailable(&self, now_ms: u64) -> bool {
         self.failing_since_ms
             .is_some_and(|since_ms| now_ms >= since_ms + UNAVAILABLE_AFTER_MS)
     }
--- a/tests/decisions/sources.rs
+++ b/tests/decisions/sources.rs
@@ -176,7 +176,7 @@
     assert_eq!(contact.lapsed_until_ms(2_000), None, "only one call failed");
     contact.record_failure(3_000);
     contact.record_failure(5_000);
-    assert!(contact.is_cut(5_000));
+    assert!(contact.is_unavailable(5_000));
     contact.record_answer(6_000);
     assert!(contact.lapsed_until_ms(6_500).is_some());
     assert_eq!(contact.lapsed_until_ms(8_500), None, "it returned long ago");
@@ -193,7 +193,7 @@
         // Others keep getting answers, and report so a while later.
         contact.record_relayed(now_ms - 600, now_ms);
     }
-    assert!(contact.is_cut(13_000));
+    assert!(contact.is_unavailable(13_000));
     contact.record_answer(13_000);
     assert_eq!(contact.lapsed_until_ms(13_200), None);
 }
