--- a/src/cluster/crashes/crashes_part.rs
+++ b/src/cluster/crashes/crashes_part.rs
@@ -45,7 +45,7 @@
     }
 
     /// Converts the announcement back into a known crash.
-    pub fn known(&self) -> KnownCrash {
+    pub fn to_known(&self) -> KnownCrash {
         KnownCrash {
             fingerprint: RequestFingerprint::from_number(self.fingerprint),
             upstream: UpstreamId::from(self.upstream.as_str()),
--- a/src/cluster/limits/limits_part.rs
+++ b/src/cluster/limits/limits_part.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the limit that the wire form describes; none if the rate is invalid.
-    pub fn known(&self) -> Option<KnownLimit> {
+    pub fn to_known(&self) -> Option<KnownLimit> {
         let rate = match self.per_s {
             Some(per_s) => Some(RequestRate::new(per_s)?),
             None => None,
--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -8,7 +8,7 @@
     // A hub forwards what it receives from hubs to the daemons that report to it, and what it
     // receives from other daemons to all.
     let relay_to_hubs = gateway.is_hub().then_some(!part.among_hubs);
-    for limit in part.limits.iter().filter_map(AnnouncedLimit::known) {
+    for limit in part.limits.iter().filter_map(AnnouncedLimit::to_known) {
         gateway.apply_limit(&limit, relay_to_hubs);
     }
 }
@@ -19,7 +19,7 @@
     query: PermitQuery,
     from: SocketAddr,
 ) {
-    let Some(limit) = query.limit.known() else {
+    let Some(limit) = query.limit.to_known() else {
         return;
     };
     gateway.apply_limit(&limit, None);
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -117,7 +117,7 @@
     // receives from other daemons to all.
     let relay_to_hubs = gateway.is_hub().then_some(!part.among_hubs);
     for announced in &part.ends {
-        gateway.apply_crash(&announced.known(), relay_to_hubs);
+        gateway.apply_crash(&announced.to_known(), relay_to_hubs);
     }
 }
 
--- a/src/gateway/limit_state.rs
+++ b/src/gateway/limit_state.rs
@@ -132,7 +132,7 @@
                 let answer = self.permit_client.query(self, issuer, limit, is_forwarded);
                 match answer.await {
                     Some(answer) => {
-                        let known = answer.limit.as_ref().and_then(AnnouncedLimit::known);
+                        let known = answer.limit.as_ref().and_then(AnnouncedLimit::to_known);
                         if let Some(known) = known {
                             self.apply_limit(&known, None);
                         }
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -205,6 +205,6 @@
             per_s: Some(per_s),
             ..announced_limit(1)
         };
-        assert_eq!(announced.known(), None, "{per_s}");
+        assert_eq!(announced.to_known(), None, "{per_s}");
     }
 }
