--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -152,7 +152,7 @@
         let packed = pack_upstreams(&update.upstreams, &update.removed_ids)?;
         let since = known.filter(|_| !update.is_complete).map(|k| k.revision);
         let mut cache = self.packed.lock();
-        cache.keep(update.cursor.revision, since, packed.clone());
+        cache.insert(update.cursor.revision, since, packed.clone());
         Ok((update.cursor, update.is_complete, packed))
     }
 
--- a/src/cluster/feed/packed_updates.rs
+++ b/src/cluster/feed/packed_updates.rs
@@ -23,7 +23,7 @@
 
     /// Caches an update, unless it is of an older revision than the cache or the cache is
     /// full.
-    pub fn keep(&mut self, revision: u64, since: Option<u64>, packed: Bytes) {
+    pub fn insert(&mut self, revision: u64, since: Option<u64>, packed: Bytes) {
         if revision > self.revision {
             self.revision = revision;
             self.packed.clear();
--- a/tests/decisions/directory.rs
+++ b/tests/decisions/directory.rs
@@ -422,7 +422,7 @@
             Bytes::from(format!("{since:?} to {revision}"))
         };
         let bytes = packed_updates.get(revision, since).unwrap_or_else(fresh);
-        packed_updates.keep(revision, since, bytes.clone());
+        packed_updates.insert(revision, since, bytes.clone());
         assert_eq!(bytes, format!("{since:?} to {revision}"));
     };
     for revision in 10..20 {
