--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -70,7 +70,7 @@
         gateway: &Gateway,
         request: &str,
         quota: Option<QuotaQuery>,
-        place: PlacementQuery,
+        placement: PlacementQuery,
     ) -> Option<ReceivedDecision> {
         let hubs = self.hubs_to_query(gateway);
         let (open, mut answers) = self.open();
@@ -80,7 +80,7 @@
             id: open.id,
             request: request.to_string(),
             quota,
-            place,
+            placement,
         };
         let max_wait_ms = query.quota.as_ref().map_or(0, |q| q.max_wait_ms);
         let hold = Duration::from_millis(u64::from(max_wait_ms)) + HOLD_GRACE;
--- a/src/cluster/hubs/query.rs
+++ b/src/cluster/hubs/query.rs
@@ -16,7 +16,7 @@
     /// What the request takes from a quota; none if it is admitted already.
     pub quota: Option<QuotaQuery>,
     /// What the hub needs to place the request.
-    pub place: PlacementQuery,
+    pub placement: PlacementQuery,
 }
 
 /// The cost of a request, counted against a client account's quota.
--- a/src/cluster/hubs/query_answers.rs
+++ b/src/cluster/hubs/query_answers.rs
@@ -60,7 +60,7 @@
     let Some(table) = gateway.table() else {
         return HubDecision::Unknown;
     };
-    let service = query.place.service.as_str().into();
+    let service = query.placement.service.as_str().into();
     if table.find_service(&service).is_none() {
         return HubDecision::Unknown;
     }
--- a/src/gateway/hub_state.rs
+++ b/src/gateway/hub_state.rs
@@ -221,13 +221,13 @@
         };
         let request = super::PlacementRequest {
             service,
-            target_ms: query.place.target_ms as f64,
-            prompt: super::Prompt::from_query(&query.place),
-            tried: typed(&query.place.tried),
-            avoided: typed(&query.place.avoided),
+            target_ms: query.placement.target_ms as f64,
+            prompt: super::Prompt::from_query(&query.placement),
+            tried: typed(&query.placement.tried),
+            avoided: typed(&query.placement.avoided),
             in_cooldown: Vec::new(),
             domain,
-            isolation_key: query.place.isolation_key,
+            isolation_key: query.placement.isolation_key,
         };
         let Some(placement) = self.choose_permitted(&request, &query.request).await else {
             return HubDecision::NoUpstream;
--- a/src/gateway/prompt.rs
+++ b/src/gateway/prompt.rs
@@ -37,8 +37,8 @@
     }
 
     /// Converts another daemon's query for a placement.
-    pub fn from_query(place: &PlacementQuery) -> Self {
-        let parts = place.parts.iter();
+    pub fn from_query(placement: &PlacementQuery) -> Self {
+        let parts = placement.parts.iter();
         Self {
             parts: parts
                 .map(|(chain, tokens)| PromptPart {
@@ -46,8 +46,8 @@
                     tokens: *tokens,
                 })
                 .collect(),
-            tokens_in: place.tokens_in,
-            tokens_out: place.tokens_out,
+            tokens_in: placement.tokens_in,
+            tokens_out: placement.tokens_out,
         }
     }
 
--- a/src/gateway/request_placement.rs
+++ b/src/gateway/request_placement.rs
@@ -73,9 +73,9 @@
             cost,
             max_wait_ms: max_wait.as_millis() as u32,
         });
-        let place = self.placement_query(context, &[]);
+        let placement = self.placement_query(context, &[]);
         let request = context.id_text();
-        let received = self.hub_client.query(self, request, quota, place).await;
+        let received = self.hub_client.query(self, request, quota, placement).await;
         match received.as_ref().map(|received| &received.decision) {
             Some(HubDecision::Refused { wait_ms }) => Err(Duration::from_millis(*wait_ms)),
             Some(HubDecision::Unknown | HubDecision::Held) | None => match limited {
@@ -161,8 +161,8 @@
             return Some(placement);
         }
         if !self.is_hub() {
-            let place = self.placement_query(context, tried);
-            let answer = self.hub_client.query(self, context.id_text(), None, place);
+            let placement = self.placement_query(context, tried);
+            let answer = self.hub_client.query(self, context.id_text(), None, placement);
             let received = answer.await;
             let is_retry = !tried.is_empty();
             let placement = received.and_then(|h| self.placement_from(&h, is_retry));
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -121,7 +121,7 @@
             cost: 1_460.0,
             max_wait_ms: 120,
         }),
-        place: PlacementQuery {
+        placement: PlacementQuery {
             service: "llm".into(),
             target_ms: 800,
             tokens_in: Some(1_460),
--- a/tests/decisions/members.rs
+++ b/tests/decisions/members.rs
@@ -52,7 +52,7 @@
         id,
         request: "r".into(),
         quota: None,
-        place: PlacementQuery {
+        placement: PlacementQuery {
             service: "s".into(),
             target_ms: 100,
             tokens_in: Some(10),
