--- a/src/app/sweep.rs
+++ b/src/app/sweep.rs
@@ -45,7 +45,7 @@
     /// The incarnation that answered the last ownership query.
     incarnation: u64,
     /// Time of the last answered ownership query, in Unix milliseconds.
-    queried_ms: u64,
+    last_query_ms: u64,
 }
 
 /// Checks the owners of held copies: takes over a copy if its owner is silent for too long, is
@@ -82,7 +82,7 @@
 ) -> (BoxId, OwnerState) {
     let within = Duration::from_millis(world.settings.peers.silence_ms / 2);
     let now = now_ms();
-    let recently_queried = now < state.queried_ms + OWNERSHIP_QUERY_INTERVAL_MS;
+    let recently_queried = now < state.last_query_ms + OWNERSHIP_QUERY_INTERVAL_MS;
     if recently_queried && is_same_incarnation(world, &owner, state.incarnation) {
         let ms = world.settings.peers.silence_ms / 2;
         if world.links.seen_within(&owner, ms) {
@@ -109,7 +109,7 @@
     };
     if let Ok(PeerReply::Ownership(all)) = world.call_box(&owner, &call, within).await {
         state.incarnation = incarnation;
-        state.queried_ms = now;
+        state.last_query_ms = now;
         let answers = copies.iter().zip(all);
         answers.for_each(|(c, o)| apply_ownership(world, c, &owner, o));
     }
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -145,7 +145,7 @@
     }
 
     /// Returns the hub that the next admission query goes to, or none if no hub is usable.
-    pub fn queried_hub(&self, gateway: &Gateway) -> Option<SocketAddr> {
+    pub fn next_hub(&self, gateway: &Gateway) -> Option<SocketAddr> {
         self.hubs_to_query(gateway).first().copied()
     }
 
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -99,21 +99,21 @@
 
     async fn report(&mut self, is_seed_queried: bool, is_woken: bool, now_ms: u64) {
         let gateway = &self.gateway;
-        let queried_hub = gateway.hub_client.queried_hub(gateway);
+        let next_hub = gateway.hub_client.next_hub(gateway);
         let wants_all = is_seed_queried || now_ms >= self.all_requested_ms + ALL_INTERVAL_MS;
         if wants_all {
             self.all_requested_ms = now_ms;
         }
         let (reported_to, reported_ms) = self.reported;
-        let is_due = reported_to != queried_hub || now_ms >= reported_ms + REPORT_INTERVAL_MS;
-        if let Some(hub) = queried_hub.filter(|_| wants_all || is_woken || is_due) {
-            self.reported = (queried_hub, now_ms);
+        let is_due = reported_to != next_hub || now_ms >= reported_ms + REPORT_INTERVAL_MS;
+        if let Some(hub) = next_hub.filter(|_| wants_all || is_woken || is_due) {
+            self.reported = (next_hub, now_ms);
             report_to_hub(gateway, hub, wants_all).await;
         }
         if is_seed_queried || now_ms >= self.alive_sent_ms + ALIVE_INTERVAL_MS {
             self.alive_sent_ms = now_ms;
             let hubs: BTreeSet<_> = gateway.peers.lock().own_hubs().into_iter().collect();
-            for hub in hubs.into_iter().filter(|h| Some(*h) != queried_hub) {
+            for hub in hubs.into_iter().filter(|h| Some(*h) != next_hub) {
                 let report = own_report(gateway, hub, ALIVE_INTERVAL_MS);
                 gateway.send_packet(&report_packet(report), hub).await;
             }
