--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -174,13 +174,13 @@
         .collect()
 }
 
-/// Splits a daemon's loads at upstreams into datagrams. `counted` is the id up to which the
+/// Splits a daemon's loads at upstreams into datagrams. `counted_up_to` is the id up to which the
 /// daemon's admission queries are included in them.
 pub(in crate::cluster) fn loads_parts(
     gateway: &Gateway,
     loads: &LoadSums,
     sequence: u64,
-    counted: u64,
+    counted_up_to: u64,
 ) -> Vec<Datagram> {
     let announced = loads.iter().map(|(id, (active, tokens))| AnnouncedLoad {
         upstream: id.to_string(),
@@ -198,7 +198,7 @@
                 sequence,
                 part,
                 parts: count,
-                counted,
+                counted_up_to,
                 loads,
             })
         })
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -151,7 +151,7 @@
 
     /// Returns the id up to which the requests of all queries are counted in this daemon's loads,
     /// or over.
-    pub fn counted(&self) -> u64 {
+    pub fn counted_up_to(&self) -> u64 {
         let state = self.state.lock();
         let first_open = state.open.first().copied();
         first_open.map_or(state.last_id, |id| id - 1)
--- a/src/cluster/hubs/loads_part.rs
+++ b/src/cluster/hubs/loads_part.rs
@@ -32,7 +32,7 @@
     pub parts: u32,
     /// The id up to which the requests of all of the daemon's admission queries are either included
     /// in the loads or over.
-    pub counted: u64,
+    pub counted_up_to: u64,
     /// The loads by upstream.
     pub loads: Vec<AnnouncedLoad>,
 }
@@ -50,7 +50,7 @@
     pending: HashMap<u32, Vec<AnnouncedLoad>>,
     pending_sequence: u64,
     /// The id up to which the daemon's admission queries are included in the loads, or over.
-    pub counted: u64,
+    pub counted_up_to: u64,
     /// The requests and waiting prompt tokens by upstream.
     pub loads: Vec<(UpstreamId, u32, u64)>,
 }
@@ -76,7 +76,7 @@
             return false;
         }
         self.sequence = part.sequence;
-        self.counted = part.counted;
+        self.counted_up_to = part.counted_up_to;
         let announced = self.pending.drain().flat_map(|(_, loads)| loads);
         self.loads = announced
             .map(|l| {
--- a/src/cluster/hubs/member_table.rs
+++ b/src/cluster/hubs/member_table.rs
@@ -102,8 +102,8 @@
         let member = self.member(&part.name, part.incarnation, now_ms);
         if member.loads.apply(part) {
             member.loads_ms = now_ms;
-            let counted = member.loads.counted;
-            member.reservations.retain(|r| r.query > counted);
+            let counted_up_to = member.loads.counted_up_to;
+            member.reservations.retain(|r| r.query > counted_up_to);
         }
     }
 
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -138,10 +138,10 @@
         packet = packet.with(Extension::Cooldowns(cooldowns));
     }
     gateway.send_packet(&packet, hub).await;
-    let counted = gateway.hub_client.counted();
+    let counted_up_to = gateway.hub_client.counted_up_to();
     let loads = gateway.own_loads();
     let sequence = gateway.next_sequence();
-    for part in loads_parts(gateway, &loads, sequence, counted) {
+    for part in loads_parts(gateway, &loads, sequence, counted_up_to) {
         gateway.send_datagram(&part, hub).await;
     }
 }
