--- a/tests/decisions/cluster_support.rs
+++ b/tests/decisions/cluster_support.rs
@@ -52,7 +52,7 @@
         sequence,
         part,
         parts,
-        counted: sequence,
+        counted_up_to: sequence,
         loads: loads.collect(),
     }
 }
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -177,7 +177,7 @@
         sequence: 70_000,
         part: 1,
         parts: 2,
-        counted: 299,
+        counted_up_to: 299,
         loads: vec![AnnouncedLoad {
             upstream: "i-3".into(),
             active: 30,
