--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -19,7 +19,7 @@
         apply_reports(&mut table, daemons, 1);
         table.tick(1, 1);
         let mut sequence = 1;
-        let heard_us = timed(|_| {
+        let report_us = timed(|_| {
             sequence += 1;
             apply_reports(&mut table, daemons, sequence);
         }) / daemons as f64;
@@ -34,7 +34,7 @@
             black_box(table.own_hubs());
         });
         println!(
-            "{daemons} daemons: {heard_us:.2} us a report, {named_us:.1} us to name others, \
+            "{daemons} daemons: {report_us:.2} us a report, {named_us:.1} us to name others, \
              {is_hub_us:.2} us whether it is a hub, {hubs_us:.2} us whom to ask"
         );
     }
