--- a/src/app/attempt.rs
+++ b/src/app/attempt.rs
@@ -11,7 +11,7 @@
 /// Duration of a decoding step assumed for an upstream that has not reported its load yet.
 const DEFAULT_STEP_MS: f64 = 20.0;
 /// Probability that a reclaimable box is reclaimed in the next second. One reclaim a
-/// day on average is assumed, as the rates of the boxes are not measured.
+/// day on average is assumed for each reclaimable box.
 const RECLAIMABLE_HAZARD_PER_S: f64 = 1.0 / 86_400.0;
 /// Round-trip time assumed between a daemon and an upstream of its failure domain.
 const ROUND_TRIP_MS: f64 = 1.0;
