--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -10,11 +10,11 @@
 
 /// The minimum time between two digests.
 const DIGEST_PAUSE: Duration = Duration::from_millis(50);
-/// Every how many digests one is sent to the seeds, which daemons that start query.
-const SEEDS_EVERY: u64 = 4;
-/// Every how many digests one is sent to the silent daemons of the failure domain, so that a
+/// Number of digests per digest that is sent to the seeds, which daemons that start query.
+const SEED_DIGEST_INTERVAL: u64 = 4;
+/// Number of digests per digest that is sent to the silent daemons of the failure domain, so that a
 /// restarted daemon learns of the others even if no seed is alive.
-const SILENT_EVERY: u64 = 8;
+const SILENT_DIGEST_INTERVAL: u64 = 8;
 /// The interval at which a hub sends its digest to the daemons that report to it, in milliseconds.
 pub(in crate::cluster) const MEMBER_DIGEST_INTERVAL_MS: u64 = 600;
 
@@ -73,7 +73,7 @@
     // Seeds and silent daemons get fewer digests. These state the longer interval, since by the
     // usual one this hub would count as silent.
     let seeds = gateway.settings.peers.seeds.iter().copied();
-    for (to, each) in [(silent, SILENT_EVERY), (seeds.collect(), SEEDS_EVERY)] {
+    for (to, each) in [(silent, SILENT_DIGEST_INTERVAL), (seeds.collect(), SEED_DIGEST_INTERVAL)] {
         if !sequence.is_multiple_of(each) {
             continue;
         }
