--- a/src/cluster/limits/permit_answers.rs
+++ b/src/cluster/limits/permit_answers.rs
@@ -7,9 +7,9 @@
 pub(in crate::cluster) fn apply_limits(gateway: &Gateway, part: &LimitsPart) {
     // A hub forwards what it receives from hubs to the daemons that report to it, and what it
     // receives from other daemons to all.
-    let relay_to_hubs = gateway.is_hub().then_some(!part.among_hubs);
+    let forward_to_hubs = gateway.is_hub().then_some(!part.among_hubs);
     for limit in part.limits.iter().filter_map(AnnouncedLimit::to_known) {
-        gateway.apply_limit(&limit, relay_to_hubs);
+        gateway.apply_limit(&limit, forward_to_hubs);
     }
 }
 
--- a/src/cluster/messages/exchange.rs
+++ b/src/cluster/messages/exchange.rs
@@ -115,9 +115,9 @@
 fn apply_crashes(gateway: &Gateway, part: &CrashesPart) {
     // A hub forwards what it receives from hubs to the daemons that report to it, and what it
     // receives from other daemons to all.
-    let relay_to_hubs = gateway.is_hub().then_some(!part.among_hubs);
+    let forward_to_hubs = gateway.is_hub().then_some(!part.among_hubs);
     for announced in &part.ends {
-        gateway.apply_crash(&announced.to_known(), relay_to_hubs);
+        gateway.apply_crash(&announced.to_known(), forward_to_hubs);
     }
 }
 
--- a/src/gateway/upstream_signals.rs
+++ b/src/gateway/upstream_signals.rs
@@ -35,9 +35,9 @@
         }
     }
 
-    /// Marks an upstream as leaving, so that it gets no new requests. With `relay_to_hubs`, the
+    /// Marks an upstream as leaving, so that it gets no new requests. With `forward_to_hubs`, the
     /// change is announced to other daemons, and to hubs too if its value is true.
-    pub fn mark_leaving(self: &Arc<Self>, id: &UpstreamId, relay_to_hubs: Option<bool>) {
+    pub fn mark_leaving(self: &Arc<Self>, id: &UpstreamId, forward_to_hubs: Option<bool>) {
         // The usual case, since every response of a leaving upstream has the header.
         let directory = self.directory.read();
         let is_marked = directory.get(id).is_some_and(|known| known.draining);
@@ -50,7 +50,7 @@
         if !is_change {
             return;
         }
-        if let Some(announces_to_hubs) = relay_to_hubs {
+        if let Some(announces_to_hubs) = forward_to_hubs {
             self.leaving_queue
                 .lock()
                 .record(id.clone(), announces_to_hubs);
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -123,13 +123,13 @@
         self.apply(&announced, Some(true), now_ms)
     }
 
-    /// Applies a limit that another daemon announced. `relay_to_hubs` says to whom this daemon
+    /// Applies a limit that another daemon announced. `forward_to_hubs` says to whom this daemon
     /// announces it in turn: to other hubs as well (`Some(true)`), only to the daemons that
     /// report to it (`Some(false)`), or to nobody (`None`). Returns true if the limit
     /// changed.
-    pub fn apply(&mut self, announced: &KnownLimit, relay_to_hubs: Option<bool>, now_ms: u64) -> bool {
-        let announcements_left = relay_to_hubs.map_or(0, |_| ANNOUNCEMENTS);
-        let announces_to_hubs = relay_to_hubs == Some(true);
+    pub fn apply(&mut self, announced: &KnownLimit, forward_to_hubs: Option<bool>, now_ms: u64) -> bool {
+        let announcements_left = forward_to_hubs.map_or(0, |_| ANNOUNCEMENTS);
+        let announces_to_hubs = forward_to_hubs == Some(true);
         let at_ms = now_ms.saturating_sub(announced.age_ms);
         let Some(entry) = self.upstreams.get_mut(&announced.upstream) else {
             if announced.rate.is_none() || self.upstreams.len() >= MAX_UPSTREAMS {
