--- a/src/app/locate.rs
+++ b/src/app/locate.rs
@@ -14,12 +14,12 @@
 /// The result of locating a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// This box owns the request and has at least the tokens asked for.
+    /// This box owns the request and has at least the requested tokens.
     At(BoxId),
     /// All boxes that would know the request were queried, and none does.
     Nowhere,
     /// Some of these boxes could not be queried, or the request was found with fewer tokens
-    /// than asked for.
+    /// than requested.
     Unsure,
 }
 
--- a/src/cluster/feed/state_source.rs
+++ b/src/cluster/feed/state_source.rs
@@ -11,7 +11,7 @@
 pub enum StateSource {
     /// None yet: the daemon waits for its seeds to answer which daemons there are.
     Unknown,
-    /// The shared source alone.
+    /// Only the shared source.
     Shared,
     /// The shared source, and another daemon, which may reach the shared source while this
     /// one can't.
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -10,9 +10,9 @@
 
 /// The minimum time between two digests.
 const DIGEST_PAUSE: Duration = Duration::from_millis(50);
-/// Number of digests per digest that is sent to the seeds, which daemons that start query.
+/// One in this many digests is also sent to the seeds, which starting daemons query.
 const SEED_DIGEST_INTERVAL: u64 = 4;
-/// Number of digests per digest that is sent to the silent daemons of the failure domain, so that a
+/// One in this many digests is also sent to the silent daemons of the failure domain, so that a
 /// restarted daemon learns of the others even if no seed is alive.
 const SILENT_DIGEST_INTERVAL: u64 = 8;
 /// The interval at which a hub sends its digest to the daemons that report to it, in milliseconds.
--- a/src/policy/quota/account.rs
+++ b/src/policy/quota/account.rs
@@ -27,7 +27,7 @@
 /// How many times its share of the level a daemon may admit between two notices.
 const UNANNOUNCED_SHARES: f64 = 2.0;
 /// The longest retry time named to a client, in milliseconds. Without it, a client account
-/// without a rate would be told to wait forever.
+/// without a rate would get an infinite retry time.
 const MAX_WAIT_MS: f64 = 60_000.0;
 /// What is left above this share of the burst, any daemon may admit between two notices, as
 /// long as no notice of another daemon is overdue.
--- a/src/rollouts/evidence.rs
+++ b/src/rollouts/evidence.rs
@@ -1,7 +1,7 @@
 use super::{AnswerCounts, VersionCounts};
 
 /// Difference in the rate of bad answers up to which a new version counts as no worse than
-/// the old ones: a smaller one can't be told from chance within some hundred answers.
+/// the old ones: a smaller one can't be distinguished from chance within some hundred answers.
 const MARGIN: f64 = 0.03;
 /// Numbers of answers of the old versions over which their rate of bad answers is averaged:
 /// a long window for the steady rate and a short one for the current rate. The higher rate
--- a/standin/src/load/run.rs
+++ b/standin/src/load/run.rs
@@ -199,7 +199,7 @@
         None
     }
 
-    /// Returns `None` if the stream goes on, `Some(None)` if the reader is to reattach, and
+    /// Returns `None` if the stream continues, `Some(None)` if the reader is to reattach, and
     /// the outcome at the end of the answer.
     fn handle_event(&mut self, event: &str) -> Option<Option<String>> {
         let field = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
