--- a/src/app/admission_control.rs
+++ b/src/app/admission_control.rs
@@ -190,12 +190,12 @@
 
 impl ServiceQueue {
     fn wake(&mut self, capacity: u32) {
-        let turns = self.fair.next(capacity, self.run_time_ms, now_ms());
-        for ticket in turns.expired {
+        let outcome = self.fair.next(capacity, self.run_time_ms, now_ms());
+        for ticket in outcome.expired {
             // Dropping the sender closes the channel, which rejects the waiting request at once.
             self.waiters.remove(&ticket);
         }
-        for ticket in turns.started {
+        for ticket in outcome.started {
             let woken = self
                 .waiters
                 .remove(&ticket)
