--- a/tests/decisions/sources.rs
+++ b/tests/decisions/sources.rs
@@ -185,7 +185,7 @@
 /// Entries that are missing after its return were removed: the source was available to others
 /// all the time.
 #[test]
-fn a_daemon_that_alone_was_cut_off_does_not_take_removals_for_lapses() {
+fn a_daemon_that_was_cut_off_while_others_were_not_does_not_take_removals_for_lapses() {
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
     contact.record_failure(1_500);
--- a/tests/gateway/crashing_requests.rs
+++ b/tests/gateway/crashing_requests.rs
@@ -9,7 +9,7 @@
 //! client gets 502 and retries at any daemon, with the same path, account and body under another
 //! id. Daemons recorded such failures for the upstream only, so each retry by the client was a
 //! new request to them. A single daemon with one send per request shows the same
-//! (`one_daemon_alone_learns_from_earlier_tries`), so neither the retry budget nor missing
+//! (`a_single_daemon_learns_from_earlier_tries`), so neither the retry budget nor missing
 //! exchange between daemons is the cause.
 
 use {
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn one_daemon_alone_learns_from_earlier_tries() {
+async fn a_single_daemon_learns_from_earlier_tries() {
     let world = World::start(1, &[&STREAM_ONE_SEND]).await;
     let series = ask_repeatedly(&world, "/stream/resume/x", Duration::from_secs(3)).await;
     assert!(
--- a/tests/gateway/leaving_upstreams.rs
+++ b/tests/gateway/leaving_upstreams.rs
@@ -46,7 +46,7 @@
 /// A request sent to a leaving upstream may fail when the upstream exits, whichever daemon sends
 /// it. So all daemons have to know what one of them received.
 #[tokio::test]
-async fn daemons_do_not_send_to_an_upstream_that_told_another_daemon_that_it_leaves() {
+async fn daemons_do_not_send_to_an_upstream_that_announced_leaving_to_another_daemon() {
     let world = FileWorld::start(5, 2).await;
     world.runners[0].set_leaving(Some("1"));
     for at in [4, 0] {
