--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -69,7 +69,7 @@
     answer
 }
 
-/// Builds a refusal: a promise to the client that the request has not run and never will.
+/// Builds a refusal, which guarantees to the client that the request has not run and never will.
 pub fn refusal(status: StatusCode, detail: &str, retry_after: Duration) -> Response<AnswerBody> {
     let mut answer = local_response(status, detail);
     let seconds = format!("{:.2}", retry_after.as_secs_f64());
--- a/src/gateway/forward_buffered.rs
+++ b/src/gateway/forward_buffered.rs
@@ -97,7 +97,7 @@
 }
 
 /// Returns whether an upstream's status may be relayed to the client. The other statuses
-/// promise that the request has not run, which only the upstream's `not_run` header may state.
+/// state that the request has not run, which only the `not_run` header of the upstream may do.
 pub(super) fn may_relay_status(status: StatusCode) -> bool {
     !matches!(
         status,
--- a/src/rollouts/evidence.rs
+++ b/src/rollouts/evidence.rs
@@ -5,11 +5,11 @@
 const MARGIN: f64 = 0.03;
 /// Numbers of answers of the old versions over which their rate of bad answers is averaged:
 /// a long window for the steady rate and a short one for the current rate. The higher rate
-/// counts, so that trouble that hits all versions at once isn't held against the new one.
+/// counts, so that a problem that affects all versions at once does not count against the new one.
 /// With the steady rate alone, 1 in 100 good versions was rolled back where a fifth of all
 /// answers failed for 4 s.
 const BASELINE_WINDOWS: [f64; 2] = [400.0, 60.0];
-/// Size of the prior for the old versions: one bad answer in so many.
+/// Size of the prior for the old versions: one bad answer in this many.
 const PRIOR_ANSWERS: f64 = 20.0;
 /// Number of standard errors that are added to the old versions' observed rate, for each of
 /// the two windows.
