--- a/src/cluster/duties/fleet_scaler.rs
+++ b/src/cluster/duties/fleet_scaler.rs
@@ -5,7 +5,7 @@
         names::{FailureDomain, ServiceName},
         policy::{
             DemandPeak, DomainFleet, FleetBounds, FleetDemand, FleetPolicy, KnownFleet,
-            ReadingSpeed, plan_fleet,
+            PrefillSpeed, plan_fleet,
         },
         routing::{Autoscaling, Service},
     },
@@ -134,7 +134,7 @@
         let is_demand_known = self
             .demand_since_ms
             .is_some_and(|since| now_ms >= since + OBSERVE_DEMAND_MS);
-        let speed = gateway.reading_speed(&service.name);
+        let speed = gateway.prefill_speed(&service.name);
         let load = offered_load(gateway, service, demand, speed);
         let policy = gateway.settings.fleet;
         let peaks = self.peaks.entry(service.name.clone());
@@ -217,21 +217,21 @@
     }
 }
 
-/// Returns the offered load as a number of fully busy upstreams: busy with reading prompts,
+/// Returns the offered load as a number of fully busy upstreams: busy with prefilling prompts,
 /// or with all of their slots taken, whichever number is higher.
 fn offered_load(
     gateway: &Gateway,
     service: &Service,
     tokens_per_s: f64,
-    speed: Option<ReadingSpeed>,
+    speed: Option<PrefillSpeed>,
 ) -> f64 {
-    let reading = speed.map_or(0.0, |s| tokens_per_s / s.tokens_per_s());
+    let prefilling = speed.map_or(0.0, |s| tokens_per_s / s.tokens_per_s());
     let slots = service.engine.as_ref().map_or(0, |e| e.slots);
     let running = match slots {
         0 => 0.0,
         slots => f64::from(gateway.running_at(&service.name)) / f64::from(slots),
     };
-    reading.max(running)
+    prefilling.max(running)
 }
 
 fn key_of(order: &FleetOrder) -> (ServiceName, FailureDomain, bool) {
--- a/src/cluster/hubs/digest.rs
+++ b/src/cluster/hubs/digest.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         cluster::{DaemonEntry, DaemonStatus},
-        policy::ReadingSpeed,
+        policy::PrefillSpeed,
         rollouts::Rollout,
     },
     bincode::{Decode, Encode},
@@ -79,11 +79,11 @@
         }
     }
 
-    /// Returns the prompt reading speed of a service's engines, or none if the digest has no valid
+    /// Returns the prefill speed of a service's engines, or none if the digest has no valid
     /// value.
-    pub fn reading_speed(&self, service: &str) -> Option<ReadingSpeed> {
+    pub fn prefill_speed(&self, service: &str) -> Option<PrefillSpeed> {
         let entry = self.reading.iter().find(|(name, ..)| name == service);
-        let speed = entry.map(|(_, ms_per_token, comparisons)| ReadingSpeed {
+        let speed = entry.map(|(_, ms_per_token, comparisons)| PrefillSpeed {
             ms_per_token: f64::from(*ms_per_token),
             comparisons: *comparisons,
         });
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -145,7 +145,7 @@
     let reporting = gateway.peers.lock().reporting_duty_holders();
     digest.duty_daemons.extend(reporting);
     digest.demand = gateway.own_demand();
-    let speeds = gateway.own_reading_speeds().into_iter();
+    let speeds = gateway.own_prefill_speeds().into_iter();
     digest.reading = speeds
         .map(|(service, s)| (service.to_string(), s.ms_per_token as f32, s.comparisons))
         .collect();
--- a/src/cluster/membership/peer_loads.rs
+++ b/src/cluster/membership/peer_loads.rs
@@ -3,7 +3,7 @@
     crate::{
         cluster::{LIMITS_LEVEL, LoadSums, add_load},
         names::UpstreamId,
-        policy::{DaemonRank, ReadingSpeed, home_rank},
+        policy::{DaemonRank, PrefillSpeed, home_rank},
     },
     std::net::SocketAddr,
 };
@@ -85,9 +85,9 @@
         offered.map(|(_, per_s)| f64::from(*per_s)).sum()
     }
 
-    /// Returns the prompt reading speeds of a service's engines that other live hubs measured.
-    pub fn reading_speeds(&self, service: &str) -> Vec<ReadingSpeed> {
-        let speeds = self.live_hubs().filter_map(|d| d.reading_speed(service));
+    /// Returns the prefill speeds of a service's engines that other live hubs measured.
+    pub fn prefill_speeds(&self, service: &str) -> Vec<PrefillSpeed> {
+        let speeds = self.live_hubs().filter_map(|d| d.prefill_speed(service));
         speeds.collect()
     }
 }
--- a/src/gateway/engines.rs
+++ b/src/gateway/engines.rs
@@ -6,32 +6,32 @@
 /// Speed and load of the engines of a service.
 impl Gateway {
     /// Returns the prefill speeds that this daemon has measured, by service.
-    pub fn own_reading_speeds(&self) -> Vec<(ServiceName, ReadingSpeed)> {
+    pub fn own_prefill_speeds(&self) -> Vec<(ServiceName, PrefillSpeed)> {
         let engines = self.engines.lock();
         let speeds = engines.iter();
         speeds
-            .filter_map(|(name, model)| Some((name.clone(), model.reading_speed()?)))
+            .filter_map(|(name, model)| Some((name.clone(), model.prefill_speed()?)))
             .collect()
     }
 
     /// Returns the prefill speed of a service's engines, merged from all daemons' measurements.
-    pub fn reading_speed(&self, service: &ServiceName) -> Option<ReadingSpeed> {
+    pub fn prefill_speed(&self, service: &ServiceName) -> Option<PrefillSpeed> {
         if !self.settings.mechanisms.learned_speed {
-            return Some(ReadingSpeed {
+            return Some(PrefillSpeed {
                 ms_per_token: self.settings.first_guess.ms_per_token,
                 comparisons: 0,
             });
         }
         let engines = self.engines.lock();
-        let own = engines.get(service).and_then(EngineModel::reading_speed);
+        let own = engines.get(service).and_then(EngineModel::prefill_speed);
         drop(engines);
-        let others = self.peers.lock().reading_speeds(service.as_str());
-        ReadingSpeed::merged(own.into_iter().chain(others))
+        let others = self.peers.lock().prefill_speeds(service.as_str());
+        PrefillSpeed::merged(own.into_iter().chain(others))
     }
 
     /// Returns the expected times at a service's upstreams: measured, or else configured guesses.
     pub fn engine_times(&self, service: &ServiceName) -> EngineTimes {
-        let speed = self.reading_speed(service);
+        let speed = self.prefill_speed(service);
         let guess = &self.settings.first_guess;
         let engines = self.engines.lock();
         let model = engines.get(service);
--- a/src/policy/engines/engine_model.rs
+++ b/src/policy/engines/engine_model.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::{FirstEvent, ReadingSpeed},
+    crate::policy::{FirstEvent, PrefillSpeed},
     std::collections::VecDeque,
 };
 
@@ -40,7 +40,7 @@
     recent: VecDeque<FirstEvent>,
     comparisons: VecDeque<Comparison>,
     since_estimate: usize,
-    speed: Option<ReadingSpeed>,
+    speed: Option<PrefillSpeed>,
     first_event_ms: Option<f64>,
     stay_ms: Option<f64>,
 }
@@ -74,9 +74,9 @@
         self.stay_ms = Some(moving_average(self.stay_ms, stay_ms));
     }
 
-    /// Returns how fast the engines read prompts, or `None` while there are too few
+    /// Returns how fast the engines prefill prompts, or `None` while there are too few
     /// comparisons.
-    pub fn reading_speed(&self) -> Option<ReadingSpeed> {
+    pub fn prefill_speed(&self) -> Option<PrefillSpeed> {
         self.speed
     }
 
@@ -91,7 +91,7 @@
         self.stay_ms
     }
 
-    fn estimate(&self) -> Option<ReadingSpeed> {
+    fn estimate(&self) -> Option<PrefillSpeed> {
         if self.comparisons.len() < MIN_COMPARISONS {
             return self.speed;
         }
@@ -104,7 +104,7 @@
             below >= half
         });
         let median = median.filter(|c| c.ms_per_token > 0.0);
-        median.map(|c| ReadingSpeed {
+        median.map(|c| PrefillSpeed {
             ms_per_token: c.ms_per_token,
             comparisons: sorted.len() as u32,
         })
--- a/src/policy/engines/reading_speed.rs
+++ b/src/policy/engines/prefill_speed.rs
@@ -1,13 +1,13 @@
-/// How fast a service's engines read prompts.
+/// Speed at which the engines of a service prefill prompts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadingSpeed {
+pub struct PrefillSpeed {
     /// Milliseconds per prompt token.
     pub ms_per_token: f64,
     /// Number of comparisons that the estimate is based on.
     pub comparisons: u32,
 }
 
-impl ReadingSpeed {
+impl PrefillSpeed {
     /// Returns the average of several estimates, weighted by their numbers of comparisons, or
     /// `None` if there are no comparisons.
     pub fn merged(speeds: impl Iterator<Item = Self>) -> Option<Self> {
@@ -22,7 +22,7 @@
         })
     }
 
-    /// Returns the number of prompt tokens that an engine reads per second.
+    /// Returns the number of prompt tokens that an engine prefills per second.
     pub fn tokens_per_s(&self) -> f64 {
         1_000.0 / self.ms_per_token
     }
--- a/tests/decisions/engine_model.rs
+++ b/tests/decisions/engine_model.rs
@@ -1,4 +1,4 @@
-//! The estimate of an engine's reading speed from the answers to requests, for fast and slow
+//! The estimate of an engine's prefill speed from the answers to requests, for fast and slow
 //! engines.
 
 use {
@@ -7,7 +7,7 @@
     saddlepulley::policy::*,
 };
 
-/// An engine as a daemon observes it: a fixed latency, then the time to read the prompt, and
+/// An engine as a daemon observes it: a fixed latency, then the time to prefill the prompt, and
 /// late answers at random.
 struct ObservedEngine {
     base_ms: f64,
@@ -50,7 +50,7 @@
                 ms_per_token,
                 late_share: 0.0,
             };
-            let speed = engine.model_after(100, seed).reading_speed().unwrap();
+            let speed = engine.model_after(100, seed).prefill_speed().unwrap();
             let ratio = speed.ms_per_token / ms_per_token;
             assert!((0.7..1.4).contains(&ratio), "{ms_per_token}: {ratio}");
         }
@@ -65,7 +65,7 @@
             ms_per_token: 0.01,
             late_share: 0.2,
         };
-        let speed = engine.model_after(200, seed).reading_speed().unwrap();
+        let speed = engine.model_after(200, seed).prefill_speed().unwrap();
         let ratio = speed.ms_per_token / 0.01;
         assert!((0.5..2.0).contains(&ratio), "seed {seed}: {ratio}");
     }
@@ -87,14 +87,14 @@
     for _ in 0..100 {
         model.record_first_event(fast.first_event(&mut rng));
     }
-    let speed = model.reading_speed().unwrap();
+    let speed = model.prefill_speed().unwrap();
     assert!(speed.ms_per_token < 0.02, "{speed:?}");
 }
 
 #[test]
 fn prompts_of_the_same_size_give_no_estimate() {
     let mut model = EngineModel::default();
-    assert_eq!(model.reading_speed(), None);
+    assert_eq!(model.prefill_speed(), None);
     for _ in 0..100 {
         model.record_first_event(FirstEvent {
             unread_tokens: 1_000,
@@ -102,7 +102,7 @@
         });
     }
     assert_eq!(
-        model.reading_speed(),
+        model.prefill_speed(),
         None,
         "all prompts have the same size"
     );
@@ -111,12 +111,12 @@
 
 #[test]
 fn merged_estimates_are_weighted_by_their_comparisons() {
-    let speed = |ms_per_token, comparisons| ReadingSpeed {
+    let speed = |ms_per_token, comparisons| PrefillSpeed {
         ms_per_token,
         comparisons,
     };
-    assert_eq!(ReadingSpeed::merged([].into_iter()), None);
-    let merged = ReadingSpeed::merged([speed(0.01, 90), speed(0.02, 10)].into_iter()).unwrap();
+    assert_eq!(PrefillSpeed::merged([].into_iter()), None);
+    let merged = PrefillSpeed::merged([speed(0.01, 90), speed(0.02, 10)].into_iter()).unwrap();
     assert!((merged.ms_per_token - 0.011).abs() < 1e-9);
     assert!((speed(0.01, 1).tokens_per_s() - 100_000.0).abs() < 1e-6);
 }
