--- a/src/cluster/hubs/digest.rs
+++ b/src/cluster/hubs/digest.rs
@@ -49,7 +49,7 @@
     pub demand: Vec<(String, f32)>,
     /// By service, the time in which its engines process a prompt token, in milliseconds, and the
     /// number of comparisons behind this estimate.
-    pub reading: Vec<(String, f32, u32)>,
+    pub prefill_speeds: Vec<(String, f32, u32)>,
     /// The newest rollout of each service.
     pub rollouts: Vec<Rollout>,
     /// Other daemons that it receives messages from.
@@ -73,7 +73,7 @@
             },
             duty_daemons: Vec::new(),
             demand: Vec::new(),
-            reading: Vec::new(),
+            prefill_speeds: Vec::new(),
             rollouts: Vec::new(),
             known: Vec::new(),
         }
@@ -82,7 +82,7 @@
     /// Returns the prefill speed of a service's engines, or none if the digest has no valid
     /// value.
     pub fn prefill_speed(&self, service: &str) -> Option<PrefillSpeed> {
-        let entry = self.reading.iter().find(|(name, ..)| name == service);
+        let entry = self.prefill_speeds.iter().find(|(name, ..)| name == service);
         let speed = entry.map(|(_, ms_per_token, comparisons)| PrefillSpeed {
             ms_per_token: f64::from(*ms_per_token),
             comparisons: *comparisons,
