--- a/src/app/duties.rs
+++ b/src/app/duties.rs
@@ -80,7 +80,9 @@
                     next = next.min(offset);
                 }
             }
-            LeaseStep::Act { unfenced_allowed, .. } => {
+            LeaseStep::Act {
+                unfenced_allowed, ..
+            } => {
                 let may_act = || view.may_act(clock.now_ms());
                 replacements.step(&world, &may_act).await;
                 model_loads.step(&world, &may_act, unfenced_allowed).await;
--- a/src/app/model_loads.rs
+++ b/src/app/model_loads.rs
@@ -30,7 +30,12 @@
     /// lease. An engine that doesn't check fencing tokens gets an order only
     /// once the lease is `unfenced_allowed`, that is, when an earlier lease holder that
     /// was paused can't send orders any more.
-    pub async fn step(&mut self, world: &World, may_act: &impl Fn() -> Option<u64>, unfenced_allowed: bool) {
+    pub async fn step(
+        &mut self,
+        world: &World,
+        may_act: &impl Fn() -> Option<u64>,
+        unfenced_allowed: bool,
+    ) {
         for engine in unloaded_engines(world) {
             let key = (engine.id.clone(), engine.incarnation);
             let ordered_ms = self.ordered.get(&key).copied().unwrap_or(0);
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -73,7 +73,10 @@
     // Seeds and silent daemons get fewer digests. These state the longer interval, since by the
     // usual one this hub would count as silent.
     let seeds = gateway.settings.peers.seeds.iter().copied();
-    for (to, each) in [(silent, SILENT_DIGEST_INTERVAL), (seeds.collect(), SEED_DIGEST_INTERVAL)] {
+    for (to, each) in [
+        (silent, SILENT_DIGEST_INTERVAL),
+        (seeds.collect(), SEED_DIGEST_INTERVAL),
+    ] {
         if !sequence.is_multiple_of(each) {
             continue;
         }
--- a/src/cluster/membership/peer_loads.rs
+++ b/src/cluster/membership/peer_loads.rs
@@ -26,7 +26,8 @@
     /// that domain has none: a daemon that is cut off from a hub of that domain is usually cut
     /// off from the upstream, too. All daemons that know the same hubs choose the same issuer.
     pub fn permit_issuer(&self, upstream: u64, domain: &str, own_issues: bool) -> PermitIssuer {
-        let key = |rank: DaemonRank, at: &str| (at == domain, home_rank(rank.name_hash(), upstream));
+        let key =
+            |rank: DaemonRank, at: &str| (at == domain, home_rank(rank.name_hash(), upstream));
         let others = self.known_hubs();
         let others = others.filter(|p| p.issues_permits(self.now_ms));
         let others = others.map(|p| {
--- a/src/cluster/versions/rollout_duty.rs
+++ b/src/cluster/versions/rollout_duty.rs
@@ -49,7 +49,11 @@
     /// # Errors
     ///
     /// Returns an error if a call to the status store failed. The call is repeated at the next run.
-    pub async fn run_due_steps(&mut self, gateway: &Gateway, fence: u64) -> Result<(), BackendError> {
+    pub async fn run_due_steps(
+        &mut self,
+        gateway: &Gateway,
+        fence: u64,
+    ) -> Result<(), BackendError> {
         let open: Vec<Rollout> = {
             let rollouts = gateway.rollouts.lock();
             let open = rollouts.iter();
--- a/src/gateway/request_placement.rs
+++ b/src/gateway/request_placement.rs
@@ -162,7 +162,9 @@
         }
         if !self.is_hub() {
             let placement = self.placement_query(context, tried);
-            let answer = self.hub_client.query(self, context.id_text(), None, placement);
+            let answer = self
+                .hub_client
+                .query(self, context.id_text(), None, placement);
             let received = answer.await;
             let is_retry = !tried.is_empty();
             let placement = received.and_then(|h| self.placement_from(&h, is_retry));
--- a/src/policy/engines/mod.rs
+++ b/src/policy/engines/mod.rs
@@ -4,9 +4,9 @@
 mod engine_model;
 mod engine_times;
 mod first_event;
-mod prefix_cache_tracker;
 mod prefill_speed;
+mod prefix_cache_tracker;
 
 pub use {
-    engine_model::*, engine_times::*, first_event::*, prefix_cache_tracker::*, prefill_speed::*,
+    engine_model::*, engine_times::*, first_event::*, prefill_speed::*, prefix_cache_tracker::*,
 };
--- a/src/policy/limits/limit_table.rs
+++ b/src/policy/limits/limit_table.rs
@@ -127,7 +127,12 @@
     /// announces it in turn: to other hubs as well (`Some(true)`), only to the daemons that
     /// report to it (`Some(false)`), or to nobody (`None`). Returns true if the limit
     /// changed.
-    pub fn apply(&mut self, announced: &KnownLimit, forward_to_hubs: Option<bool>, now_ms: u64) -> bool {
+    pub fn apply(
+        &mut self,
+        announced: &KnownLimit,
+        forward_to_hubs: Option<bool>,
+        now_ms: u64,
+    ) -> bool {
         let announcements_left = forward_to_hubs.map_or(0, |_| ANNOUNCEMENTS);
         let announces_to_hubs = forward_to_hubs == Some(true);
         let at_ms = now_ms.saturating_sub(announced.age_ms);
--- a/tests/decisions/lease.rs
+++ b/tests/decisions/lease.rs
@@ -99,6 +99,9 @@
     let now = 10 + TERM_MS;
     assert!(matches!(
         b.view.step(&b.me, TERM_MS, now + 1),
-        LeaseStep::Act { unfenced_allowed: false, .. }
+        LeaseStep::Act {
+            unfenced_allowed: false,
+            ..
+        }
     ));
 }
--- a/tests/decisions/placement.rs
+++ b/tests/decisions/placement.rs
@@ -19,7 +19,10 @@
     dear.price_micros = 900;
     let cheap = upstream("cheap");
     let all = [dear, cheap];
-    assert_eq!(CheapestOnTarget.choose(&request_needs(), &all, &mut rng()), Some(1));
+    assert_eq!(
+        CheapestOnTarget.choose(&request_needs(), &all, &mut rng()),
+        Some(1)
+    );
 }
 
 #[test]
@@ -30,7 +33,10 @@
     cheap.running = 16;
     cheap.waiting = 20;
     let all = [dear, cheap];
-    assert_eq!(CheapestOnTarget.choose(&request_needs(), &all, &mut rng()), Some(0));
+    assert_eq!(
+        CheapestOnTarget.choose(&request_needs(), &all, &mut rng()),
+        Some(0)
+    );
 }
 
 #[test]
@@ -78,7 +84,10 @@
         CheapestOnTarget.choose(&request_needs(), &[a.clone()], &mut rng()),
         None
     );
-    assert_eq!(NaivePlacement.choose(&request_needs(), &[a], &mut rng()), Some(0));
+    assert_eq!(
+        NaivePlacement.choose(&request_needs(), &[a], &mut rng()),
+        Some(0)
+    );
 }
 
 /// Differential test over random sets of upstreams: on average, each policy's choice is
@@ -101,13 +110,20 @@
             })
             .collect();
         let lost = |i: usize| {
-            Estimate::of(&request_needs(), &all[i]).expected_recompute + uncached_tokens(&request_needs(), &all[i])
+            Estimate::of(&request_needs(), &all[i]).expected_recompute
+                + uncached_tokens(&request_needs(), &all[i])
         };
         let cost = |i: usize| Estimate::of(&request_needs(), &all[i]).cost_micros;
-        let n = NaivePlacement.choose(&request_needs(), &all, &mut rng).unwrap();
+        let n = NaivePlacement
+            .choose(&request_needs(), &all, &mut rng)
+            .unwrap();
         naive.0 += cost(n);
         naive.1 += lost(n);
-        ours.0 += cost(CheapestOnTarget.choose(&request_needs(), &all, &mut rng).unwrap());
+        ours.0 += cost(
+            CheapestOnTarget
+                .choose(&request_needs(), &all, &mut rng)
+                .unwrap(),
+        );
         ours.1 += lost(KeepWork.choose(&request_needs(), &all, &mut rng).unwrap());
     }
     assert!(ours.0 < naive.0 && ours.1 < naive.1, "{ours:?} {naive:?}");
