--- a/src/cluster/hubs/digest.rs
+++ b/src/cluster/hubs/digest.rs
@@ -49,7 +49,7 @@
     pub demand: Vec<(String, f32)>,
     /// By service, the time in which its engines process a prompt token, in milliseconds, and the
     /// number of comparisons behind this estimate.
-    pub prefill_speeds: Vec<(String, f32, u32)>,
+    pub reading: Vec<(String, f32, u32)>,
     /// The newest rollout of each service.
     pub rollouts: Vec<Rollout>,
     /// Other daemons that it receives messages from.
@@ -73,7 +73,7 @@
             },
             duty_daemons: Vec::new(),
             demand: Vec::new(),
-            prefill_speeds: Vec::new(),
+            reading: Vec::new(),
             rollouts: Vec::new(),
             known: Vec::new(),
         }
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -149,7 +149,7 @@
     digest.duty_daemons.extend(reporting);
     digest.demand = gateway.own_demand();
     let speeds = gateway.own_prefill_speeds().into_iter();
-    digest.prefill_speeds = speeds
+    digest.reading = speeds
         .map(|(service, s)| (service.to_string(), s.ms_per_token as f32, s.comparisons))
         .collect();
     digest.rollouts = gateway.announced_rollouts();
--- a/tests/decisions/datagrams.rs
+++ b/tests/decisions/datagrams.rs
@@ -9,7 +9,7 @@
         .map(|n| entry("edge-zone-b-1234", "zone-b", n))
         .collect();
     digest.demand = vec![("llm-pool".into(), 1e6); 4];
-    digest.prefill_speeds = vec![("llm-pool".into(), 0.03, 192); 4];
+    digest.reading = vec![("llm-pool".into(), 0.03, 192); 4];
     let sent = Datagram::Digest(digest);
     let bytes = sent.encode().unwrap();
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -65,7 +65,7 @@
         holds: true,
     }];
     digest.demand = vec![("llm".into(), 1_234.5)];
-    digest.prefill_speeds = vec![("llm".into(), 0.03, 192)];
+    digest.reading = vec![("llm".into(), 0.03, 192)];
     digest.rollouts = vec![rollout()];
     digest.known = vec![entry("edge-2", 2)];
     digest
