--- a/src/cluster/hubs/digest.rs
+++ b/src/cluster/hubs/digest.rs
@@ -82,10 +82,7 @@
     /// Returns the prefill speed of a service's engines, or none if the digest has no valid
     /// value.
     pub fn prefill_speed(&self, service: &str) -> Option<PrefillSpeed> {
-        let entry = self
-            .prefill_speeds
-            .iter()
-            .find(|(name, ..)| name == service);
+        let entry = self.reading.iter().find(|(name, ..)| name == service);
         let speed = entry.map(|(_, ms_per_token, comparisons)| PrefillSpeed {
             ms_per_token: f64::from(*ms_per_token),
             comparisons: *comparisons,
