--- a/src/cluster/duties/duty_runner.rs
+++ b/src/cluster/duties/duty_runner.rs
@@ -100,7 +100,7 @@
                 self.watch_holder().await;
                 continue;
             }
-            match self.turn(holds).await {
+            match self.run_once(holds).await {
                 Ok(now_holds) => {
                     holds = now_holds;
                     self.set_holds(holds);
@@ -143,9 +143,9 @@
         }
     }
 
-    /// Performs one turn of the lease and of the duties. Returns whether this daemon holds
+    /// Takes or renews the lease, or performs the duties once. Returns whether this daemon holds
     /// the lease afterwards.
-    async fn turn(&mut self, holds: bool) -> Result<bool, BackendError> {
+    async fn run_once(&mut self, holds: bool) -> Result<bool, BackendError> {
         if !holds {
             self.read_new_records().await?;
         }
@@ -225,9 +225,9 @@
             return Ok(());
         };
         let gateway = self.gateway.clone();
-        let turn = self.rollouts.turn(&gateway, claim.fence);
-        if let Err(e) = turn.await {
-            // Not propagated, so that it does not hold up the other duties. The next turn
+        let steps = self.rollouts.run_due_steps(&gateway, claim.fence);
+        if let Err(e) = steps.await {
+            // Not propagated, so that it does not hold up the other duties. The next run
             // tries again.
             log::info!(target: "rollout", "rollout status could not be written. error=\"{e}\"");
         }
@@ -286,7 +286,7 @@
             .gateway
             .usage
             .lock()
-            .usage_complete_from(window, since_ms);
+            .usage_completeness(window, since_ms);
         all_complete && announced + 1 >= self.gateway.daemons()
     }
 
--- a/src/cluster/feed/feed_server.rs
+++ b/src/cluster/feed/feed_server.rs
@@ -86,7 +86,7 @@
     /// the query has passed.
     async fn wait_for_changes(&self, query: FeedQuery) {
         let gateway = &self.gateway;
-        let mut changes = gateway.news.subscribe();
+        let mut changes = gateway.changes.subscribe();
         let has_changes = |_: &u64| {
             let same_incarnation = query.incarnation == gateway.incarnation;
             let same_directory =
@@ -152,7 +152,7 @@
         let packed = pack_upstreams(&update.upstreams, &update.removed_ids)?;
         let since = known.filter(|_| !update.is_complete).map(|k| k.revision);
         let mut cache = self.packed.lock();
-        cache.keep(update.cursor.revision, since, packed.clone());
+        cache.insert(update.cursor.revision, since, packed.clone());
         Ok((update.cursor, update.is_complete, packed))
     }
 
--- a/src/cluster/hubs/digest_announcer.rs
+++ b/src/cluster/hubs/digest_announcer.rs
@@ -10,11 +10,11 @@
 
 /// The minimum time between two digests.
 const DIGEST_PAUSE: Duration = Duration::from_millis(50);
-/// Every how many digests one is sent to the seeds, which daemons that start query.
-const SEEDS_EVERY: u64 = 4;
-/// Every how many digests one is sent to the silent daemons of the failure domain, so that a
+/// One in this many digests is also sent to the seeds, which starting daemons query.
+const SEED_DIGEST_INTERVAL: u64 = 4;
+/// One in this many digests is also sent to the silent daemons of the failure domain, so that a
 /// restarted daemon learns of the others even if no seed is alive.
-const SILENT_EVERY: u64 = 8;
+const SILENT_DIGEST_INTERVAL: u64 = 8;
 /// The interval at which a hub sends its digest to the daemons that report to it, in milliseconds.
 pub(in crate::cluster) const MEMBER_DIGEST_INTERVAL_MS: u64 = 600;
 
@@ -73,7 +73,10 @@
     // Seeds and silent daemons get fewer digests. These state the longer interval, since by the
     // usual one this hub would count as silent.
     let seeds = gateway.settings.peers.seeds.iter().copied();
-    for (to, each) in [(silent, SILENT_EVERY), (seeds.collect(), SEEDS_EVERY)] {
+    for (to, each) in [
+        (silent, SILENT_DIGEST_INTERVAL),
+        (seeds.collect(), SEED_DIGEST_INTERVAL),
+    ] {
         if !sequence.is_multiple_of(each) {
             continue;
         }
@@ -145,7 +148,7 @@
     let reporting = gateway.peers.lock().reporting_duty_holders();
     digest.duty_daemons.extend(reporting);
     digest.demand = gateway.own_demand();
-    let speeds = gateway.own_reading_speeds().into_iter();
+    let speeds = gateway.own_prefill_speeds().into_iter();
     digest.reading = speeds
         .map(|(service, s)| (service.to_string(), s.ms_per_token as f32, s.comparisons))
         .collect();
@@ -174,13 +177,13 @@
         .collect()
 }
 
-/// Splits a daemon's loads at upstreams into datagrams. `counted` is the id up to which the
+/// Splits a daemon's loads at upstreams into datagrams. `counted_up_to` is the id up to which the
 /// daemon's admission queries are included in them.
 pub(in crate::cluster) fn loads_parts(
     gateway: &Gateway,
     loads: &LoadSums,
     sequence: u64,
-    counted: u64,
+    counted_up_to: u64,
 ) -> Vec<Datagram> {
     let announced = loads.iter().map(|(id, (active, tokens))| AnnouncedLoad {
         upstream: id.to_string(),
@@ -198,7 +201,7 @@
                 sequence,
                 part,
                 parts: count,
-                counted,
+                counted_up_to,
                 loads,
             })
         })
--- a/src/cluster/hubs/hub_client.rs
+++ b/src/cluster/hubs/hub_client.rs
@@ -70,7 +70,7 @@
         gateway: &Gateway,
         request: &str,
         quota: Option<QuotaQuery>,
-        place: PlacementQuery,
+        placement: PlacementQuery,
     ) -> Option<ReceivedDecision> {
         let hubs = self.hubs_to_query(gateway);
         let (open, mut answers) = self.open();
@@ -80,7 +80,7 @@
             id: open.id,
             request: request.to_string(),
             quota,
-            place,
+            placement,
         };
         let max_wait_ms = query.quota.as_ref().map_or(0, |q| q.max_wait_ms);
         let hold = Duration::from_millis(u64::from(max_wait_ms)) + HOLD_GRACE;
@@ -145,13 +145,13 @@
     }
 
     /// Returns the hub that the next admission query goes to, or none if no hub is usable.
-    pub fn queried_hub(&self, gateway: &Gateway) -> Option<SocketAddr> {
+    pub fn next_hub(&self, gateway: &Gateway) -> Option<SocketAddr> {
         self.hubs_to_query(gateway).first().copied()
     }
 
     /// Returns the id up to which the requests of all queries are counted in this daemon's loads,
     /// or over.
-    pub fn counted(&self) -> u64 {
+    pub fn counted_up_to(&self) -> u64 {
         let state = self.state.lock();
         let first_open = state.open.first().copied();
         first_open.map_or(state.last_id, |id| id - 1)
--- a/src/cluster/hubs/report_announcer.rs
+++ b/src/cluster/hubs/report_announcer.rs
@@ -34,7 +34,7 @@
     };
     let mut is_woken = false;
     loop {
-        let pause_ms = match reporter.turn(is_woken).await {
+        let pause_ms = match reporter.run_once(is_woken).await {
             true => 0,
             false => REPORT_INTERVAL_MS,
         };
@@ -59,7 +59,7 @@
 
 impl Reporter {
     /// Sends the reports that are due. Returns true if this daemon still queries its seeds.
-    async fn turn(&mut self, is_woken: bool) -> bool {
+    async fn run_once(&mut self, is_woken: bool) -> bool {
         let now_ms = self.gateway.steady_ms();
         let is_starting = self.is_starting(now_ms);
         let is_seed_queried = is_starting && self.query_seed(now_ms).await;
@@ -99,21 +99,21 @@
 
     async fn report(&mut self, is_seed_queried: bool, is_woken: bool, now_ms: u64) {
         let gateway = &self.gateway;
-        let queried_hub = gateway.hub_client.queried_hub(gateway);
+        let next_hub = gateway.hub_client.next_hub(gateway);
         let wants_all = is_seed_queried || now_ms >= self.all_requested_ms + ALL_INTERVAL_MS;
         if wants_all {
             self.all_requested_ms = now_ms;
         }
         let (reported_to, reported_ms) = self.reported;
-        let is_due = reported_to != queried_hub || now_ms >= reported_ms + REPORT_INTERVAL_MS;
-        if let Some(hub) = queried_hub.filter(|_| wants_all || is_woken || is_due) {
-            self.reported = (queried_hub, now_ms);
+        let is_due = reported_to != next_hub || now_ms >= reported_ms + REPORT_INTERVAL_MS;
+        if let Some(hub) = next_hub.filter(|_| wants_all || is_woken || is_due) {
+            self.reported = (next_hub, now_ms);
             report_to_hub(gateway, hub, wants_all).await;
         }
         if is_seed_queried || now_ms >= self.alive_sent_ms + ALIVE_INTERVAL_MS {
             self.alive_sent_ms = now_ms;
             let hubs: BTreeSet<_> = gateway.peers.lock().own_hubs().into_iter().collect();
-            for hub in hubs.into_iter().filter(|h| Some(*h) != queried_hub) {
+            for hub in hubs.into_iter().filter(|h| Some(*h) != next_hub) {
                 let report = own_report(gateway, hub, ALIVE_INTERVAL_MS);
                 gateway.send_packet(&report_packet(report), hub).await;
             }
@@ -138,10 +138,10 @@
         packet = packet.with(Extension::Cooldowns(cooldowns));
     }
     gateway.send_packet(&packet, hub).await;
-    let counted = gateway.hub_client.counted();
+    let counted_up_to = gateway.hub_client.counted_up_to();
     let loads = gateway.own_loads();
     let sequence = gateway.next_sequence();
-    for part in loads_parts(gateway, &loads, sequence, counted) {
+    for part in loads_parts(gateway, &loads, sequence, counted_up_to) {
         gateway.send_datagram(&part, hub).await;
     }
 }
--- a/src/cluster/membership/peer_loads.rs
+++ b/src/cluster/membership/peer_loads.rs
@@ -3,7 +3,7 @@
     crate::{
         cluster::{LIMITS_LEVEL, LoadSums, add_load},
         names::UpstreamId,
-        policy::{DaemonRank, ReadingSpeed, home_rank},
+        policy::{DaemonRank, PrefillSpeed, home_rank},
     },
     std::net::SocketAddr,
 };
@@ -26,7 +26,8 @@
     /// that domain has none: a daemon that is cut off from a hub of that domain is usually cut
     /// off from the upstream, too. All daemons that know the same hubs choose the same issuer.
     pub fn permit_issuer(&self, upstream: u64, domain: &str, own_issues: bool) -> PermitIssuer {
-        let key = |rank: DaemonRank, at: &str| (at == domain, home_rank(rank.drawn(), upstream));
+        let key =
+            |rank: DaemonRank, at: &str| (at == domain, home_rank(rank.name_hash(), upstream));
         let others = self.known_hubs();
         let others = others.filter(|p| p.issues_permits(self.now_ms));
         let others = others.map(|p| {
@@ -85,9 +86,9 @@
         offered.map(|(_, per_s)| f64::from(*per_s)).sum()
     }
 
-    /// Returns the prompt reading speeds of a service's engines that other live hubs measured.
-    pub fn reading_speeds(&self, service: &str) -> Vec<ReadingSpeed> {
-        let speeds = self.live_hubs().filter_map(|d| d.reading_speed(service));
+    /// Returns the prefill speeds of a service's engines that other live hubs measured.
+    pub fn prefill_speeds(&self, service: &str) -> Vec<PrefillSpeed> {
+        let speeds = self.live_hubs().filter_map(|d| d.prefill_speed(service));
         speeds.collect()
     }
 }
--- a/tests/decisions/sources.rs
+++ b/tests/decisions/sources.rs
@@ -176,7 +176,7 @@
     assert_eq!(contact.lapsed_until_ms(2_000), None, "only one call failed");
     contact.record_failure(3_000);
     contact.record_failure(5_000);
-    assert!(contact.is_cut(5_000));
+    assert!(contact.is_unavailable(5_000));
     contact.record_answer(6_000);
     assert!(contact.lapsed_until_ms(6_500).is_some());
     assert_eq!(contact.lapsed_until_ms(8_500), None, "it returned long ago");
@@ -185,7 +185,7 @@
 /// Entries that are missing after its return were removed: the source was available to others
 /// all the time.
 #[test]
-fn a_daemon_that_alone_was_cut_off_does_not_take_removals_for_lapses() {
+fn a_daemon_that_was_cut_off_while_others_were_not_does_not_take_removals_for_lapses() {
     let mut contact = SourceContact::default();
     contact.record_answer(1_000);
     contact.record_failure(1_500);
@@ -193,7 +193,7 @@
         // Others keep getting answers, and report so a while later.
         contact.record_relayed(now_ms - 600, now_ms);
     }
-    assert!(contact.is_cut(13_000));
+    assert!(contact.is_unavailable(13_000));
     contact.record_answer(13_000);
     assert_eq!(contact.lapsed_until_ms(13_200), None);
 }
