--- a/tests/decisions/landed/messages.rs
+++ b/tests/decisions/landed/messages.rs
@@ -1,6 +1,7 @@
-//! One message of each kind, as landed builds write it. What not all of them know stands
-//! between marks: left out, this file compiles against each of these builds
-//! (docs/design/mixed-builds.md has the command).
+//! Builds one message of each kind. Blocks between the marks exist only from the build that
+//! the mark names. Types and fields have the names of the current build, which may differ from
+//! those of earlier builds; the encoded bytes are the same. To write the messages of an
+//! earlier build, use this file as it stands in that build's commit.
 
 use {
     bytes::Bytes,
